--- a/benchmarks/ability.py
+++ b/benchmarks/ability.py
@@ -23,7 +23,7 @@
 from attrs import evolve
 
 from larklb.admission.choice import Choice, Place
-from larklb.balancing.choice import AbleChoice
+from larklb.balancing.choice import CapacityAwareChoice
 from larklb.lab.emulator import play
 from larklb.lab.emulator_deployment import Deployment, Trouble, flags, shop
 from larklb.lab.emulator_figures import Figures
@@ -36,24 +36,25 @@
 WEAKEST = 0.1              # of traffic in keeping with its ability that the weakest has at the least
 
 
-class Alone(AbleChoice):
+class Alone(CapacityAwareChoice):
     """Hears nothing."""
 
-    def take(self, now: float, observer: str, message: Mapping[str, Any]) -> None:
+    def apply_estimates(self, now: float, observer: str, message: Mapping[str, Any]) -> None:
         return
 
-    def take_in_flight(self, now: float, observer: str, message: Mapping[str, Any]) -> None:
+    def apply_in_flight(self, now: float, observer: str, message: Mapping[str, Any]) -> None:
         return
 
 
-class Sums(AbleChoice):
+class Sums(CapacityAwareChoice):
     """Hears estimates only."""
 
-    def take_in_flight(self, now: float, observer: str, message: Mapping[str, Any]) -> None:
+    def apply_in_flight(self, now: float, observer: str, message: Mapping[str, Any]) -> None:
         return
 
 
-CHOICES: dict[str, type[Choice]] = {**RIVALS, "able, alone": Alone, "able, sums": Sums, "able": AbleChoice}
+CHOICES: dict[str, type[Choice]] = {**RIVALS, "able, alone": Alone, "able, sums": Sums,
+                                   "able": CapacityAwareChoice}
 MAKERS: dict[str, Callable[..., Deployment]] = {"A": shop, "B": flags}
 
 
@@ -98,8 +99,8 @@
 
 def cost_us() -> float:
     """Processor time of one choice among SERVERS, with what goes with it, in µs: the least of some runs."""
-    choice, rng = AbleChoice("a", dict.fromkeys("abc", "region"), 1), random.Random(2)
-    choice.peers("m0", [(f"m{i}", "abc"[i % 3]) for i in range(14)])
+    choice, rng = CapacityAwareChoice("a", dict.fromkeys("abc", "region"), 1), random.Random(2)
+    choice.set_limiters("m0", [(f"m{i}", "abc"[i % 3]) for i in range(14)])
     choice.update([Place(f"s{i}", "live", "", "abc"[i % 3], 2) for i in range(SERVERS)])
     best, now = float("inf"), 0.0
     for _ in range(5):
--- a/benchmarks/callers.py
+++ b/benchmarks/callers.py
@@ -55,7 +55,7 @@
     def build(servers: Mapping[str, float]) -> Order:
         made = ring.Ring()
         for server, weight in servers.items():
-            made.put(server, max(1, round(nodes * weight / WEIGHT)))
+            made.set_nodes(server, max(1, round(nodes * weight / WEIGHT)))
 
         def order(caller: int) -> Iterator[str]:
             was, ring.PROBES = ring.PROBES, probes
@@ -216,7 +216,7 @@
     """A line on so many servers and callers: one server in 300 leaves, and all are back later."""
     servers, callers, before = fleet(number), crowd(count), memory()
     of, began = Assignment(), time.perf_counter()
-    of.servers(0.0, servers)
+    of.set_servers(0.0, servers)
     made, used = time.perf_counter() - began, memory() - before
     load, at = dict.fromkeys(servers, 0.0), dict[int, str]()
     settle(of, load, at, callers)
@@ -228,7 +228,7 @@
     gone = set(sorted(servers, key=lambda s: -load[s])[:1 + number // 300])
     fewer = {s: w for s, w in servers.items() if s not in gone}
     had, began = sum(load[s] for s in gone), time.perf_counter()
-    of.servers(QUIET_MS, fewer)
+    of.set_servers(QUIET_MS, fewer)
     left = (time.perf_counter() - began) / len(gone)
     held = sum(s in gone for s in first.values())
     home = sum(of.rank(c, 1)[0] != s for c, s in first.items()) / max(1, held)
@@ -236,7 +236,7 @@
     for _ in range(ROUNDS):
         if not settle(of, load, at, callers):
             break
-    of.servers(3 * QUIET_MS, servers)
+    of.set_servers(3 * QUIET_MS, servers)
     joined = settle(of, load, at, callers)
     back = (joined, sum(load[s] for s in gone))
     began = time.perf_counter()
@@ -260,8 +260,8 @@
 def in_hand(number: int, use: float, floor: float, steps: int, fails: list[str]) -> str:
     """A line on requests in hand that end and begin by chance, with part `use` of the slots in use."""
     servers, callers, dice = fleet(number), crowd(20_000), random.Random(17)
-    of = Assignment(floor=floor)
-    of.servers(0.0, servers)
+    of = Assignment(min_bound_per_weight=floor)
+    of.set_servers(0.0, servers)
     load = dict.fromkeys(servers, 0.0)
     for caller in callers:     # a caller's first choice after a change of servers costs more
         of.choose(caller, load.__getitem__)
--- a/larklb/admission/choice.py
+++ b/larklb/admission/choice.py
@@ -12,8 +12,8 @@
 
 from attrs import define, field
 
-from larklb.assignment.assignment import Assignment, warmed
-from larklb.assignment.callers import Callers
+from larklb.assignment.assignment import Assignment, warmed_weight
+from larklb.assignment.callers import CallerRates
 
 LOAD_MS = 1_000.0  # a told load fades towards the service's mean with this time constant
 QUEUE = 2.0  # a server with so many times its slots in hand beyond them is full
@@ -89,7 +89,7 @@
     random: random.Random = field(init=False)
     limit: Callable[[str], int] = lambda target: 1 << 30  # requests of this limiter that a server may have
     assigned: dict[str, Assignment] = field(factory=dict)  # by target, where callers stay put
-    callers: Callers = field(factory=Callers)
+    callers: CallerRates = field(factory=CallerRates)
 
     def __attrs_post_init__(self) -> None:
         self.random = random.Random(self.seed)
@@ -120,13 +120,15 @@
         slots, count = 0, 0
         for target, places in self.by_target.items():
             there = [p for p in places if not p.draining]
-            assignment = self.assigned.setdefault(target, Assignment(floor=1.0))
-            assignment.servers(
-                now, {p.id: warmed(float(p.slots), now, p.cold) for p in there}, {p.id: p.zone for p in there}
+            assignment = self.assigned.setdefault(target, Assignment(min_bound_per_weight=1.0))
+            assignment.set_servers(
+                now,
+                {p.id: warmed_weight(float(p.slots), now, p.cold) for p in there},
+                {p.id: p.zone for p in there},
             )
             slots, count = slots + sum(p.slots for p in there), count + len(there)
-        self.callers.limiters, self.callers.most = limiters, max(1, count)
-        self.callers.slots = slots / max(1, count) or 1.0
+        self.callers.limiter_count, self.callers.max_servers = limiters, max(1, count)
+        self.callers.mean_slots = slots / max(1, count) or 1.0
 
     def _stay(self, now: float, target: str, caller: int, beside: Collection[str]) -> Place | None:
         """The caller's own server, or the next in its order while that has no room."""
@@ -147,7 +149,7 @@
 
         most = self.limit(target)
         name = self.assigned[target].choose(
-            caller, load, beside, width=self.callers.width(now, caller), zone=self.zone
+            caller, load, beside, subset_size=self.callers.subset_size(now, caller), zone=self.zone
         )
         return self.of.get(name) if name is not None else None
 
@@ -185,7 +187,7 @@
 
         A ``caller`` that stays put gets its own server while that has room."""
         if caller is not None and target in self.assigned:
-            self.callers.seen(now, caller, self.usual_of(route).mean)
+            self.callers.record_request(now, caller, self.usual_of(route).mean)
             if (place := self._stay(now, target, caller, beside)) is not None:
                 return place
         usual, best, least = self.usual_of(route).mean, None, math.inf
--- a/larklb/assignment/assignment.py
+++ b/larklb/assignment/assignment.py
@@ -37,7 +37,7 @@
     return xxh3_64_intdigest(f"{len(tenant)}:{tenant}{len(route)}:{route}{extra}".encode())
 
 
-def warmed(weight: float, now: float, cold_until: float, warm_ms: float = WARM_MS) -> float:
+def warmed_weight(weight: float, now: float, cold_until: float, warm_ms: float = WARM_MS) -> float:
     """The weight of a server that is slow until `cold_until`: it rises in WARM_STEPS equal steps.
 
     From the server's own word, not from when it was first seen here: a limiter that restarts gets the same.
@@ -64,10 +64,10 @@
     a caller at its server while half of the slots are free.  `nodes`: virtual nodes for each unit of weight.
     """
 
-    spread: float = field(default=1.25, kw_only=True)
-    floor: float = field(default=0.0, kw_only=True)
-    nodes: int = field(default=NODES, kw_only=True)
-    next_at: float = field(default=math.inf, init=False)  # when one held back would be let in
+    balance_factor: float = field(default=1.25, kw_only=True)
+    min_bound_per_weight: float = field(default=0.0, kw_only=True)
+    nodes_per_weight: int = field(default=NODES, kw_only=True)
+    next_release_at: float = field(default=math.inf, init=False)  # when one held back would be let in
     _told: dict[str, float] = field(factory=dict, init=False)
     _told_zones: dict[str, str] = field(factory=dict, init=False)
     _weights: dict[str, float] = field(factory=dict, init=False)  # of those that get callers
@@ -87,7 +87,7 @@
 
     # Servers ----------------------------------------------------------------------------------
 
-    def servers(
+    def set_servers(
         self, now: float, servers: Mapping[str, float], zones: Mapping[str, str] | None = None
     ) -> list[str]:
         """All servers there are, with their weights (ability x slots); 0 for one that drains.
@@ -97,7 +97,7 @@
         weight that is no finite number of 0 or more; then nothing has changed.
         """
         near = zones or {}
-        if now < self.next_at and servers == self._told and near == self._told_zones:
+        if now < self.next_release_at and servers == self._told and near == self._told_zones:
             return []
         for server, weight in servers.items():
             if not 0.0 <= weight < math.inf:
@@ -134,23 +134,23 @@
             for server in held:
                 self._flaps[server].until = now
             held = set()
-        self.next_at = min((self._flaps[s].until for s in held), default=math.inf)
+        self.next_release_at = min((self._flaps[s].until for s in held), default=math.inf)
         return {s: w for s, w in wanted.items() if s not in held}
 
     def _put(self, server: str, weight: float, zone: str) -> None:
         """A server's new weight and zone; what it keeps stays where it is."""
-        nodes = min(NODES_MOST, max(1, round(weight * self.nodes))) if weight > 0.0 else 0
+        nodes = min(NODES_MOST, max(1, round(weight * self.nodes_per_weight))) if weight > 0.0 else 0
         self._orders.clear()
         self._kept = 0
-        self._ring.put(server, nodes)
+        self._ring.set_nodes(server, nodes)
         old = self._zones.pop(server, "")
         if old and old != zone:
-            self._near[old].put(server, 0)
+            self._near[old].set_nodes(server, 0)
             if not self._near[old]:
                 del self._near[old]
         if zone and nodes:
             self._zones[server] = zone
-            self._near.setdefault(zone, Ring()).put(server, nodes)
+            self._near.setdefault(zone, Ring()).set_nodes(server, nodes)
         self._weight += (weight if self._loads.get(server, 0.0) >= 0.0 else 0.0) - self._taking(server)
         if not nodes:
             del self._weights[server]
@@ -177,20 +177,20 @@
             if self._zones.get(server) != zone:
                 yield server
 
-    def rank(self, caller: int, most: int, zone: str = "") -> list[str]:
+    def rank(self, caller: int, limit: int, zone: str = "") -> list[str]:
         """The caller's servers in its order, `most` of them, those of `zone` first; alike everywhere."""
         found: list[str] = []
-        if most > 0:
+        if limit > 0:
             for server in self._walk(caller, zone):
                 found.append(server)
-                if len(found) >= most:
+                if len(found) >= limit:
                     break
         return found
 
-    def _order(self, caller: int, most: int, zone: str) -> list[str]:
+    def _order(self, caller: int, limit: int, zone: str) -> list[str]:
         """As `rank`, kept until the servers change."""
         orders = self._orders.setdefault(zone, {})
-        found = self.rank(caller, most, zone)
+        found = self.rank(caller, limit, zone)
         self._kept += len(found) - len(orders.pop(caller, ()))
         if self._kept > KEPT_MOST:
             self._orders.clear()
@@ -221,7 +221,7 @@
             self._loads[server] = new
         return new
 
-    def level(self, load: Callable[[str], float]) -> float:
+    def load_per_weight(self, load: Callable[[str], float]) -> float:
         """Load for each unit of weight with one request more, from loads looked at in turn, LOOKS each time.
 
         It lags behind by as many choices as there are servers, over LOOKS, at the most.
@@ -240,22 +240,22 @@
             self._at += 1
         return (self._load + 1.0) / self._weight if self._weight > 0.0 else 0.0
 
-    def bound(self, server: str, level: float) -> float:
+    def load_bound(self, server: str, load_per_weight: float) -> float:
         """The load from which a server takes no more: with one request more it would be over `spread` times
         its fair part, and it has that part already.  One of the servers is always under its bound."""
         weight = self._weights[server]
-        fair = level * weight
-        return max(self.spread * fair - 1.0, fair, self.floor * weight)
+        fair = load_per_weight * weight
+        return max(self.balance_factor * fair - 1.0, fair, self.min_bound_per_weight * weight)
 
     def choose(
         self,
         caller: int,
         load: Callable[[str], float],
-        extra: Collection[str] = (),
+        excluded: Collection[str] = (),
         *,
-        width: int = 1,
+        subset_size: int = 1,
         zone: str = "",
-        level: float | None = None,
+        load_per_weight: float | None = None,
     ) -> str | None:
         """The server for one more request of a caller: the first in its order whose load is under its bound.
 
@@ -268,24 +268,24 @@
         weights = self._weights
         if not weights:
             return None
-        if level is None:
-            level = self.level(load)
+        if load_per_weight is None:
+            load_per_weight = self.load_per_weight(load)
         kept = self._orders.get(zone)
         order = None if kept is None else kept.get(caller)
-        if order is None or len(order) < width and len(order) < len(weights):
-            order = self._order(caller, max(width, AHEAD), zone)
-        if width > 1:
-            found = self._among(order[:width], load, extra, level)
+        if order is None or len(order) < subset_size and len(order) < len(weights):
+            order = self._order(caller, max(subset_size, AHEAD), zone)
+        if subset_size > 1:
+            found = self._among(order[:subset_size], load, excluded, load_per_weight)
             if found is not None:
                 return found
-        spread, floor, least = self.spread, self.floor, math.inf
+        balance_factor, min_bound_per_weight, least = self.balance_factor, self.min_bound_per_weight, math.inf
         looked: list[tuple[str, float]] = []
         for server in itertools.chain(order, self._rest(caller, zone, len(order))):
-            if server in extra:
+            if server in excluded:
                 continue
             weight, now = weights[server], load(server)
-            fair = level * weight  # as `bound`, which costs a call here
-            if now < fair or now < spread * fair - 1.0 or now < floor * weight:
+            fair = load_per_weight * weight  # as `bound`, which costs a call here
+            if now < fair or now < balance_factor * fair - 1.0 or now < min_bound_per_weight * weight:
                 return server
             if now < math.inf:
                 part = now / weight
@@ -293,19 +293,23 @@
                 least = min(least, part)
                 if len(looked) >= WALK_MOST:
                     break
-        return next((server for server, part in looked if part <= least * spread), None)
+        return next((server for server, part in looked if part <= least * balance_factor), None)
 
     def _among(
-        self, servers: list[str], load: Callable[[str], float], extra: Collection[str], level: float
+        self,
+        servers: list[str],
+        load: Callable[[str], float],
+        excluded: Collection[str],
+        load_per_weight: float,
     ) -> str | None:
         """Of PAIR servers of a set, in turn, the less loaded one under its bound."""
         self._turn += 1
         best, least = None, math.inf
         for i in range(min(PAIR, len(servers))):
             server = servers[(self._turn + i) % len(servers)]
-            if server in extra:
+            if server in excluded:
                 continue
             now = load(server)
-            if now < self.bound(server, level) and now / self._weights[server] < least:
+            if now < self.load_bound(server, load_per_weight) and now / self._weights[server] < least:
                 best, least = server, now / self._weights[server]
         return best
--- a/larklb/assignment/callers.py
+++ b/larklb/assignment/callers.py
@@ -20,24 +20,24 @@
 
     work: float = 0.0  # ms of slots, faded, as of ...
     at: float = -math.inf
-    width: int = 1
+    subset_size: int = 1
     changed: float = -math.inf
 
 
 @define
-class Callers:
+class CallerRates:
     """The rates of all callers as one limiter sees them.
 
     `slots`: of a server in the mean.  `limiters`: among how many a caller's requests are divided; what is
     seen here counts for all of them.  `most`: servers there are.
     """
 
-    slots: float = 4.0
-    limiters: int = 1
-    most: int = 1 << 30
+    mean_slots: float = 4.0
+    limiter_count: int = 1
+    max_servers: int = 1 << 30
     _of: dict[int, _Flow] = field(factory=dict, init=False)
 
-    def seen(self, now: float, caller: int, work_ms: float) -> None:
+    def record_request(self, now: float, caller: int, work_ms: float) -> None:
         """A request of the caller that holds a slot for `work_ms`."""
         flow = self._of.pop(caller, None)
         if flow is None:
@@ -48,22 +48,22 @@
         flow.work = flow.work * math.exp(min(0.0, flow.at - now) / FADE_MS) + work_ms
         flow.at = max(flow.at, now)
 
-    def need(self, now: float, caller: int) -> float:
+    def needed_servers(self, now: float, caller: int) -> float:
         """Servers that the caller's rate asks for, with fractions."""
         flow = self._of.get(caller)
         if flow is None:
             return 0.0
         busy = flow.work * math.exp(min(0.0, flow.at - now) / FADE_MS) / FADE_MS
-        return busy * self.limiters / (max(1.0, self.slots) * PART)
+        return busy * self.limiter_count / (max(1.0, self.mean_slots) * PART)
 
-    def width(self, now: float, caller: int) -> int:
+    def subset_size(self, now: float, caller: int) -> int:
         """How many servers the caller has; one more or one fewer than at the last call at the most."""
         flow = self._of.get(caller)
         if flow is None:
             return 1
-        need, since = min(float(self.most), self.need(now, caller)), now - flow.changed
-        if need > flow.width and since >= GROW_MS / max(1.0, need - flow.width):
-            flow.width, flow.changed = flow.width + 1, now
-        elif flow.width > 1 and need < flow.width - 1 - SLACK and since >= SHRINK_MS:
-            flow.width, flow.changed = flow.width - 1, now
-        return flow.width
+        needed, since = min(float(self.max_servers), self.needed_servers(now, caller)), now - flow.changed
+        if needed > flow.subset_size and since >= GROW_MS / max(1.0, needed - flow.subset_size):
+            flow.subset_size, flow.changed = flow.subset_size + 1, now
+        elif flow.subset_size > 1 and needed < flow.subset_size - 1 - SLACK and since >= SHRINK_MS:
+            flow.subset_size, flow.changed = flow.subset_size - 1, now
+        return flow.subset_size
--- a/larklb/assignment/ring.py
+++ b/larklb/assignment/ring.py
@@ -25,7 +25,7 @@
 Cursor = tuple[int, int, int, int]  # distance from the probe, the probe's place, shelf, node there
 
 
-def node_at(server: str, number: int) -> int:
+def node_position(server: str, number: int) -> int:
     """Where a server's virtual node lies.
 
     The number is in what is hashed: as a seed, XXH3 merges it with a short id by XOR, so that "i-1" and "i-9"
@@ -34,7 +34,7 @@
     return xxh3_64_intdigest(f"{number}#{server}".encode())
 
 
-def probes(caller: int) -> Iterator[int]:
+def probe_positions(caller: int) -> Iterator[int]:
     """The places from which a caller looks for nodes."""
     for _ in range(PROBES):
         yield caller
@@ -65,7 +65,7 @@
         """How many virtual nodes each server has."""
         return self._nodes
 
-    def put(self, server: str, nodes: int) -> None:
+    def set_nodes(self, server: str, nodes: int) -> None:
         """Gives a server so many virtual nodes, 0 to take it off.  Those it keeps stay where they are."""
         had = self._nodes.get(server, 0)
         if had == nodes:
@@ -79,9 +79,9 @@
                 self._numbers[server] = len(self._ids)
                 self._ids.append(server)
         for number in range(had, nodes):
-            self._insert(server, node_at(server, number))
+            self._insert(server, node_position(server, number))
         for number in range(nodes, had):
-            self._remove(server, node_at(server, number))
+            self._remove(server, node_position(server, number))
         self._nodes[server] = nodes
         self._size += nodes - had
         if not nodes:
@@ -129,7 +129,7 @@
             return
         cursors = [
             self._onward(p, p >> self._shift, bisect_left(self._places[p >> self._shift], p))
-            for p in probes(caller)
+            for p in probe_positions(caller)
         ]
         seen: set[int] = set()
         for _ in range(PROBES * self._size):
--- a/larklb/balancing/choice.py
+++ b/larklb/balancing/choice.py
@@ -89,11 +89,11 @@
 
 
 @define
-class AbleChoice(Choice):
+class CapacityAwareChoice(Choice):
     """All servers as one limiter sees them, with what the others tell."""
 
     me: str = ""
-    exchange: bool = True  # near peers tell what they have in hand
+    exchange_enabled: bool = True  # near peers tell what they have in hand
     names: tuple[tuple[str, str], ...] = ()
     estimates: Estimates = field(factory=Estimates)
     in_flight: InFlight = field(factory=InFlight)
@@ -108,7 +108,7 @@
 
     # Who there is ---------------------------------------------------------------------------
 
-    def peers(self, me: str, names: Sequence[tuple[str, str]]) -> None:
+    def set_limiters(self, me: str, names: Sequence[tuple[str, str]]) -> None:
         """All limiters, each with its zone; this one is ``me``."""
         self.me, self.names = me, tuple(sorted(names))
         self.in_flight.keep({name for name, _ in names})
@@ -210,7 +210,7 @@
 
     def load(self, now: float, place: Place) -> float:
         """What the server has in hand, here and as far as others tell, in requests."""
-        if not self.exchange:
+        if not self.exchange_enabled:
             return Choice.load(self, now, place)
         seen = self.seen[place.id]
         work = self.works.get(place.target, admission.USUAL_MS) * seen.factor
@@ -230,10 +230,10 @@
         """The server for a request, None where there is none that may get it."""
         self._settle()
         self.clock, self.route = now, route
-        if not self.exchange:  # by itself it is no better than what it takes the place of
+        if not self.exchange_enabled:  # by itself it is no better than what it takes the place of
             return Choice.pick(self, now, target, route, aim, beside, caller)
         if caller is not None and target in self.assigned:
-            self.callers.seen(now, caller, self.usual_of(route).mean)
+            self.callers.record_request(now, caller, self.usual_of(route).mean)
             if (place := self._stay(now, target, caller, beside)) is not None:
                 return place
         if aim > self.aims.get(target, 0.0):
@@ -439,7 +439,7 @@
 
     # Exchange -------------------------------------------------------------------------------
 
-    def message(self, now: float) -> dict[str, Any]:
+    def estimates_message(self, now: float) -> dict[str, Any]:
         """What this limiter tells the others, JSON."""
         self._settle()
         for name, seen in self.seen.items():
@@ -447,7 +447,7 @@
             seen.sums.overdue = int(now > seen.due)
         return self.estimates.message(now)
 
-    def take(self, now: float, observer: str, message: Mapping[str, Any]) -> None:
+    def apply_estimates(self, now: float, observer: str, message: Mapping[str, Any]) -> None:
         """Takes what another limiter tells."""
         if observer != self.me:
             self.estimates.take(now, observer, message)
@@ -456,7 +456,7 @@
         """What this limiter has in hand, for its near peers, JSON; None where that is no news."""
         return self.in_flight.message(now, {n: place.out - self.seen[n].lost for n, place in self.of.items()})
 
-    def take_in_flight(self, now: float, observer: str, message: Mapping[str, Any]) -> None:
+    def apply_in_flight(self, now: float, observer: str, message: Mapping[str, Any]) -> None:
         """Takes what a near peer has in hand."""
         if observer != self.me:
             self.in_flight.take(now, observer, message)
--- a/larklb/balancing/estimates.py
+++ b/larklb/balancing/estimates.py
@@ -118,9 +118,9 @@
 
 @define
 class Estimates:
-    """All evidence as one observer has it.  ``life`` rises with each start of the observer."""
+    """All evidence as one observer has it.  ``incarnation`` rises with each start of the observer."""
 
-    life: int = 0
+    incarnation: int = 0
     own: dict[str, Sums] = field(factory=dict)
     reports: dict[str, _Report] = field(factory=dict)
     fallen: dict[str, tuple[float, float]] = field(factory=dict)  # by server: slowness believed, and when
@@ -201,7 +201,7 @@
             server: [round(v, 3) for v in sums.faded(now)] + [round(sums.in_hand, 3), sums.overdue]
             for server, sums in self.own.items()
         }
-        return {"life": self.life, "count": self.told, "rows": rows}
+        return {"life": self.incarnation, "count": self.told, "rows": rows}
 
     def take(self, now: float, observer: str, message: Mapping[str, Any]) -> bool:
         """Takes another observer's words; False where they are no news.  The age of evidence is counted
--- a/larklb/balancing/load.py
+++ b/larklb/balancing/load.py
@@ -87,7 +87,7 @@
     """What near peers have in hand at each server just now: their whole state by observer, the newest
     holds."""
 
-    life: int = 0
+    incarnation: int = 0
     of: dict[str, _Report] = field(factory=dict)
     sums: dict[str, int] = field(factory=dict)
     count: int = 0
@@ -101,7 +101,7 @@
             return None
         self.told, self.told_at = rows, now
         self.count += 1
-        return {"life": self.life, "count": self.count, "in_flight": rows}
+        return {"life": self.incarnation, "count": self.count, "in_flight": rows}
 
     def take(self, now: float, observer: str, message: Mapping[str, Any]) -> bool:
         """Takes a peer's word; False where it is no news; ``UnreadableError`` where it makes no sense."""
--- a/larklb/gateway/main.py
+++ b/larklb/gateway/main.py
@@ -24,7 +24,7 @@
 from larklb.admission.choice import Place
 from larklb.admission.quota_records import Allowance, Bound
 from larklb.admission.quotas import Quotas
-from larklb.balancing.choice import AbleChoice
+from larklb.balancing.choice import CapacityAwareChoice
 from larklb.balancing.estimates import Estimates
 from larklb.balancing.load import InFlight
 from larklb.consensus.errors import ConsensusError
@@ -116,13 +116,13 @@
             rng=self.random,
         )
         self.plane.core = core
-        self.choice = AbleChoice(
+        self.choice = CapacityAwareChoice(
             settings.zone,
             settings.zones,
             self.random.randrange(1 << 30),
             limit=self._limit,
-            estimates=Estimates(life=me.life),
-            in_flight=InFlight(life=me.life),
+            estimates=Estimates(incarnation=me.life),
+            in_flight=InFlight(incarnation=me.life),
         )
         first = settings.bootstrap
         bounds = settings.bounds
@@ -306,7 +306,7 @@
         addresses = {n: self.follower.members[node].ip for n, node in numbers.items()}
         self.quota_exchange.members(now, numbers, addresses, me.number)
         self.near.peers([m.ip for m in members if m.zone == me.zone and m.state == UP and m.node != me.node])
-        self.choice.peers(me.node, [(m.node, m.zone) for m in members])
+        self.choice.set_limiters(me.node, [(m.node, m.zone) for m in members])
         self.choice.update(
             Place(
                 s.id,
--- a/larklb/gateway/near_exchange.py
+++ b/larklb/gateway/near_exchange.py
@@ -6,7 +6,7 @@
 
 from collections.abc import Callable, Sequence
 
-from larklb.balancing.choice import AbleChoice
+from larklb.balancing.choice import CapacityAwareChoice
 from larklb.balancing.errors import UnreadableError
 from larklb.gateway.messages import CapacityReport, InFlightMessage, Message
 
@@ -18,7 +18,7 @@
 class NearExchange:
     """Of one limiter; ``post`` sends a message to an address."""
 
-    def __init__(self, choice: AbleChoice, post: Callable[[str, Message], object]) -> None:
+    def __init__(self, choice: CapacityAwareChoice, post: Callable[[str, Message], object]) -> None:
         self.choice, self.post = choice, post
         self.addresses: Sequence[str] = ()
         self.estimates_at = -1e18
@@ -26,7 +26,7 @@
     def peers(self, addresses: Sequence[str]) -> None:
         """The other limiters of this zone."""
         self.addresses = addresses if len(addresses) <= MOST_NEAR else ()
-        self.choice.exchange = bool(self.addresses)
+        self.choice.exchange_enabled = bool(self.addresses)
 
     def tick(self, now: float) -> None:
         """Called every ``IN_FLIGHT_MS`` while requests are served."""
@@ -36,7 +36,7 @@
             self._tell(InFlightMessage(message=in_flight))
         if now - self.estimates_at >= ESTIMATES_MS:
             self.estimates_at = now
-            self._tell(CapacityReport(message=self.choice.message(now)))
+            self._tell(CapacityReport(message=self.choice.estimates_message(now)))
 
     def _tell(self, message: Message) -> None:
         for address in self.addresses:
@@ -44,7 +44,11 @@
 
     def heard(self, now: float, message: InFlightMessage | CapacityReport) -> None:
         """ValueError where it makes no sense."""
-        hear = self.choice.take_in_flight if isinstance(message, InFlightMessage) else self.choice.take
+        hear = (
+            self.choice.apply_in_flight
+            if isinstance(message, InFlightMessage)
+            else self.choice.apply_estimates
+        )
         try:
             hear(now, message.sender, message.message)
         except UnreadableError as error:
--- a/larklb/lab/emulator.py
+++ b/larklb/lab/emulator.py
@@ -42,17 +42,17 @@
 
 @runtime_checkable
 class Shares(Protocol):
-    """A choice that exchanges what it has learned: a ``message`` is JSON."""
+    """A choice that exchanges what it has learned: messages are JSON."""
 
-    def peers(self, me: str, names: Sequence[tuple[str, str]]) -> None: ...
+    def set_limiters(self, me: str, names: Sequence[tuple[str, str]]) -> None: ...
 
-    def message(self, now: float) -> dict[str, Any]: ...
+    def estimates_message(self, now: float) -> dict[str, Any]: ...
 
-    def take(self, now: float, observer: str, message: Mapping[str, Any]) -> None: ...
+    def apply_estimates(self, now: float, observer: str, message: Mapping[str, Any]) -> None: ...
 
     def in_flight_message(self, now: float) -> dict[str, Any] | None: ...
 
-    def take_in_flight(self, now: float, observer: str, message: Mapping[str, Any]) -> None: ...
+    def apply_in_flight(self, now: float, observer: str, message: Mapping[str, Any]) -> None: ...
 
 
 class Server:
@@ -150,7 +150,7 @@
         name = f"m{i}"
         if isinstance(choice, Shares):
             zones = self.d.zones
-            choice.peers(name, [(f"m{k}", zones[k % len(zones)]) for k in range(self.d.limiters)])
+            choice.set_limiters(name, [(f"m{k}", zones[k % len(zones)]) for k in range(self.d.limiters)])
         budget = Budget(RETRY_RATIO, RETRY_WINDOW_MS, RETRY_SLACK, self.d.limiters, now, settled=True,
                         node=name)
         return Limiter(name, zone, choice, budget)
@@ -218,7 +218,7 @@
         if self.now < self.d.length:
             self._at(self.now + SHARE_MS, self._share, i)
         limiter = self.limiters[i]
-        message = limiter.choice.message(self.now) if isinstance(limiter.choice, Shares) else {}
+        message = limiter.choice.estimates_message(self.now) if isinstance(limiter.choice, Shares) else {}
         for other in self.limiters:
             if other is not limiter and self.links.random() > SHARE_LOSS:
                 way = SHARE_WAY_MS * (0.5 + self.links.random())
@@ -237,11 +237,11 @@
 
     def _in_flight_heard(self, limiter: Limiter, observer: str, message: Mapping[str, Any]) -> None:
         if isinstance(limiter.choice, Shares):
-            limiter.choice.take_in_flight(self.now, observer, message)
+            limiter.choice.apply_in_flight(self.now, observer, message)
 
     def _heard(self, limiter: Limiter, observer: str, message: Mapping[str, Any]) -> None:
         if isinstance(limiter.choice, Shares):
-            limiter.choice.take(self.now, observer, message)
+            limiter.choice.apply_estimates(self.now, observer, message)
 
     def _trouble(self, trouble: Trouble) -> None:
         mine = [s for s in self.servers.values() if s.service.name == trouble.service and not s.gone]
--- a/tests/test_balancing.py
+++ b/tests/test_balancing.py
@@ -15,7 +15,7 @@
 
 from larklb.admission.choice import Place
 from larklb.balancing import estimates as e
-from larklb.balancing.choice import AbleChoice
+from larklb.balancing.choice import CapacityAwareChoice
 from larklb.balancing.errors import UnreadableError
 from larklb.balancing.estimates import Ability, Estimates, judged
 from larklb.balancing.load import InFlight, Others, bearable, divided, waiting
@@ -60,13 +60,13 @@
 def merges(kind: type[Estimates], seed: int) -> None:
     """However messages are lost, repeated and disordered, each observer's newest counts once."""
     chance, told = random.Random(seed), []
-    observers = {f"m{i}": Estimates(life=1) for i in range(3)}
+    observers = {f"m{i}": Estimates(incarnation=1) for i in range(3)}
     for step in range(12):
         name = chance.choice(sorted(observers))
         observers[name].of(0.0, "s").add(0.0, chance.gauss(0.5, 0.3), 1.0)
         told.append((name, json.loads(json.dumps(observers[name].message(0.0)))))
         if step % 4 == 3:              # a new life begins with nothing and still is news
-            observers[name] = Estimates(life=observers[name].life + 1)
+            observers[name] = Estimates(incarnation=observers[name].incarnation + 1)
             told.append((name, observers[name].message(0.0)))
     heard, order = kind(), [w for w in told if chance.random() < 0.7] * 2
     last = {name: message for name, message in told}
@@ -86,7 +86,7 @@
     assert one.ability(0.0, "s").slowness < math.log(2.0)
     many = kind()
     for i in range(6):
-        observer = Estimates(life=1)
+        observer = Estimates(incarnation=1)
         for _ in range(60 if i == 0 else 6):
             observer.of(0.0, "s").add(0.0, chance.gauss(1.4 if i == 0 else 0.0, 0.1), 1.5)
         many.take(0.0, f"m{i}", observer.message(0.0))
@@ -137,7 +137,7 @@
 
 
 def test_old_reports_count_no_more() -> None:
-    teller, known = Estimates(life=1), Estimates()
+    teller, known = Estimates(incarnation=1), Estimates()
     for _ in range(20):
         teller.of(0.0, "s").add(0.0, 1.0, 2.0)
     known.take(0.0, "m1", teller.message(0.0))
@@ -147,7 +147,7 @@
 
 
 def test_in_flight_replace_each_other_and_expire() -> None:
-    teller, known = InFlight(life=1), InFlight()
+    teller, known = InFlight(incarnation=1), InFlight()
     first = teller.message(0.0, {"s": 2, "t": 0})
     second = teller.message(10.0, {"s": 1})
     assert first and second and teller.message(20.0, {"s": 1}) is None
@@ -183,14 +183,14 @@
     assert others.trusted()
 
 
-def fleet(count: int = 6) -> AbleChoice:
-    choice = AbleChoice("a", {"a": "r"}, 1)
-    choice.peers("m0", [("m0", "a"), ("m1", "a")])
+def fleet(count: int = 6) -> CapacityAwareChoice:
+    choice = CapacityAwareChoice("a", {"a": "r"}, 1)
+    choice.set_limiters("m0", [("m0", "a"), ("m1", "a")])
     choice.update([Place(f"s{i}", "t", "", "a", 2) for i in range(count)])
     return choice
 
 
-def served(choice: AbleChoice, works: Mapping[str, float], routes: Mapping[str, float],
+def served(choice: CapacityAwareChoice, works: Mapping[str, float], routes: Mapping[str, float],
            load: bool = True) -> None:
     """Requests of each route, one at a time, on all servers in turn, which take ``works`` times the usual."""
     chance, now = random.Random(5), 0.0
@@ -221,7 +221,7 @@
     served(choice, {}, {"r": 50.0})
     now = choice.clock + 1.0
     for busy, idle in (("s0", "s1"), ("s1", "s0")):
-        choice.take_in_flight(now, "m1", {"life": 1, "count": now, "in_flight": {busy: 2}})
+        choice.apply_in_flight(now, "m1", {"life": 1, "count": now, "in_flight": {busy: 2}})
         picked = choice.pick(now, "t", "r", 1_000.0)
         assert picked is not None and picked.id == idle
         now += 1.0
