--- a/benchmarks/ability.py
+++ b/benchmarks/ability.py
@@ -22,7 +22,7 @@
 
 from attrs import evolve
 
-from larklb.admission.choice import Choice, Place
+from larklb.admission.choice import ServerSelector, ServerState
 from larklb.balancing.choice import AbleChoice
 from larklb.lab.emulator import play
 from larklb.lab.emulator_deployment import Deployment, Trouble, flags, shop
@@ -53,7 +53,8 @@
         return
 
 
-CHOICES: dict[str, type[Choice]] = {**RIVALS, "able, alone": Alone, "able, sums": Sums, "able": AbleChoice}
+CHOICES: dict[str, type[ServerSelector]] = {
+    **RIVALS, "able, alone": Alone, "able, sums": Sums, "able": AbleChoice}
 MAKERS: dict[str, Callable[..., Deployment]] = {"A": shop, "B": flags}
 
 
@@ -80,7 +81,7 @@
     d = MAKERS[deployment](load=load)
     d, cls = evolve(d, troubles=troubles(trouble, d)), CHOICES[who]
 
-    def make(number: int, zone: str, regions: dict[str, str], chance: int) -> Choice:
+    def make(number: int, zone: str, regions: dict[str, str], chance: int) -> ServerSelector:
         return cls(zone, regions, chance)
     return play(d, make, seed)
 
@@ -100,7 +101,7 @@
     """Processor time of one choice among SERVERS, with what goes with it, in µs: the least of some runs."""
     choice, rng = AbleChoice("a", dict.fromkeys("abc", "region"), 1), random.Random(2)
     choice.peers("m0", [(f"m{i}", "abc"[i % 3]) for i in range(14)])
-    choice.update([Place(f"s{i}", "live", "", "abc"[i % 3], 2) for i in range(SERVERS)])
+    choice.update([ServerState(f"s{i}", "live", "", "abc"[i % 3], 2) for i in range(SERVERS)])
     best, now = float("inf"), 0.0
     for _ in range(5):
         spent = 0.0
@@ -110,9 +111,9 @@
             place = choice.pick(now, "live", "lookup", 400.0)
             spent += time.process_time() - began
             if place is not None:
-                choice.began(place)
-                choice.answered(now + 1.0, place, "lookup", rng.lognormvariate(4.5, 0.8), True)
-                choice.told(now + 1.0, place, rng.randrange(3), 0)
+                choice.record_start(place)
+                choice.record_answer(now + 1.0, place, "lookup", rng.lognormvariate(4.5, 0.8), True)
+                choice.record_load(now + 1.0, place, rng.randrange(3), 0)
         best = min(best, spent * 1_000.0)
     return best
 
--- a/benchmarks/callers.py
+++ b/benchmarks/callers.py
@@ -20,7 +20,7 @@
 
 from xxhash import xxh3_64_intdigest
 
-from larklb.admission.choice import Choice, Place
+from larklb.admission.choice import ServerSelector, ServerState
 from larklb.assignment import ring
 from larklb.assignment.assignment import Assignment, caller_key
 
@@ -301,11 +301,11 @@
 
 def before(number: int, count: int) -> str:
     """A line on the choice as it was: by expected time, without callers."""
-    places = [Place(s, "s", "127.0.0.1:1", "z", int(WEIGHT)) for s in fleet(number)]
-    choice, dice = Choice("z", {"z": "r"}, 5), random.Random(5)
+    places = [ServerState(s, "s", "127.0.0.1:1", "z", int(WEIGHT)) for s in fleet(number)]
+    choice, dice = ServerSelector("z", {"z": "r"}, 5), random.Random(5)
     choice.update(places)
     for place in places:
-        place.out = dice.choice([2, 3, 3, 3, 3])
+        place.in_flight = dice.choice([2, 3, 3, 3, 3])
     began, at = time.perf_counter(), dict[int, str]()
     for caller in range(count):
         found = choice.pick(0.0, "s", "r", 600.0)
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -37,7 +37,7 @@
 from attrs import define, evolve, field
 
 from benchmarks.load import machine
-from larklb.admission.choice import Choice, Place
+from larklb.admission.choice import ServerSelector, ServerState
 from larklb.admission.quota_records import Allowance, Ask
 from larklb.admission.quotas import Quotas
 from larklb.consensus.interface import Answer, Call, Ready
@@ -179,7 +179,7 @@
             rng=self.random,
         )
         self.follower.seeds = [n for n in fabric.seeds if n != node]
-        quotas = Quotas(node, fabric.now, 1, settled=True)
+        quotas = Quotas(node, fabric.now, 1, first_start=True)
         self.quota_exchange = QuotaExchange(quotas, self.wheel, self.transport.post, self.count)
         self.near = NearExchange(self.choice, self.transport.post)
         if disk:
@@ -597,14 +597,14 @@
     add("memory of a follower", "MB", held(refill) / 1e6)
     add("a whole table on the wire", "KB", sum(map(len, lines)) / 1e3)
     add("CPU of a limiter to take a whole table", "ms", spent(refill) * 1e3)
-    choice = Choice("a", dict.fromkeys(ZONES, "r"), 1)
+    choice = ServerSelector("a", dict.fromkeys(ZONES, "r"), 1)
 
-    def places() -> list[Place]:
-        return [Place(s.id, s.target, s.address, s.zone, s.slots, draining=False, silent=s.silent)
+    def places() -> list[ServerState]:
+        return [ServerState(s.id, s.target, s.address, s.zone, s.slots, draining=False, silent=s.silent)
                 for s in follower.servers.values()]
 
-    def chosen() -> Choice:
-        kept = Choice("a", {}, 1)
+    def chosen() -> ServerSelector:
+        kept = ServerSelector("a", {}, 1)
         kept.update(places())
         return kept
 
@@ -683,11 +683,11 @@
     owner = next(iter(owners.values()))
     mine = next(t for t, o in owners.items() if o == owner)
     allowance = Allowance(mine, 1e6, 1e6)
-    asker = Quotas("n", 0.0, 1, settled=True)
-    holder = Quotas("o", 0.0, 2, settled=True)
+    asker = Quotas("n", 0.0, 1, first_start=True)
+    holder = Quotas("o", 0.0, 2, first_start=True)
     me = next(i for i in ring if i != owner)
-    asker.members(0.0, numbers, me)
-    holder.members(0.0, numbers, owner)
+    asker.set_limiters(0.0, numbers, me)
+    holder.set_limiters(0.0, numbers, owner)
     sizes: list[int] = []
     clock = itertools.count()
 
@@ -699,11 +699,11 @@
         question = QuotaMessage(message=asked.message)
         there = messages.encode(messages.addressed(question, "n00009", "10.128.0.9"))
         first = time.process_time()
-        answer = holder.asked(now, me, decoded(there, QuotaMessage).message)
+        answer = holder.handle_request(now, me, decoded(there, QuotaMessage).message)
         assert answer is not None
         back = messages.encode(messages.addressed(QuotaMessage(message=answer), "n00009", "10.128.0.9"))
         second = time.process_time()
-        asker.told(now, decoded(back, QuotaMessage).message)
+        asker.handle_reply(now, decoded(back, QuotaMessage).message)
         sizes.append(len(there) + len(back))
         asks.append(time.process_time() - second + first - began)
         owned.append(second - first)
@@ -717,21 +717,21 @@
     add("bytes of an ask and its verdict", "B", statistics.median(sizes))
     without = {i: n for i, n in numbers.items() if i != limiters - 1}
     # A bucket that is made soon after such a change may have another owner: everybody is asked to agree.
-    fresh = Quotas("f", 0.0, 3, settled=True)
-    fresh.members(0.0, numbers, 0)
-    fresh.members(10.0, without, 0)
+    fresh = Quotas("f", 0.0, 3, first_start=True)
+    fresh.set_limiters(0.0, numbers, 0)
+    fresh.set_limiters(10.0, without, 0)
     ring = sorted(without)
     tenant = next(t for t in (f"o{i}" for i in itertools.count()) if ring_owner(ring_digest(t), ring) == 0)
     fresh.request(20.0, Allowance(tenant, 10.0, 10.0))
     add("hellos of one owner after a change of the ring", "words", sum(
-        message["k"] == "hello" for _, message in fresh.notes(100.0)))
+        message["k"] == "hello" for _, message in fresh.pending_messages(100.0)))
 
     def askers() -> Quotas:
-        full = Quotas("o", 0.0, 2, settled=True)
-        full.members(0.0, numbers, owner)
+        full = Quotas("o", 0.0, 2, first_start=True)
+        full.set_limiters(0.0, numbers, owner)
         for number in ring:
             if number != owner:
-                full.asked(1.0, number, {"k": "ask", "n": 1, "t": mine, "r": 10.0, "b": 10.0, "v": 1,
+                full.handle_request(1.0, number, {"k": "ask", "n": 1, "t": mine, "r": 10.0, "b": 10.0, "v": 1,
                                          "life": 1, "spent": 0, "heard": 0})
         return full
 
@@ -740,8 +740,8 @@
 
 def picks(found: Found, servers: int) -> None:
     """The choice of a server among so many of one service."""
-    choice = Choice("a", dict.fromkeys(ZONES, "r"), 1)
-    choice.update(Place(s.id, "svc", s.address, s.zone, 4) for s in servers_of(servers, ZONES))
+    choice = ServerSelector("a", dict.fromkeys(ZONES, "r"), 1)
+    choice.update(ServerState(s.id, "svc", s.address, s.zone, 4) for s in servers_of(servers, ZONES))
     found.add("request: CPU to choose a server", "us", "server of it", servers,
               spent(lambda: choice.pick(1.0, "svc", "r", 400.0)) * 1e6, SERVERS / SERVICES)
 
--- a/larklb/admission/budget.py
+++ b/larklb/admission/budget.py
@@ -51,7 +51,7 @@
             self.slot = slot
 
 
-class Budget:
+class RetryBudget:
     """Further tries by service; ``ratio`` per request, ``slack`` in tries, ``share`` the limiters that
     divide it; ``node`` tells whose turn it is where there isn't a whole try of slack for each."""
 
@@ -63,30 +63,30 @@
         share: Callable[[], int] | int,
         now: float,
         *,
-        settled: bool,
+        first_start: bool,
         node: str = "",
     ) -> None:
         self._ratio, self._window, self._slack, self._node = ratio, window_ms, slack, node
         self._limiters: Callable[[], int] = (lambda: share) if isinstance(share, int) else share
-        self._slack_from = now if settled else now + window_ms
+        self._slack_from = now if first_start else now + window_ms
         self._most: tuple[int, float] = (1, -math.inf)
         self._services: dict[str, _Counts] = {}
 
-    def first(self, now: float, service: str) -> None:
+    def record_request(self, now: float, service: str) -> None:
         """A request for the service has come, whether or not it will be sent."""
         self._counts(now, service).firsts[-1] += 1
 
-    def may_repeat(self, now: float, service: str) -> bool:
+    def take_retry(self, now: float, service: str) -> bool:
         """Take one further try; when False none was taken and none may be sent."""
         counts = self._counts(now, service)
-        if not self._room(now, counts):
+        if not self._within_budget(now, counts):
             return False
         counts.repeats[-1] += 1
         return True
 
-    def peek(self, now: float, service: str) -> bool:
+    def can_retry(self, now: float, service: str) -> bool:
         """Whether ``may_repeat`` would say yes; takes nothing."""
-        return self._room(now, self._counts(now, service))
+        return self._within_budget(now, self._counts(now, service))
 
     def _counts(self, now: float, service: str) -> _Counts:
         slot = int(now * SLOTS // self._window)
@@ -101,7 +101,7 @@
         counts.advance(slot)
         return counts
 
-    def _room(self, now: float, counts: _Counts) -> bool:
+    def _within_budget(self, now: float, counts: _Counts) -> bool:
         sums = [0, *accumulate(counts.firsts)]
         slack, repeats, last = self._part(now), 1, _KEPT
         for start in range(_KEPT - 1, _KEPT - 2 - SLOTS, -1):  # the slot in which the window begins
--- a/larklb/admission/cancellation.py
+++ b/larklb/admission/cancellation.py
@@ -32,25 +32,25 @@
     """What becomes of the work. In each case no further attempt follows."""
 
     STOP = "stop"  # nothing is out, and nothing will be sent
-    BREAK_OFF = "break_off"  # the connection to the server is closed: it may drop the work
+    ABORT = "break_off"  # the connection to the server is closed: it may drop the work
     FINISH = "finish"  # the attempt goes on to its end
 
 
-OUT_OF_TIME = frozenset({Cause.DEADLINE, Cause.ROUTE_TIMEOUT})
+TIMEOUT_CAUSES = frozenset({Cause.DEADLINE, Cause.ROUTE_TIMEOUT})
 
 # An unsafe request that was sent goes on without its client: it may run only once, and broken off it could be
 # neither counted on nor sent again. Its server stops by itself at the time left that it was told.
 _SENT: dict[Cause, tuple[Action, Action]] = {
     #                      safe              unsafe
-    Cause.CLIENT_GONE: (Action.BREAK_OFF, Action.FINISH),
-    Cause.DEADLINE: (Action.BREAK_OFF, Action.BREAK_OFF),
-    Cause.ROUTE_TIMEOUT: (Action.BREAK_OFF, Action.BREAK_OFF),
-    Cause.OTHER_ANSWERED: (Action.BREAK_OFF, Action.FINISH),
-    Cause.SHUTDOWN: (Action.BREAK_OFF, Action.BREAK_OFF),
+    Cause.CLIENT_GONE: (Action.ABORT, Action.FINISH),
+    Cause.DEADLINE: (Action.ABORT, Action.ABORT),
+    Cause.ROUTE_TIMEOUT: (Action.ABORT, Action.ABORT),
+    Cause.OTHER_ANSWERED: (Action.ABORT, Action.FINISH),
+    Cause.SHUTDOWN: (Action.ABORT, Action.ABORT),
 }
 
 
-def action(cause: Cause, phase: Phase, *, safe: bool) -> Action:
+def action_for(cause: Cause, phase: Phase, *, safe: bool) -> Action:
     """What ``cause`` does to a request, or to one attempt of it, in ``phase``."""
     if phase is not Phase.WAITING:
         return Action.STOP
--- a/larklb/admission/errors.py
+++ b/larklb/admission/errors.py
@@ -7,5 +7,5 @@
     """The base of all errors of the package."""
 
 
-class UnreadableError(AdmissionError):
+class InvalidMessageError(AdmissionError):
     """A word of another limiter that makes no sense."""
--- a/larklb/admission/quota_records.py
+++ b/larklb/admission/quota_records.py
@@ -13,18 +13,18 @@
 FIRST_TIMEOUT_MS = 60.0  # before a round trip has been seen
 MIN_TIMEOUT_MS = 25.0  # quick peers still stall for a garbage collection or a busy processor
 MAX_TIMEOUT_MS = 120.0  # a request is held for it
-GRANT_MS = 110_000.0  # how long a slice holds without a word of the owner ...
-NOTE_MS = 500.0  # ... and again, at first after this long and then twice as long
+SLICE_VALID_MS = 110_000.0  # how long a slice holds without a word of the owner ...
+RELEASE_BACKOFF_MS = 500.0  # ... and again, at first after this long and then twice as long
 SILENCE_GAPS = 4.0  # mean gaps between an asker's asks that count as silence: 2% of gaps are longer
 SILENCE_MIN_MS = 200.0  # a lost ask and its time-out aren't silence
 SILENCE_MAX_MS = 2000.0  # longer than an idle asker takes to give back
-HELLO_MS = 200.0  # between words to a limiter that hasn't agreed to the ring, and then twice as long
-UNKNOWN_PART = 0.1  # of its slice of the rate, for a limiter that holds none
-SLACK_PART = 0.75  # of the rule's slack is for slices; the rest for what is seen late
+HELLO_BACKOFF_MS = 200.0  # between words to a limiter that hasn't agreed to the ring, and then twice as long
+NO_COPY_RATE_FRACTION = 0.1  # of its slice of the rate, for a limiter that holds none
+SLACK_FRACTION = 0.75  # of the rule's slack is for slices; the rest for what is seen late
 
 
 @define(frozen=True)
-class Bound:
+class OvershootBound:
     """What the rule lets in beyond a quota: in any ``window_s`` this part of it, and ``slack``."""
 
     window_s: float = 5.0
@@ -47,7 +47,7 @@
 
     allowed: bool
     retry_after_ms: float
-    by: str
+    decided_by: str
 
 
 @define
@@ -57,7 +57,7 @@
     number: int
     owner: int
     message: dict[str, Any]
-    give_up_at: float
+    deadline: float
 
 
 @define
@@ -66,8 +66,8 @@
 
     allowance: Allowance
     owner: int
-    sent: float
-    given_up: bool = False
+    sent_at: float
+    timed_out: bool = False
 
 
 @define
@@ -77,31 +77,31 @@
     rate: float
     burst: float
     tokens: float
-    at: float
-    used: float  # last request
-    rule: Bound
-    copied: float = -math.inf  # when the copy was asked for
-    number: int = -1  # of the ask that brought it
+    updated_at: float
+    last_used_at: float  # last request
+    bound: OvershootBound
+    copied_at: float = -math.inf  # when the copy was asked for
+    ask_number: int = -1  # of the ask that brought it
     owner: int = -1  # whose copy it is
     spent: int = 0  # let in without the owner, in this life ...
-    heard: int = 0  # ... of which an owner has heard
-    note_at: float = -math.inf
-    note_gap: float = NOTE_MS
+    acknowledged: int = 0  # ... of which an owner has heard
+    next_release_at: float = -math.inf
+    release_backoff_ms: float = RELEASE_BACKOFF_MS
 
-    def most(self, limiters: int) -> float:
+    def capacity(self, limiters: int) -> float:
         """The tokens it holds: a copy may be of just before the owner's burst was spent."""
-        rule = self.rule
-        spare = rule.overshoot * (rule.window_s * self.rate + self.burst) + rule.slack * SLACK_PART
+        bound = self.bound
+        spare = bound.overshoot * (bound.window_s * self.rate + self.burst) + bound.slack * SLACK_FRACTION
         # A token must fit in, or a small tenant would get nothing.
         return max(1.0, min(self.burst, spare) / limiters)
 
     def fill(self, now: float, limiters: int) -> float:
         """Tokens at ``now``; returns the rate a second that it fills at."""
-        held = now - self.copied <= GRANT_MS
-        rate = self.rate / limiters * (1.0 if held else UNKNOWN_PART)
-        gain = max(0.0, now - self.at) * rate / 1000.0
-        self.tokens = min(self.most(limiters), self.tokens + gain)
-        self.at = max(self.at, now)
+        held = now - self.copied_at <= SLICE_VALID_MS
+        rate = self.rate / limiters * (1.0 if held else NO_COPY_RATE_FRACTION)
+        gain = max(0.0, now - self.updated_at) * rate / 1000.0
+        self.tokens = min(self.capacity(limiters), self.tokens + gain)
+        self.updated_at = max(self.updated_at, now)
         return rate
 
 
@@ -109,17 +109,17 @@
 class Asker:
     """One that asks the owner for a tenant: its slice, and what of it is set aside."""
 
-    heard: float
-    life: int
+    last_heard_at: float
+    incarnation: int
     spent: int  # what it last told
-    gap: float
-    left: float = 0.0  # what it was told last
-    apart: bool = False
-    aside: float = 0.0  # at ``heard``, while apart
+    mean_gap_ms: float
+    tokens_reported: float = 0.0  # what it was told last
+    reserved: bool = False
+    reserved_tokens: float = 0.0  # at ``heard``, while apart
 
-    def silence(self) -> float:
+    def silence_timeout(self) -> float:
         """Ms without an ask after which it counts as silent."""
-        return min(SILENCE_MAX_MS, max(SILENCE_MIN_MS, SILENCE_GAPS * self.gap))
+        return min(SILENCE_MAX_MS, max(SILENCE_MIN_MS, SILENCE_GAPS * self.mean_gap_ms))
 
 
 @define
@@ -127,12 +127,12 @@
     """A tenant's bucket at its owner, with the slices of those that ask for it."""
 
     bucket: TokenBucket
-    used: float
-    moved: bool  # made where another owner may have been: some may still ask it
-    lost: bool = False  # another is the owner now
+    last_used_at: float
+    recently_moved: bool  # made where another owner may have been: some may still ask it
+    ownership_lost: bool = False  # another is the owner now
     askers: dict[int, Asker] = field(factory=dict)
-    check_at: float = -math.inf  # no asker turns silent, and no part changes, before
-    apart: int = 0
+    next_check_at: float = -math.inf  # no asker turns silent, and no part changes, before
+    reserved_slices: int = 0
 
 
 @define
@@ -140,23 +140,23 @@
     """Round trips to an owner, RFC 6298 in milliseconds."""
 
     breaker: CircuitBreaker = field(factory=CircuitBreaker)
-    mean: float = 0.0
-    spread: float = -1.0  # below 0: none seen yet
-    used: float = -math.inf
-    agreed: bool = False  # it has this one's ring, and knows that this one is there
-    hello_at: float = -math.inf
-    hello_gap: float = HELLO_MS
-
-    def seen(self, trip: float) -> None:
+    srtt: float = 0.0
+    rttvar: float = -1.0  # below 0: none seen yet
+    last_used_at: float = -math.inf
+    ring_agreed: bool = False  # it has this one's ring, and knows that this one is there
+    next_hello_at: float = -math.inf
+    hello_backoff_ms: float = HELLO_BACKOFF_MS
+
+    def record_round_trip(self, trip: float) -> None:
         """One round trip took ``trip`` ms."""
-        if self.spread < 0:
-            self.mean, self.spread = trip, trip / 2.0
+        if self.rttvar < 0:
+            self.srtt, self.rttvar = trip, trip / 2.0
         else:
-            self.spread += 0.25 * (abs(self.mean - trip) - self.spread)
-            self.mean += 0.125 * (trip - self.mean)
+            self.rttvar += 0.25 * (abs(self.srtt - trip) - self.rttvar)
+            self.srtt += 0.125 * (trip - self.srtt)
 
     def timeout(self) -> float:
         """Ms after which an ask counts as unanswered."""
-        if self.spread < 0:
+        if self.rttvar < 0:
             return FIRST_TIMEOUT_MS
-        return min(MAX_TIMEOUT_MS, max(MIN_TIMEOUT_MS, self.mean + 4.0 * self.spread))
+        return min(MAX_TIMEOUT_MS, max(MIN_TIMEOUT_MS, self.srtt + 4.0 * self.rttvar))
--- a/larklb/admission/quotas.py
+++ b/larklb/admission/quotas.py
@@ -27,19 +27,19 @@
 from collections.abc import Iterable, Mapping, Sequence
 from typing import Any, Final, TypeVar
 
-from larklb.admission.errors import UnreadableError
-from larklb.admission.quota_messages import BIG, read_number, read_text, read_whole
+from larklb.admission.errors import InvalidMessageError
+from larklb.admission.quota_messages import MAX_NUMBER, read_integer, read_number, read_text
 from larklb.admission.quota_records import (
-    GRANT_MS,
-    HELLO_MS,
+    HELLO_BACKOFF_MS,
     MAX_TIMEOUT_MS,
-    NOTE_MS,
+    RELEASE_BACKOFF_MS,
     SILENCE_MAX_MS,
     SILENCE_MIN_MS,
+    SLICE_VALID_MS,
     Allowance,
     Ask,
     Asker,
-    Bound,
+    OvershootBound,
     OwnedBucket,
     OwnerPeer,
     PendingAsk,
@@ -63,7 +63,7 @@
 GAP_WEIGHT = 0.125  # of the last gap in the mean
 MOVED_MS = 3000.0  # after a change of the ring, new buckets may be those of other owners ...
 RESTARTED_MS = 10_000.0  # ... as may those of a process that restarted
-MOVED_PART = 0.25  # of the burst: such a bucket starts with no more
+MOVED_BURST_FRACTION = 0.25  # of the burst: such a bucket starts with no more
 LOWER_MS = 1000.0  # for so long later asks may lower a new bucket, by what they know to be spent
 HELLO_MAX_MS = 4000.0
 UNKNOWN_TOKENS = 10.0  # that all such limiters have together at first
@@ -87,13 +87,13 @@
     """
 
     def __init__(
-        self, node: str, now: float, seed: int, *, settled: bool, bound: Bound | None = None
+        self, node: str, now: float, seed: int, *, first_start: bool, bound: OvershootBound | None = None
     ) -> None:
         self._chance = random.Random(seed)
-        self._bound = bound or Bound()
+        self._bound = bound or OvershootBound()
         self._life = digest(f"{node} {seed} {now}") >> 16  # fits every reader's integers
         self._node = node
-        self._unsure_until = -math.inf if settled else now + RESTARTED_MS
+        self._unsure_until = -math.inf if first_start else now + RESTARTED_MS
         self._moved_at = -math.inf
         self._me: int | None = None
         self._live: dict[int, str] = {}
@@ -109,7 +109,7 @@
         self._version = 0
         self._table: dict[str, Allowance] = {}
 
-    def members(self, now: float, numbers: dict[int, str], me: int | None) -> None:
+    def set_limiters(self, now: float, numbers: dict[int, str], me: int | None) -> None:
         """Ring numbers of the live limiters and their nodes; ``me``: this one's, None before it has one."""
         ring = sorted(numbers)
         if self._ring and ring != self._ring:
@@ -126,14 +126,18 @@
         if changed:
             self._owners.clear()
             for peer in self._peers.values():
-                peer.agreed, peer.hello_at, peer.hello_gap = False, -math.inf, HELLO_MS
+                peer.ring_agreed, peer.next_hello_at, peer.hello_backoff_ms = (
+                    False,
+                    -math.inf,
+                    HELLO_BACKOFF_MS,
+                )
             for tenant, owned in self._owned.items():
-                owned.check_at = -math.inf
-                if not owned.lost and self._owner(tenant) != me:
-                    owned.lost = True
+                owned.next_check_at = -math.inf
+                if not owned.ownership_lost and self._owner(tenant) != me:
+                    owned.ownership_lost = True
                     self._keep_copy(now, tenant, owned)  # what an asker knows, this one knows better
 
-    def allowances(self, now: float, version: int, table: dict[str, Allowance]) -> None:
+    def set_allowances(self, now: float, version: int, table: dict[str, Allowance]) -> None:
         """The configuration in force here; an older one than known is ignored."""
         if version < self._version:
             return
@@ -157,7 +161,7 @@
             owned = self._own(now, allowance, self._version, None)
             return self._take(now, owned, OWNER)
         part = self._slice(now, allowance)
-        part.used = now
+        part.last_used_at = now
         if owner is None or self._waiting >= ASKS_OUT:
             return self._alone(now, part)
         peer = self._peer(now, owner)
@@ -175,74 +179,79 @@
             "v": self._version,
             "life": self._life,
             "spent": part.spent,
-            "heard": part.heard,
+            "heard": part.acknowledged,
         }
-        age = now - part.copied
-        if age <= GRANT_MS:
+        age = now - part.copied_at
+        if age <= SLICE_VALID_MS:
             part.fill(now, self._limiters())
             message |= {"left": min(part.burst, part.tokens * self._limiters()), "age": age, "of": part.owner}
         return Ask(self._number, owner, message, now + peer.timeout())
 
-    def asked(self, now: float, sender: int, message: dict[str, Any]) -> dict[str, Any] | None:
+    def handle_request(self, now: float, sender: int, message: dict[str, Any]) -> dict[str, Any] | None:
         """An ask, or a slice given back, from the limiter ``sender``; the answer, None if unreadable."""
         try:
             return self._answer(now, sender, message)
-        except UnreadableError:
+        except InvalidMessageError:
             return None
 
-    def told(self, now: float, message: dict[str, Any]) -> tuple[int, Verdict] | None:
+    def handle_reply(self, now: float, message: dict[str, Any]) -> tuple[int, Verdict] | None:
         """An answer: the ask's number and its verdict; None when it is unknown, unreadable or too late."""
         try:
-            kind, number = message.get("k"), read_whole(message, "n")
+            kind, number = message.get("k"), read_integer(message, "n")
             if kind == "backed":
                 self._given_back(read_text(message, "t"), number)
                 return None
             if kind == "hi":
-                if read_whole(message, "ring") == self._ring_digest() and number in self._live:
+                if read_integer(message, "ring") == self._ring_digest() and number in self._live:
                     self._agree(now, number)
                 return None
             if kind != "verdict":
-                raise UnreadableError("no answer")
+                raise InvalidMessageError("no answer")
             ok, left, wait = (
                 message.get("ok"),
-                read_number(message, "left", -BIG),
+                read_number(message, "left", -MAX_NUMBER),
                 read_number(message, "wait"),
             )
-            spent = read_whole(message, "spent")
+            spent = read_integer(message, "spent")
             if not isinstance(ok, bool):
-                raise UnreadableError("ok")
-        except UnreadableError:
+                raise InvalidMessageError("ok")
+        except InvalidMessageError:
             return None
         out = self._out.pop(number, None)
         if out is None:
             return None
         self._peer(now, out.owner).breaker = CircuitBreaker()  # any word drops it
-        self._peers[out.owner].seen(now - out.sent)
+        self._peers[out.owner].record_round_trip(now - out.sent_at)
         part = self._slice(now, out.allowance)
-        part.heard = max(part.heard, min(spent, part.spent))
-        if number > part.number:
+        part.acknowledged = max(part.acknowledged, min(spent, part.spent))
+        if number > part.ask_number:
             # What has been let in here since that ask is not in the owner's figure yet.
             count = self._limiters()
             mine = max(0.0, left) / count - (part.spent - min(spent, part.spent))
-            part.tokens, part.at = max(0.0, min(part.most(count), mine)), now
-            part.copied, part.number, part.owner, part.note_at = out.sent, number, out.owner, -math.inf
-            part.note_gap = NOTE_MS
-        if out.given_up:
+            part.tokens, part.updated_at = max(0.0, min(part.capacity(count), mine)), now
+            part.copied_at, part.ask_number, part.owner, part.next_release_at = (
+                out.sent_at,
+                number,
+                out.owner,
+                -math.inf,
+            )
+            part.release_backoff_ms = RELEASE_BACKOFF_MS
+        if out.timed_out:
             return None
         self._waiting -= 1
         return number, Verdict(ok, 0.0 if ok else max(1.0, wait), ASKED)
 
-    def given_up(self, now: float, number: int) -> Verdict:
+    def handle_timeout(self, now: float, number: int) -> Verdict:
         """No answer in time: the slice decides.  An unknown number is refused."""
         out = self._out.get(number)
-        if out is None or out.given_up:
+        if out is None or out.timed_out:
             return Verdict(False, MAX_TIMEOUT_MS, SLICE)
-        out.given_up = True
+        out.timed_out = True
         self._waiting -= 1
         self._peer(now, out.owner).breaker.failed(now, self._chance.random())
         return self._alone(now, self._slice(now, out.allowance))
 
-    def notes(self, now: float) -> list[tuple[int, dict[str, Any]]]:
+    def pending_messages(self, now: float) -> list[tuple[int, dict[str, Any]]]:
         """Words (ring number, message) that give unused slices back, and those of a new owner; to be sent a
         few times a second, the answers go to ``told``.
 
@@ -250,59 +259,75 @@
         aside, and tenants near their rate are refused.
         """
         notes: list[tuple[int, dict[str, Any]]] = []
-        if any(owned.moved and not owned.lost for owned in self._owned.values()):
+        if any(owned.recently_moved and not owned.ownership_lost for owned in self._owned.values()):
             ring = self._ring_digest()
             for number in self._ring:
-                if number == self._me or (peer := self._peer(now, number)).agreed or now < peer.hello_at:
+                if (
+                    number == self._me
+                    or (peer := self._peer(now, number)).ring_agreed
+                    or now < peer.next_hello_at
+                ):
                     continue
-                peer.hello_at, peer.hello_gap = now + peer.hello_gap, min(HELLO_MAX_MS, 2.0 * peer.hello_gap)
+                peer.next_hello_at, peer.hello_backoff_ms = (
+                    now + peer.hello_backoff_ms,
+                    min(HELLO_MAX_MS, 2.0 * peer.hello_backoff_ms),
+                )
                 notes.append((number, {"k": "hello", "ring": ring}))
         for tenant, part in self._slices.items():
             if len(notes) >= NOTES:
                 break
-            if part.number < 0 or now - part.used < IDLE_MS or now < part.note_at:
+            if part.ask_number < 0 or now - part.last_used_at < IDLE_MS or now < part.next_release_at:
                 continue
-            if now - part.copied > GRANT_MS or part.owner == self._me or part.owner not in self._live:
+            if (
+                now - part.copied_at > SLICE_VALID_MS
+                or part.owner == self._me
+                or part.owner not in self._live
+            ):
                 continue
-            part.note_at, part.note_gap = now + part.note_gap, min(NOTE_MAX_MS, 2.0 * part.note_gap)
+            part.next_release_at, part.release_backoff_ms = (
+                now + part.release_backoff_ms,
+                min(NOTE_MAX_MS, 2.0 * part.release_backoff_ms),
+            )
             notes.append(
                 (
                     part.owner,
                     {
                         "k": "back",
-                        "n": part.number,
+                        "n": part.ask_number,
                         "t": tenant,
                         "life": self._life,
                         "spent": part.spent,
-                        "heard": part.heard,
+                        "heard": part.acknowledged,
                     },
                 )
             )
         return notes
 
-    def clean(self, now: float) -> None:
+    def expire(self, now: float) -> None:
         """Forget what tells nothing any more: idle buckets, old slices, answers that won't come."""
-        for number in [n for n, out in self._out.items() if now - out.sent > LATE_MS + MAX_TIMEOUT_MS]:
-            if not self._out.pop(number).given_up:
+        for number in [n for n, out in self._out.items() if now - out.sent_at > LATE_MS + MAX_TIMEOUT_MS]:
+            if not self._out.pop(number).timed_out:
                 self._waiting -= 1
         before = len(self._gone)
         self._gone = {n: at for n, at in self._gone.items() if now - at <= APART_MS}
         for tenant, owned in list(self._owned.items()):
             if len(self._gone) != before:
-                owned.check_at = -math.inf
-            idle = now - owned.used
+                owned.next_check_at = -math.inf
+            idle = now - owned.last_used_at
             if self._owner(tenant) != self._me and idle > MOVED_MS:
                 del self._owned[tenant]
-            elif idle > RESTARTED_MS and not any(asker.apart for asker in owned.askers.values()):
+            elif idle > RESTARTED_MS and not any(asker.reserved for asker in owned.askers.values()):
                 self._check(now, owned)
                 if owned.bucket.fill(now) >= owned.bucket.burst * owned.bucket.part - 1e-6:
                     del self._owned[tenant]  # a new one would be full as well
         for tenant, part in list(self._slices.items()):
-            held = part.number >= 0 and now - part.copied <= GRANT_MS
-            if not held and now - part.used > RESTARTED_MS + 1000.0 * part.burst / max(part.rate, 1e-6):
+            held = part.ask_number >= 0 and now - part.copied_at <= SLICE_VALID_MS
+            if not held and now - part.last_used_at > RESTARTED_MS + 1000.0 * part.burst / max(
+                part.rate, 1e-6
+            ):
                 del self._slices[tenant]
         for number, peer in list(self._peers.items()):
-            if number not in self._live and now - peer.used > APART_MS:
+            if number not in self._live and now - peer.last_used_at > APART_MS:
                 del self._peers[number]
 
     def rows(self, now: float, only: str | None = None) -> list[dict[str, Any]]:
@@ -318,7 +343,7 @@
                     "tokens": round(owned.bucket.tokens, 3),
                     "rate": owned.bucket.rate,
                     "burst": owned.bucket.burst,
-                    "apart": owned.apart,
+                    "apart": owned.reserved_slices,
                     "askers": len(owned.askers),
                 }
             )
@@ -332,7 +357,7 @@
                     "rate": part.rate,
                     "burst": part.burst,
                     "owner": self._owner(tenant),
-                    "untold": part.spent - part.heard,
+                    "untold": part.spent - part.acknowledged,
                 }
             )
         return rows
@@ -357,16 +382,16 @@
     def _agree(self, now: float, number: int) -> None:
         peer = self._peer(now, number)
         peer.breaker = CircuitBreaker()
-        if not peer.agreed:
-            peer.agreed = True
+        if not peer.ring_agreed:
+            peer.ring_agreed = True
             for owned in self._owned.values():
-                owned.check_at = -math.inf
+                owned.next_check_at = -math.inf
 
     def _peer(self, now: float, number: int) -> OwnerPeer:
         peer = self._peers.get(number)
         if peer is None:
             peer = self._peers[number] = OwnerPeer()
-        peer.used = now
+        peer.last_used_at = now
         return peer
 
     # -- as an asker
@@ -388,7 +413,7 @@
 
     def _alone(self, now: float, part: Slice) -> Verdict:
         rate = part.fill(now, self._limiters())
-        by = COPY if now - part.copied <= COPY_MS else SLICE
+        by = COPY if now - part.copied_at <= COPY_MS else SLICE
         if part.tokens < WHOLE:
             return Verdict(False, max(1.0, (1.0 - part.tokens) / max(rate, 1e-6) * 1000.0), by)
         part.tokens -= 1.0
@@ -397,8 +422,8 @@
 
     def _given_back(self, tenant: str, number: int) -> None:
         part = self._slices.get(tenant)
-        if part is not None and part.number == number:
-            part.number, part.copied = -1, -math.inf
+        if part is not None and part.ask_number == number:
+            part.ask_number, part.copied_at = -1, -math.inf
             part.tokens = min(part.tokens, UNKNOWN_TOKENS / self._limiters())
 
     def _keep_copy(self, now: float, tenant: str, owned: OwnedBucket) -> None:
@@ -406,8 +431,12 @@
         bucket = owned.bucket
         part = self._slice(now, Allowance(tenant, bucket.rate, bucket.burst))
         count = self._limiters()
-        part.tokens, part.at, part.copied = max(0.0, min(bucket.burst, bucket.tokens)) / count, now, now
-        part.number, part.owner = -1, -1
+        part.tokens, part.updated_at, part.copied_at = (
+            max(0.0, min(bucket.burst, bucket.tokens)) / count,
+            now,
+            now,
+        )
+        part.ask_number, part.owner = -1, -1
 
     # -- as an owner
 
@@ -416,17 +445,17 @@
         if sender in self._peers:
             self._peers[sender].breaker = CircuitBreaker()  # any word drops it
         if kind == "hello":
-            ring = read_whole(message, "ring")
+            ring = read_integer(message, "ring")
             return (
                 None
                 if self._me is None or not ring
                 else {"k": "hi", "n": self._me, "ring": self._ring_digest()}
             )
-        number, tenant = read_whole(message, "n"), read_text(message, "t")
+        number, tenant = read_integer(message, "n"), read_text(message, "t")
         life, spent, heard = (
-            read_whole(message, "life"),
-            read_whole(message, "spent"),
-            read_whole(message, "heard"),
+            read_integer(message, "life"),
+            read_integer(message, "spent"),
+            read_integer(message, "heard"),
         )
         if kind == "back":
             known = self._owned.get(tenant)
@@ -436,11 +465,11 @@
                 self._check(now, known, again=True)
             return {"k": "backed", "n": number, "t": tenant}
         if kind != "ask":
-            raise UnreadableError("no ask")
+            raise InvalidMessageError("no ask")
         allowance = Allowance(tenant, read_number(message, "r"), read_number(message, "b"))
-        version = read_whole(message, "v")
+        version = read_integer(message, "v")
         left = read_number(message, "left") if "left" in message else None
-        of = read_whole(message, "of", -1) if "of" in message else -1
+        of = read_integer(message, "of", -1) if "of" in message else -1
         mine = self._table.get(tenant)
         if mine is not None and self._version >= version:
             allowance, version = mine, self._version
@@ -454,7 +483,12 @@
                 "spent": spent,
             }
         owned = self._own(now, allowance, version, left)
-        if left is not None and owned.moved and now - owned.bucket.born <= LOWER_MS and of != self._me:
+        if (
+            left is not None
+            and owned.recently_moved
+            and now - owned.bucket.born <= LOWER_MS
+            and of != self._me
+        ):
             owned.bucket.fill(now)
             owned.bucket.tokens = min(owned.bucket.tokens, left)  # it knows of spending elsewhere
         held = None if left is None or of == self._me else left / self._limiters()
@@ -462,7 +496,7 @@
         verdict = self._take(now, owned, ASKED)
         tokens = owned.bucket.tokens
         if sender in owned.askers:
-            owned.askers[sender].left = tokens
+            owned.askers[sender].tokens_reported = tokens
         return {
             "k": "verdict",
             "n": number,
@@ -477,7 +511,7 @@
         owned = self._owned.get(allowance.tenant)
         if owned is None:
             moved = now < self._unsure_until or now - self._moved_at < MOVED_MS
-            tokens = allowance.burst * (MOVED_PART if moved else 1.0)
+            tokens = allowance.burst * (MOVED_BURST_FRACTION if moved else 1.0)
             tokens = min(tokens, self._own_copy(now, allowance.tenant))
             if left is not None:
                 tokens = min(tokens, left)
@@ -489,20 +523,25 @@
             owned = self._owned[allowance.tenant] = OwnedBucket(bucket, now, moved)
         elif version >= owned.bucket.version:
             self._figures(now, owned, allowance, version)
-        if owned.lost and self._owner(allowance.tenant) == self._me:
+        if owned.ownership_lost and self._owner(allowance.tenant) == self._me:
             # Another has spent from a bucket of its own in between.
-            owned.lost, owned.moved, owned.check_at, owned.bucket.born = False, True, -math.inf, now
+            owned.ownership_lost, owned.recently_moved, owned.next_check_at, owned.bucket.born = (
+                False,
+                True,
+                -math.inf,
+                now,
+            )
             owned.bucket.tokens = min(owned.bucket.fill(now), self._own_copy(now, allowance.tenant))
-        owned.used = now
+        owned.last_used_at = now
         return owned
 
     def _own_copy(self, now: float, tenant: str) -> float:
         """What is left by the copy from when this one was an asker, which it is no more."""
         mine = self._slices.get(tenant)
-        if mine is None or now - mine.copied > GRANT_MS:
+        if mine is None or now - mine.copied_at > SLICE_VALID_MS:
             return math.inf
         mine.fill(now, self._limiters())
-        mine.number, mine.copied = -1, -math.inf
+        mine.ask_number, mine.copied_at = -1, -math.inf
         return mine.tokens * self._limiters()
 
     def _figures(self, now: float, owned: OwnedBucket, allowance: Allowance, version: int) -> None:
@@ -525,7 +564,7 @@
         bucket = owned.bucket
         bucket.fill(now)
         bucket.escrow = 0.0  # what is set aside is counted by asker
-        if again or now >= owned.check_at:
+        if again or now >= owned.next_check_at:
             self._set_aside(now, owned)
         bucket.tokens = min(bucket.tokens, max(1.0, bucket.burst * bucket.part))
 
@@ -533,30 +572,32 @@
         bucket, count = owned.bucket, self._limiters()
         apart, check_at = set(self._gone), math.inf
         for number, asker in list(owned.askers.items()):
-            silent = now - asker.heard
+            silent = now - asker.last_heard_at
             if silent > APART_MS:
                 del owned.askers[number]
                 continue
-            if not asker.apart and silent > asker.silence():
-                asker.apart, asker.aside = True, max(0.0, asker.left) / count
-                late = asker.aside + silent * bucket.rate / count / 1000.0
+            if not asker.reserved and silent > asker.silence_timeout():
+                asker.reserved, asker.reserved_tokens = True, max(0.0, asker.tokens_reported) / count
+                late = asker.reserved_tokens + silent * bucket.rate / count / 1000.0
                 bucket.tokens = max(min(bucket.tokens, -bucket.burst), bucket.tokens - late)
-            if asker.apart:
+            if asker.reserved:
                 apart.add(number)
-            check_at = min(check_at, asker.heard + (APART_MS if asker.apart else asker.silence()))
-        if owned.moved:
+            check_at = min(
+                check_at, asker.last_heard_at + (APART_MS if asker.reserved else asker.silence_timeout())
+            )
+        if owned.recently_moved:
             missing = {
                 n
                 for n in self._ring
                 if n != self._me
                 and n not in owned.askers
-                and not ((peer := self._peers.get(n)) and peer.agreed)
+                and not ((peer := self._peers.get(n)) and peer.ring_agreed)
             }
             apart |= missing
-            owned.moved = bool(missing) or now - bucket.born <= LOWER_MS
+            owned.recently_moved = bool(missing) or now - bucket.born <= LOWER_MS
             check_at = min(check_at, now + SILENCE_MIN_MS)
-        owned.apart = len(apart)
-        bucket.part, owned.check_at = max(1.0 / count, 1.0 - len(apart) / count), check_at
+        owned.reserved_slices = len(apart)
+        bucket.part, owned.next_check_at = max(1.0 / count, 1.0 - len(apart) / count), check_at
 
     def _returned(
         self,
@@ -577,28 +618,28 @@
             if len(owned.askers) < ASKERS and sender in self._live and sender != self._me:
                 even = 1000.0 * count / bucket.rate if bucket.rate > 0 else FIRST_GAP_MS
                 owned.askers[sender] = Asker(now, life, spent, min(FIRST_GAP_MS, even))
-                owned.check_at = min(owned.check_at, now + SILENCE_MIN_MS)
-                if owned.moved:
+                owned.next_check_at = min(owned.next_check_at, now + SILENCE_MIN_MS)
+                if owned.recently_moved:
                     self._check(now, owned, again=True)
             # Of an unknown asker's words only the untold count; another owner had set its slice aside.
             return
-        told = max(asker.spent, heard) if life == asker.life else 0
+        told = max(asker.spent, heard) if life == asker.incarnation else 0
         untold = max(0, spent - told)
-        if asker.apart:
+        if asker.reserved:
             # Time apart fills its slice no further than its burst, but a short silence must cost nothing.
             per_ms = bucket.rate / count / 1000.0
-            aside = asker.aside + (now - asker.heard) * per_ms
+            aside = asker.reserved_tokens + (now - asker.last_heard_at) * per_ms
             most = bucket.burst / count + SILENCE_MAX_MS * per_ms
-            back = 0.0 if life != asker.life else min(aside - untold, most)
+            back = 0.0 if life != asker.incarnation else min(aside - untold, most)
             if held is not None:
                 back = min(back, held)
             bucket.tokens = min(bucket.burst, max(min(bucket.tokens, -bucket.burst), bucket.tokens + back))
         elif untold:
             bucket.tokens = max(min(bucket.tokens, -bucket.burst), bucket.tokens - untold)
-        if not asker.apart:
-            asker.gap += GAP_WEIGHT * (now - asker.heard - asker.gap)
-        was = asker.apart
-        asker.heard, asker.life, asker.spent, asker.apart = now, life, spent, False
+        if not asker.reserved:
+            asker.mean_gap_ms += GAP_WEIGHT * (now - asker.last_heard_at - asker.mean_gap_ms)
+        was = asker.reserved
+        asker.last_heard_at, asker.incarnation, asker.spent, asker.reserved = now, life, spent, False
         if was:
             self._check(now, owned, again=True)
 
--- a/larklb/admission/tries.py
+++ b/larklb/admission/tries.py
@@ -11,7 +11,7 @@
 from attrs import define
 
 
-class End(Enum):
+class AttemptOutcome(Enum):
     """How an attempt ended."""
 
     ANSWER = "answer"  # a whole answer of the server, to be passed on
@@ -19,61 +19,61 @@
     NOT_RUN = "not run"  # the server says that it has not run it
     UNSENT = "unsent"  # no byte of it was written
     BROKEN = "broken"  # written, and no whole answer came: it may have run
-    SILENT = "silent"  # the same, for want of time
+    TIMED_OUT = "silent"  # the same, for want of time
     ABANDONED = "abandoned"  # the same: it was broken off here, as nobody waits for it
 
 
-class Next(Enum):
+class NextStep(Enum):
     """What follows."""
 
-    PASS = "pass"  # the server's answer goes on
-    AGAIN = "again"  # another server, where tries, time and budget allow it; else ...
+    FORWARD = "pass"  # the server's answer goes on
+    RETRY = "again"  # another server, where tries, time and budget allow it; else ...
     REFUSE = "refuse"  # 503: it has not run
     FAIL = "fail"  # 502: it may have run
-    LATE = "late"  # 504: it may have run, and there is no time
+    TIME_OUT = "late"  # 504: it may have run, and there is no time
 
 
 #                 safe                        unsafe
-TABLE: dict[End, tuple[tuple[Next, Next], tuple[Next, Next]]] = {
-    End.ANSWER: ((Next.PASS, Next.PASS), (Next.PASS, Next.PASS)),
-    End.ERROR: ((Next.AGAIN, Next.PASS), (Next.PASS, Next.PASS)),
-    End.NOT_RUN: ((Next.AGAIN, Next.REFUSE), (Next.AGAIN, Next.REFUSE)),
-    End.UNSENT: ((Next.AGAIN, Next.REFUSE), (Next.AGAIN, Next.REFUSE)),
-    End.BROKEN: ((Next.AGAIN, Next.FAIL), (Next.FAIL, Next.FAIL)),
-    End.SILENT: ((Next.AGAIN, Next.LATE), (Next.LATE, Next.LATE)),
-    End.ABANDONED: ((Next.FAIL, Next.FAIL), (Next.FAIL, Next.FAIL)),
+NEXT_STEPS: dict[AttemptOutcome, tuple[tuple[NextStep, NextStep], tuple[NextStep, NextStep]]] = {
+    AttemptOutcome.ANSWER: ((NextStep.FORWARD, NextStep.FORWARD), (NextStep.FORWARD, NextStep.FORWARD)),
+    AttemptOutcome.ERROR: ((NextStep.RETRY, NextStep.FORWARD), (NextStep.FORWARD, NextStep.FORWARD)),
+    AttemptOutcome.NOT_RUN: ((NextStep.RETRY, NextStep.REFUSE), (NextStep.RETRY, NextStep.REFUSE)),
+    AttemptOutcome.UNSENT: ((NextStep.RETRY, NextStep.REFUSE), (NextStep.RETRY, NextStep.REFUSE)),
+    AttemptOutcome.BROKEN: ((NextStep.RETRY, NextStep.FAIL), (NextStep.FAIL, NextStep.FAIL)),
+    AttemptOutcome.TIMED_OUT: ((NextStep.RETRY, NextStep.TIME_OUT), (NextStep.TIME_OUT, NextStep.TIME_OUT)),
+    AttemptOutcome.ABANDONED: ((NextStep.FAIL, NextStep.FAIL), (NextStep.FAIL, NextStep.FAIL)),
 }
 
-MOST_UNSENT = 4  # attempts of one request that reach no server at all
+MAX_UNSENT_ATTEMPTS = 4  # attempts of one request that reach no server at all
 
 
 @define
-class Course:
+class AttemptHistory:
     """One request's attempts so far."""
 
     safe: bool
-    tries: int  # servers that it may be sent to
+    max_attempts: int  # servers that it may be sent to
     sent: int = 0
     unsent: int = 0
     may_have_run: bool = False
 
-    def after(self, end: End) -> tuple[Next, Next]:
+    def record_outcome(self, end: AttemptOutcome) -> tuple[NextStep, NextStep]:
         """What follows an attempt's end, and what where that can't be."""
-        if end is End.UNSENT:
+        if end is AttemptOutcome.UNSENT:
             self.unsent += 1
         else:
             self.sent += 1
-            if end is not End.NOT_RUN:
+            if end is not AttemptOutcome.NOT_RUN:
                 self.may_have_run = True
-        first, otherwise = TABLE[end][0 if self.safe else 1]
-        if first is Next.AGAIN and (self.sent >= self.tries or self.unsent >= MOST_UNSENT):
+        first, otherwise = NEXT_STEPS[end][0 if self.safe else 1]
+        if first is NextStep.RETRY and (self.sent >= self.max_attempts or self.unsent >= MAX_UNSENT_ATTEMPTS):
             first = otherwise
-        return self.honest(first), self.honest(otherwise)
+        return self.without_false_refusal(first), self.without_false_refusal(otherwise)
 
-    def honest(self, step: Next) -> Next:
+    def without_false_refusal(self, step: NextStep) -> NextStep:
         """A refusal promises that nothing has run, so what may have run fails instead."""
-        return Next.FAIL if step is Next.REFUSE and self.may_have_run else step
+        return NextStep.FAIL if step is NextStep.REFUSE and self.may_have_run else step
 
-    def costs(self) -> bool:
+    def needs_budget(self) -> bool:
         """Whether the next attempt is one of those that the budget pays for."""
         return self.sent > 0
--- a/larklb/balancing/choice.py
+++ b/larklb/balancing/choice.py
@@ -1,7 +1,7 @@
 """The choice of server by expected end of a request, from what each server is seen to handle.
 
-Takes the place of ``larklb.admission.choice.Choice``: the same calls, with the exchange between limiters
-besides.
+Takes the place of ``larklb.admission.choice.ServerSelector``: the same calls, with the exchange between
+limiters besides.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from attrs import define, field
 
 from larklb.admission import choice as admission
-from larklb.admission.choice import Choice, Place
+from larklb.admission.choice import ServerSelector, ServerState
 from larklb.balancing.estimates import Ability, Estimates, Sums
 from larklb.balancing.load import TRUST_LEAST, InFlight, Others, bearable, waiting
 from larklb.quota.ring import digest
@@ -47,7 +47,7 @@
 class Norm:
     """What is usual for a route at speed 1: mean and spread of the logarithm of the service time."""
 
-    mean: float = math.log(admission.USUAL_MS)
+    mean: float = math.log(admission.INITIAL_LATENCY_MS)
     variance: float = SPREAD_FIRST**2
     seen: int = 0
 
@@ -89,7 +89,7 @@
 
 
 @define
-class AbleChoice(Choice):
+class AbleChoice(ServerSelector):
     """All servers as one limiter sees them, with what the others tell."""
 
     me: str = ""
@@ -104,7 +104,7 @@
     aims: dict[str, float] = field(factory=dict)  # by target: the longest
     clock: float = 0.0
     route: str = ""
-    ended: tuple[Place, str, float] | None = None  # an answer whose load may yet be told
+    ended: tuple[ServerState, str, float] | None = None  # an answer whose load may yet be told
 
     # Who there is ---------------------------------------------------------------------------
 
@@ -114,26 +114,26 @@
         self.in_flight.keep({name for name, _ in names})
         self._divide()
 
-    def update(self, servers: Iterable[Place]) -> None:
+    def update(self, servers: Iterable[ServerState]) -> None:
         """Takes the servers that there are now; what was seen of those that stay is kept."""
-        silent = [name for name, place in self.of.items() if place.silent]
-        Choice.update(self, servers)
+        silent = [name for name, place in self.servers.items() if place.silent]
+        ServerSelector.update(self, servers)
         since = self.clock if self.seen else -math.inf
         self.seen = {
             name: self.seen.get(name) or Seen(self.estimates.of(self.clock, name), since=since)
-            for name in self.of
+            for name in self.servers
         }
-        self.estimates.keep(self.of)
-        for name, place in self.of.items():
+        self.estimates.keep(self.servers)
+        for name, place in self.servers.items():
             self.seen[name].price = self._price(place)
-            if place.cold > self.clock:
-                self.seen[name].since = place.cold
+            if place.cold_until > self.clock:
+                self.seen[name].since = place.cold_until
         for name in silent:
-            if name in self.of and not self.of[name].silent:
+            if name in self.servers and not self.servers[name].silent:
                 self.seen[name].since = self.clock
         self._divide()
 
-    def _price(self, place: Place) -> float:
+    def _price(self, place: ServerState) -> float:
         if place.zone == self.zone:
             return 0.0
         return NEAR_PART if self.regions.get(place.zone) == self.regions.get(self.zone) else FAR_PART
@@ -162,7 +162,7 @@
             norm = self.norms[route] = Norm()
         return norm
 
-    def _judge(self, now: float, place: Place, seen: Seen) -> None:
+    def _judge(self, now: float, place: ServerState, seen: Seen) -> None:
         seen.judged = now
         seen.ability = self.estimates.ability(now, place.id)
         seen.factor = math.exp(seen.ability.slowness - DOUBT * seen.ability.error)
@@ -175,16 +175,16 @@
             crowd, mean = seen.mean / max(1, place.slots), self.crowds.get(place.target, 0.0)
             self.crowds[place.target] = mean + 0.05 * (crowd - mean)
 
-    def _hand(self, now: float, place: Place, seen: Seen) -> None:
+    def _hand(self, now: float, place: ServerState, seen: Seen) -> None:
         """Brings the mean of requests in hand to ``now``; before ``out`` changes."""
         part = 1.0 - math.exp(min(0.0, seen.hand_at - now) / HAND_MS)
-        seen.sums.in_hand += part * (max(0, place.out - seen.lost) - seen.sums.in_hand)
+        seen.sums.in_hand += part * (max(0, place.in_flight - seen.lost) - seen.sums.in_hand)
         seen.hand_at = now
 
-    def _factor(self, now: float, place: Place, seen: Seen) -> float:
-        return seen.factor * (admission.COLD if now < place.cold else 1.0)
+    def _factor(self, now: float, place: ServerState, seen: Seen) -> float:
+        return seen.factor * (admission.COLD_FACTOR if now < place.cold_until else 1.0)
 
-    def _mean(self, now: float, place: Place, seen: Seen) -> float:
+    def _mean(self, now: float, place: ServerState, seen: Seen) -> float:
         """Requests of others whose word on what is in hand doesn't hold just now."""
         crowd, told = self.crowds.get(place.target, 0.0) * place.slots, seen.others
         if seen.shared is not None and (self.in_flight.sums or not told.trusted()):
@@ -199,7 +199,7 @@
             mean = max(mean, crowd * math.exp(min(0.0, seen.since + NEW_MS - now) / NEW_MS))
         return mean
 
-    def crowd(self, now: float, place: Place, seen: Seen, work: float) -> tuple[int, float]:
+    def crowd(self, now: float, place: ServerState, seen: Seen, work: float) -> tuple[int, float]:
         """Requests of others at a server: those that near peers tell, and the rest's mean, which is nearer
         to what the server itself told for as long as that lasts."""
         told, known, mean = seen.others, self.in_flight.sums.get(place.id, 0), seen.mean
@@ -208,13 +208,13 @@
             mean += (told.last - known - mean) * math.exp(-max(0.0, age) / work)
         return known, mean if mean > 0.0 else 0.0
 
-    def load(self, now: float, place: Place) -> float:
+    def load(self, now: float, place: ServerState) -> float:
         """What the server has in hand, here and as far as others tell, in requests."""
         if not self.exchange:
-            return Choice.load(self, now, place)
+            return ServerSelector.load(self, now, place)
         seen = self.seen[place.id]
-        work = self.works.get(place.target, admission.USUAL_MS) * seen.factor
-        return place.out + sum(self.crowd(now, place, seen, work))
+        work = self.works.get(place.target, admission.INITIAL_LATENCY_MS) * seen.factor
+        return place.in_flight + sum(self.crowd(now, place, seen, work))
 
     # Choice ---------------------------------------------------------------------------------
 
@@ -224,43 +224,43 @@
         target: str,
         route: str,
         aim: float,
-        beside: Collection[str] = (),
+        exclude: Collection[str] = (),
         caller: int | None = None,
-    ) -> Place | None:
+    ) -> ServerState | None:
         """The server for a request, None where there is none that may get it."""
         self._settle()
         self.clock, self.route = now, route
         if not self.exchange:  # by itself it is no better than what it takes the place of
-            return Choice.pick(self, now, target, route, aim, beside, caller)
-        if caller is not None and target in self.assigned:
-            self.callers.seen(now, caller, self.usual_of(route).mean)
-            if (place := self._stay(now, target, caller, beside)) is not None:
+            return ServerSelector.pick(self, now, target, route, aim, exclude, caller)
+        if caller is not None and target in self.assignments:
+            self.callers.seen(now, caller, self.route_latency(route).mean)
+            if (place := self._sticky_server(now, target, caller, exclude)) is not None:
                 return place
         if aim > self.aims.get(target, 0.0):
             self.aims[target] = aim
-        norm, usual = self.norm(route), self.works.get(target, admission.USUAL_MS)
+        norm, usual = self.norm(route), self.works.get(target, admission.INITIAL_LATENCY_MS)
         work, longest = norm.work(), self.aims[target]
         middle, steep = norm.mean, 1.702 / math.sqrt(max(norm.variance, 0.01))
-        best, least, most = None, math.inf, self.limit(target)
-        rest: list[Place] = []
-        packed: list[tuple[int, float, Place]] = []
+        best, least, most = None, math.inf, self.in_flight_limit(target)
+        rest: list[ServerState] = []
+        packed: list[tuple[int, float, ServerState]] = []
         chance, log, exp, all_seen = self.random.random, math.log, math.exp, self.seen
         for place in self.by_target.get(target, ()):
-            if place.draining or place.out >= most or place.id in beside:
+            if place.draining or place.in_flight >= most or place.id in exclude:
                 continue
             seen = all_seen[place.id]
             if now - seen.judged > FRESH_MS:
                 self._judge(now, place, seen)
-            factor = seen.factor if now >= place.cold else seen.factor * admission.COLD
+            factor = seen.factor if now >= place.cold_until else seen.factor * admission.COLD_FACTOR
             each = usual * factor
             known, others = self.crowd(now, place, seen, each)
-            slots, known = place.slots or 1, known + place.out - seen.lost
+            slots, known = place.slots or 1, known + place.in_flight - seen.lost
             load = known + others
             if load >= slots and load >= bearable(slots, usual, factor, longest):
                 if known < slots and now - seen.others.at > TRY_MS and not place.silent:
                     packed.append((known, seen.others.at, place))
                 continue
-            if place.silent or place.trial or now < place.rests_until:
+            if place.silent or place.probing or now < place.ejected_until:
                 rest.append(place)
                 continue
             wait = waiting(known + (known >= slots), others, slots) * each
@@ -274,19 +274,19 @@
             ) * (1.0 + CHANCE * chance())
             if now > seen.due or seen.late > LATE_OTHERS:
                 cost *= OVERDUE
-            if place.failures and chance() > FAILED_PART:
+            if place.consecutive_failures and chance() > FAILED_PART:
                 cost *= FAILED
             if cost < least:
                 best, least = place, cost
         if best is None and rest:
-            best = min(rest, key=lambda p: (p.silent, p.rests_until, chance()))
+            best = min(rest, key=lambda p: (p.silent, p.ejected_until, chance()))
         if best is None and packed:
             best = min(packed, key=lambda p: p[:2])[2]
         return best
 
-    def room(self, now: float, target: str) -> bool:
+    def has_room(self, now: float, target: str) -> bool:
         """Whether some server of the service has a free slot."""
-        usual, aim = self.works.get(target, admission.USUAL_MS), self.aims.get(target, math.inf)
+        usual, aim = self.works.get(target, admission.INITIAL_LATENCY_MS), self.aims.get(target, math.inf)
         return any(
             not p.draining
             and self.load(now, p) < bearable(max(1, p.slots), usual, self.seen[p.id].factor, aim)
@@ -295,7 +295,7 @@
 
     # What happens ---------------------------------------------------------------------------
 
-    def began(self, place: Place) -> None:
+    def record_start(self, place: ServerState) -> None:
         """An attempt at the server begins."""
         now, seen = self.clock, self.seen.get(place.id)
         if seen is not None:
@@ -303,7 +303,7 @@
             if len(seen.begun) < PENDING:
                 seen.begun.append((now, self.route))
                 seen.due = min(seen.due, self._overdue_at(seen, now, self.route))
-        Choice.began(self, place)
+        ServerSelector.record_start(self, place)
 
     def _overdue_at(self, seen: Seen, start: float, route: str) -> float:
         norm = self.norm(route)
@@ -321,7 +321,7 @@
             elif now > due:
                 seen.lost += 1
 
-    def _over(self, now: float, place: Place, started: float, answered: bool = False) -> None:
+    def _over(self, now: float, place: ServerState, started: float, answered: bool = False) -> None:
         self._settle()
         self.clock = now
         seen = self.seen.get(place.id)
@@ -335,27 +335,29 @@
             seen.passed = max(seen.passed, started)
         self._pending(now, seen)
 
-    def answered(self, now: float, place: Place, route: str, took: float, worked: bool) -> None:
+    def record_answer(self, now: float, place: ServerState, route: str, took: float, worked: bool) -> None:
         """The server answered after ``took`` ms; ``worked``: with no failure of its own."""
         self._over(now, place, now - took, answered=True)
-        back = place.trial
-        Choice.answered(self, now, place, route, took, worked)
+        back = place.probing
+        ServerSelector.record_answer(self, now, place, route, took, worked)
         if back and place.id in self.seen:
             self.seen[place.id].since = now
         if worked:
             self.ended = place, route, took
 
-    def told(self, now: float, place: Place, running: int, waiting: int) -> None:
+    def record_load(self, now: float, place: ServerState, running: int, waiting: int) -> None:
         """The server told its load."""
-        Choice.told(self, now, place, running, waiting)
+        ServerSelector.record_load(self, now, place, running, waiting)
         seen = self.seen.get(place.id)
         if seen is None:
             self._settle()
             return
         ended, self.ended, self.clock = self.ended, None, now
-        usual = max(1.0, self.works.get(place.target, admission.USUAL_MS) * self._factor(now, place, seen))
+        usual = max(
+            1.0, self.works.get(place.target, admission.INITIAL_LATENCY_MS) * self._factor(now, place, seen)
+        )
         took = ended[2] if ended is not None and ended[0] is place else usual
-        seen.others.told(now, running, waiting, place.slots, place.out, took / usual)
+        seen.others.told(now, running, waiting, place.slots, place.in_flight, took / usual)
         if ended is None or ended[0] is not place:
             return
         if not seen.others.trusted():
@@ -374,21 +376,21 @@
                 self._sample(self.clock, place, seen, route, took, None)
 
     def _sample(
-        self, now: float, place: Place, seen: Seen, route: str, took: float, before: float | None
+        self, now: float, place: ServerState, seen: Seen, route: str, took: float, before: float | None
     ) -> None:
         """One service time; ``before``: requests for each slot that were before it, None where not told."""
-        usual = self.works.get(place.target, admission.USUAL_MS)
+        usual = self.works.get(place.target, admission.INITIAL_LATENCY_MS)
         factor, weight = self._factor(now, place, seen), 1.0
         if before is None:
             known, others = self.crowd(now, place, seen, usual * factor)
-            before = waiting(place.out + known, others, max(1, place.slots))
+            before = waiting(place.in_flight + known, others, max(1, place.slots))
             weight = 1.0 - 0.5 * min(1.0, before)
         elif before > 0.0:
             weight = QUEUED_WEIGHT
-        if now - took < place.cold:
+        if now - took < place.cold_until:
             weight = QUEUED_WEIGHT
         worked = max(0.2 * took, took - before * usual * factor, 0.5)
-        cold = math.log(admission.COLD) if now - took < place.cold else 0.0
+        cold = math.log(admission.COLD_FACTOR) if now - took < place.cold_until else 0.0
         norm, x = self.norm(route), math.log(worked) - cold
         if norm.seen >= 8:
             variance = max(0.2, norm.variance)
@@ -397,45 +399,45 @@
         worked /= factor
         self.works[place.target] = usual + 0.03 * (worked - usual) if place.target in self.works else worked
 
-    def full(self, now: float, place: Place) -> None:
+    def record_rejection(self, now: float, place: ServerState) -> None:
         """The server turned a request away."""
         self._over(now, place, now)
-        Choice.full(self, now, place)
+        ServerSelector.record_rejection(self, now, place)
         seen = self.seen.get(place.id)
         if seen is not None:
-            seen.others.last = max(seen.others.mean, place.slots * (1.0 + admission.QUEUE))
+            seen.others.last = max(seen.others.mean, place.slots * (1.0 + admission.MAX_QUEUE_PER_SLOT))
             seen.others.mean, seen.others.at = max(seen.others.mean, 0.0), now
 
-    def failed(self, now: float, place: Place, silent: bool) -> None:
+    def record_failure(self, now: float, place: ServerState, silent: bool) -> None:
         """An attempt failed; ``silent``: the server said nothing."""
         seen = self.seen.get(place.id)
         dropped = silent and seen is not None and bool(seen.begun) and seen.begun[0][0] < seen.passed
         self._over(now, place, -math.inf)
         if dropped:
             # It was full then and has answered since: at rest it would be missed where all are nearly full.
-            Choice.moot(self, place)
+            ServerSelector.release(self, place)
         else:
-            Choice.failed(self, now, place, silent)
+            ServerSelector.record_failure(self, now, place, silent)
 
-    def abandoned(self, now: float, place: Place, route: str, waited: float) -> None:
+    def record_abandonment(self, now: float, place: ServerState, route: str, waited: float) -> None:
         """An attempt was broken off from here after ``waited`` ms: its service time is no less than that."""
         seen, started = self.seen.get(place.id), now - waited
         if seen is None:
-            Choice.moot(self, place)
+            ServerSelector.release(self, place)
             return
         overdue = now > self._overdue_at(seen, started, route) and started >= seen.passed
         self._over(now, place, started)
         if overdue:
-            Choice.failed(self, now, place, True)
+            ServerSelector.record_failure(self, now, place, True)
             return
-        Choice.moot(self, place)
+        ServerSelector.release(self, place)
         if waited > self.norm(route).work() * self._factor(now, place, seen):
             self._sample(now, place, seen, route, waited, None)
 
-    def moot(self, place: Place) -> None:
+    def release(self, place: ServerState) -> None:
         """An attempt ended that says nothing of the server."""
         self._over(self.clock, place, self.clock)
-        Choice.moot(self, place)
+        ServerSelector.release(self, place)
 
     # Exchange -------------------------------------------------------------------------------
 
@@ -443,7 +445,7 @@
         """What this limiter tells the others, JSON."""
         self._settle()
         for name, seen in self.seen.items():
-            self._hand(now, self.of[name], seen)
+            self._hand(now, self.servers[name], seen)
             seen.sums.overdue = int(now > seen.due)
         return self.estimates.message(now)
 
@@ -454,7 +456,9 @@
 
     def in_flight_message(self, now: float) -> dict[str, Any] | None:
         """What this limiter has in hand, for its near peers, JSON; None where that is no news."""
-        return self.in_flight.message(now, {n: place.out - self.seen[n].lost for n, place in self.of.items()})
+        return self.in_flight.message(
+            now, {n: place.in_flight - self.seen[n].lost for n, place in self.servers.items()}
+        )
 
     def take_in_flight(self, now: float, observer: str, message: Mapping[str, Any]) -> None:
         """Takes what a near peer has in hand."""
--- a/larklb/gateway/front.py
+++ b/larklb/gateway/front.py
@@ -14,11 +14,11 @@
 import h11
 from attrs import define, field
 
-from larklb.admission.budget import Budget
+from larklb.admission.budget import RetryBudget
 from larklb.admission.cancellation import Cause
-from larklb.admission.choice import Choice, Place
+from larklb.admission.choice import ServerSelector, ServerState
 from larklb.admission.quota_records import Verdict
-from larklb.admission.tries import Course, End, Next
+from larklb.admission.tries import AttemptHistory, AttemptOutcome, NextStep
 from larklb.assignment.assignment import caller_key
 from larklb.gateway.request_work import RequestWork
 from larklb.gateway.servers import LEAST_MS, Message, Reply, Servers, passed_on
@@ -82,14 +82,14 @@
 
     wheel: Wheel
     servers: Servers
-    choice: Choice
-    budget: Budget
+    choice: ServerSelector
+    budget: RetryBudget
     quota: Quota  # a tenant's verdict; None: no word yet, and none to be had
     random: random.Random
     count: Counter[str] = field(factory=Counter)
     now: InForce | None = None
     stay: bool = False  # callers stay put where a route doesn't say
-    background: set[asyncio.Task[tuple[End, Reply | None]]] = field(factory=set)
+    background: set[asyncio.Task[tuple[AttemptOutcome, Reply | None]]] = field(factory=set)
     works: set[RequestWork] = field(factory=set)
 
     async def answer(self, head: h11.Request, body: bytes, link: Link) -> Reply:
@@ -198,53 +198,53 @@
 
     async def _served(self, taken: ClientRequest, work: RequestWork) -> Reply:
         route, due, caller = taken.route, taken.due, taken.caller
-        course, tried = Course(work.safe, route.tries), set[str]()
+        course, tried = AttemptHistory(work.safe, route.tries), set[str]()
         service = service_of(route, self.random.random())
-        self.budget.first(taken.began, service)
-        last = Next.REFUSE
+        self.budget.record_request(taken.began, service)
+        last = NextStep.REFUSE
         while True:
             now = self.wheel.now()
             if now >= due - LEAST_MS:
-                return self._own(course, Next.LATE if course.may_have_run else Next.REFUSE, due)
+                return self._own(course, NextStep.TIME_OUT if course.may_have_run else NextStep.REFUSE, due)
             if work.abandoned:
                 return self._ended(course, due)
             place = self._pick(now, route, service, tried, caller)
-            if place is None or course.costs() and not self.budget.may_repeat(now, place.target):
+            if place is None or course.needs_budget() and not self.budget.take_retry(now, place.target):
                 return self._own(course, last, due)
             tried.add(place.id)
             end, reply = await self._attempt(taken, service, course, place, tried, work)
-            step, otherwise = course.after(end)
+            step, otherwise = course.record_outcome(end)
             self.count[f"end.{end.value}"] += 1
-            if step is Next.AGAIN:
+            if step is NextStep.RETRY:
                 last = otherwise
                 if (
-                    otherwise is Next.PASS
+                    otherwise is NextStep.FORWARD
                     and reply is not None
                     and (
                         self.wheel.now() >= due - LEAST_MS
                         or not work.wanted
-                        or not self.budget.peek(self.wheel.now(), service)
+                        or not self.budget.can_retry(self.wheel.now(), service)
                         or self._pick(self.wheel.now(), route, service, tried) is None
                     )
                 ):
                     return reply
-                if otherwise is Next.PASS:
-                    last = Next.FAIL
+                if otherwise is NextStep.FORWARD:
+                    last = NextStep.FAIL
                 continue
-            if step is Next.PASS and reply is not None:
+            if step is NextStep.FORWARD and reply is not None:
                 self.count["passed"] += 1
                 return reply
             return self._ended(course, due) if work.abandoned else self._own(course, step, due)
 
-    def _ended(self, course: Course, due: float) -> Reply:
+    def _ended(self, course: AttemptHistory, due: float) -> Reply:
         """Nothing is sent any more: an answer for whoever may still read it, and the connection's end."""
-        reply = self._own(course, Next.FAIL if course.may_have_run else Next.REFUSE, due)
+        reply = self._own(course, NextStep.FAIL if course.may_have_run else NextStep.REFUSE, due)
         reply.close = True
         return reply
 
     def _pick(
         self, now: float, route: Route, service: str, tried: set[str], caller: int | None = None
-    ) -> Place | None:
+    ) -> ServerState | None:
         place = self.choice.pick(now, service, route.name, route.setpoint_ms, tried, caller)
         if place is None:
             for other in targets(route):
@@ -256,59 +256,65 @@
         self,
         taken: ClientRequest,
         service: str,
-        course: Course,
-        place: Place,
+        course: AttemptHistory,
+        place: ServerState,
         tried: set[str],
         work: RequestWork,
-    ) -> tuple[End, Reply | None]:
+    ) -> tuple[AttemptOutcome, Reply | None]:
         """One attempt; a safe request that waits for longer than nearly all is sent to a second server
         too."""
         route, message, due = taken.route, taken.message, taken.due
         first = self.servers.attempt(place, route.name, message, work)
         aim = route.setpoint_ms
-        patience = max(HEDGE_AIM * aim, HEDGE_LATE * self.choice.usual_of(route.name).late)
+        patience = max(HEDGE_AIM * aim, HEDGE_LATE * self.choice.route_latency(route.name).p95)
         now = self.wheel.now()
-        if not course.safe or course.sent + 1 >= course.tries or patience > min(HEDGE_LAST * aim, due - now):
+        if (
+            not course.safe
+            or course.sent + 1 >= course.max_attempts
+            or patience > min(HEDGE_LAST * aim, due - now)
+        ):
             return await first
         tasks = {self._task(first)}
         done, _ = await asyncio.wait(tasks, timeout=patience / 1000.0)
         if not done and work.wanted:
             now = self.wheel.now()
             other = self.choice.pick(now, service, route.name, aim, tried)
-            if other is not None and self.budget.may_repeat(now, service):
+            if other is not None and self.budget.take_retry(now, service):
                 self.count["hedged"] += 1
                 tried.add(other.id)
                 course.sent += 1
                 course.may_have_run = True
                 tasks.add(self._task(self.servers.attempt(other, route.name, message, work)))
-        ended: tuple[End, Reply | None] = (End.SILENT, None)
+        ended: tuple[AttemptOutcome, Reply | None] = (AttemptOutcome.TIMED_OUT, None)
         while tasks:
             done, tasks = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
             for task in done:
                 ended = task.result()
-                if ended[0] is End.ANSWER:
+                if ended[0] is AttemptOutcome.ANSWER:
                     work.end_others()
                     return ended
         return ended
 
-    def _task(self, attempt: Awaitable[tuple[End, Reply | None]]) -> asyncio.Task[tuple[End, Reply | None]]:
+    def _task(
+        self, attempt: Awaitable[tuple[AttemptOutcome, Reply | None]]
+    ) -> asyncio.Task[tuple[AttemptOutcome, Reply | None]]:
         task = asyncio.ensure_future(attempt)
         self.background.add(task)
         task.add_done_callback(self._over)
         return task
 
-    def _over(self, task: asyncio.Task[tuple[End, Reply | None]]) -> None:
+    def _over(self, task: asyncio.Task[tuple[AttemptOutcome, Reply | None]]) -> None:
         self.background.discard(task)
         if not task.cancelled():
             task.exception()  # whoever waited for it may have its answer from the other one
 
-    def _own(self, course: Course, step: Next, due: float) -> Reply:
+    def _own(self, course: AttemptHistory, step: NextStep, due: float) -> Reply:
         """An answer of our own."""
-        step = course.honest(step)
+        step = course.without_false_refusal(step)
         self.count[f"own.{step.value}"] += 1
-        if step is Next.REFUSE:
+        if step is NextStep.REFUSE:
             return refusal(503, self._again(due, AGAIN_MS * (1.0 + self.random.random())))
-        return Reply(504 if step is Next.LATE else 502)
+        return Reply(504 if step is NextStep.TIME_OUT else 502)
 
 
 def _time_left(headers: dict[bytes, bytes]) -> float:
--- a/larklb/gateway/main.py
+++ b/larklb/gateway/main.py
@@ -20,9 +20,9 @@
 import h11
 from attrs import evolve
 
-from larklb.admission.budget import Budget
-from larklb.admission.choice import Place
-from larklb.admission.quota_records import Allowance, Bound
+from larklb.admission.budget import RetryBudget
+from larklb.admission.choice import ServerState
+from larklb.admission.quota_records import Allowance, OvershootBound
 from larklb.admission.quotas import Quotas
 from larklb.balancing.choice import AbleChoice
 from larklb.balancing.estimates import Estimates
@@ -120,7 +120,7 @@
             settings.zone,
             settings.zones,
             self.random.randrange(1 << 30),
-            limit=self._limit,
+            in_flight_limit=self._limit,
             estimates=Estimates(life=me.life),
             in_flight=InFlight(life=me.life),
         )
@@ -130,18 +130,18 @@
             settings.node,
             now,
             self.random.randrange(1 << 30),
-            settled=first,
-            bound=Bound(bounds.quota_window / 1000.0, bounds.quota_overshoot, bounds.quota_slack),
+            first_start=first,
+            bound=OvershootBound(bounds.quota_window / 1000.0, bounds.quota_overshoot, bounds.quota_slack),
         )
         self.quota_exchange = QuotaExchange(quotas, self.wheel, self.transport.post, self.count)
         self.near = NearExchange(self.choice, self.transport.post)
-        self.budget = Budget(
+        self.budget = RetryBudget(
             bounds.retry_ratio,
             bounds.retry_window,
             bounds.retry_slack,
             self._limiters,
             now,
-            settled=first,
+            first_start=first,
             node=settings.node,
         )
         sockets = max(64, settings.descriptors - RESERVED)
@@ -224,7 +224,7 @@
         self.quota_exchange.tick(now)
         if now - self.slow_at >= SLOW_TURN_MS:
             self.slow_at = now
-            self.quotas.clean(now)
+            self.quotas.expire(now)
             self._assign(now)
             if self._stamp() != self.stamp:
                 self._settings_changed()
@@ -288,7 +288,7 @@
         limits = checked.limits
         self.edge.bounds = Bounds(limits.header_bytes, limits.body_bytes, limits.header_ms, limits.idle_ms)
         self.saturation = {service.name: service.saturation for service in checked.services}
-        self.quotas.allowances(
+        self.quotas.set_allowances(
             self.wheel.now(),
             checked.version,
             {t.name: Allowance(t.name, t.rate_per_s, t.burst) for t in checked.tenants or ()},
@@ -308,13 +308,13 @@
         self.near.peers([m.ip for m in members if m.zone == me.zone and m.state == UP and m.node != me.node])
         self.choice.peers(me.node, [(m.node, m.zone) for m in members])
         self.choice.update(
-            Place(
+            ServerState(
                 s.id,
                 s.target,
                 s.address,
                 s.zone,
                 s.slots,
-                cold=now + s.cold if s.cold else -1e18,
+                cold_until=now + s.cold if s.cold else -1e18,
                 draining=s.state != registry.STEADY,
                 silent=s.silent,
             )
@@ -361,7 +361,9 @@
 
     def ready(self) -> bool:
         """Whether clients are to come here."""
-        known = self.follower.ever and (bool(self.choice.of) or self.wheel.now() - self.born > PATIENCE_MS)
+        known = self.follower.ever and (
+            bool(self.choice.servers) or self.wheel.now() - self.born > PATIENCE_MS
+        )
         return self.front.now is not None and known and not self.leaving.is_set()
 
     async def _ready(self, head: Any, body: bytes, link: Any) -> Reply:
--- a/larklb/gateway/quota_exchange.py
+++ b/larklb/gateway/quota_exchange.py
@@ -31,7 +31,7 @@
     def members(self, now: float, nodes: dict[int, str], addresses: Mapping[int, str], mine: int) -> None:
         """Nodes and addresses by ring number; ``mine``: this limiter's, -1 where it has none yet."""
         self.addresses = dict(addresses)
-        self.quotas.members(now, nodes, mine if mine >= 0 else None)
+        self.quotas.set_limiters(now, nodes, mine if mine >= 0 else None)
 
     async def ask(self, tenant: Tenant) -> Verdict | None:
         """Whether a request of a tenant may go on; None where nothing speaks against it."""
@@ -40,7 +40,7 @@
         if not isinstance(asked, Ask):
             return asked
         verdict: asyncio.Future[Verdict] = asyncio.get_running_loop().create_future()
-        timer = self.wheel.after(asked.give_up_at - now, self._give_up, asked.number)
+        timer = self.wheel.after(asked.deadline - now, self._give_up, asked.number)
         self.waiting[asked.number] = (verdict, timer)
         self._send(asked.owner, asked.message)
         return await verdict
@@ -50,15 +50,15 @@
         if now - self.noted_at < NOTES_MS:
             return
         self.noted_at = now
-        for number, message in self.quotas.notes(now):
+        for number, message in self.quotas.pending_messages(now):
             self._send(number, message)
 
     def heard(self, now: float, message: QuotaMessage, sender: int) -> None:
         """A message of the limiter with the ring number ``sender``, -1 where that isn't known."""
         if message.message["k"] in QUESTIONS:
-            if (answer := self.quotas.asked(now, sender, message.message)) is not None:
+            if (answer := self.quotas.handle_request(now, sender, message.message)) is not None:
                 self.post(message.address, QuotaMessage(message=answer))
-        elif (told := self.quotas.told(now, message.message)) is not None:
+        elif (told := self.quotas.handle_reply(now, message.message)) is not None:
             self._decide(*told)
 
     def _send(self, number: int, message: dict[str, Any]) -> None:
@@ -67,7 +67,7 @@
 
     def _give_up(self, number: int) -> None:
         self.count["quota.given_up"] += 1
-        self._decide(number, self.quotas.given_up(self.wheel.now(), number))
+        self._decide(number, self.quotas.handle_timeout(self.wheel.now(), number))
 
     def _decide(self, number: int, verdict: Verdict) -> None:
         if (waiting := self.waiting.pop(number, None)) is None:
--- a/larklb/gateway/request_work.py
+++ b/larklb/gateway/request_work.py
@@ -9,7 +9,7 @@
 
 from attrs import define, field
 
-from larklb.admission.cancellation import OUT_OF_TIME, Action, Cause, Phase, action
+from larklb.admission.cancellation import TIMEOUT_CAUSES, Action, Cause, Phase, action_for
 from larklb.net.http import Link
 from larklb.wheel import Timer, Wheel
 
@@ -33,7 +33,7 @@
     @property
     def out_of_time(self) -> bool:
         """Whether its server had all the time there was."""
-        return self.ended_by in OUT_OF_TIME
+        return self.ended_by in TIMEOUT_CAUSES
 
     def end(self, cause: Cause) -> None:
         """Calls its dial off, or closes its connection; whoever waits for it finds the cause here."""
@@ -75,7 +75,7 @@
             self._asking.cancel()
         if not self.attempts:
             phase = Phase.CHOOSING if self._asking is None else Phase.QUOTA
-            self._counted(cause, phase, action(cause, phase, safe=self.safe))
+            self._counted(cause, phase, action_for(cause, phase, safe=self.safe))
         for attempt in tuple(self.attempts):
             self._end_attempt(attempt, cause)
 
@@ -85,7 +85,7 @@
             self._end_attempt(attempt, cause)
 
     def _end_attempt(self, attempt: Attempt, cause: Cause) -> None:
-        chosen = action(cause, attempt.phase, safe=self.safe)
+        chosen = action_for(cause, attempt.phase, safe=self.safe)
         self._counted(cause, attempt.phase, chosen)
         if chosen is not Action.FINISH:
             attempt.end(cause)
@@ -116,7 +116,7 @@
     @property
     def abandoned(self) -> bool:
         """Whether it was ended while there was still time."""
-        return self.ended_by is not None and self.ended_by not in OUT_OF_TIME
+        return self.ended_by is not None and self.ended_by not in TIMEOUT_CAUSES
 
     def attempted(self) -> Attempt:
         """A new attempt; ``attempt_over`` is to be called at its end."""
--- a/larklb/gateway/servers.py
+++ b/larklb/gateway/servers.py
@@ -14,8 +14,8 @@
 import h11
 from attrs import define, field
 
-from larklb.admission.choice import Choice, Place
-from larklb.admission.tries import End
+from larklb.admission.choice import ServerSelector, ServerState
+from larklb.admission.tries import AttemptOutcome
 from larklb.gateway.request_work import Attempt, RequestWork
 from larklb.net.http import LateError, Link, TooLongError, dial, finished
 from larklb.wheel import Wheel
@@ -88,7 +88,7 @@
 class Servers:
     """All connections to servers."""
 
-    def __init__(self, wheel: Wheel, choice: Choice, most: int, count: dict[str, int]) -> None:
+    def __init__(self, wheel: Wheel, choice: ServerSelector, most: int, count: dict[str, int]) -> None:
         """``most`` connections may be open; ``count`` takes what is counted."""
         self.wheel, self.choice, self.most, self.count = wheel, choice, most, count
         self.pools: defaultdict[str, list[tuple[Link, float]]] = defaultdict(list)  # by id, with its last
@@ -103,7 +103,7 @@
         self.wheel.after(SWEEP_MS, self._sweep)
         now = self.wheel.now()
         for name, pool in list(self.pools.items()):
-            place = self.choice.of.get(name)
+            place = self.choice.servers.get(name)
             for link, until in list(pool):
                 if now >= until or place is None or place.draining:
                     self._drop(name, link)
@@ -139,7 +139,7 @@
         return None
 
     def _keep(self, name: str, link: Link, answer: h11.Response | None) -> None:
-        place = self.choice.of.get(name)
+        place = self.choice.servers.get(name)
         if place is None or place.draining or link.reader.ended() or link.more() or not link.again():
             self._end(link)
             return
@@ -162,7 +162,7 @@
         self._drop(name, self.pools[name][0][0])
         return True
 
-    async def _dial(self, place: Place, within: float, attempt: Attempt) -> Link | None:
+    async def _dial(self, place: ServerState, within: float, attempt: Attempt) -> Link | None:
         if not self._make_room():
             self.count["no_descriptor"] += 1
             return None
@@ -182,24 +182,24 @@
     # Attempts -----------------------------------------------------------------------------
 
     async def attempt(
-        self, place: Place, route: str, message: Message, work: RequestWork
-    ) -> tuple[End, Reply | None]:
+        self, place: ServerState, route: str, message: Message, work: RequestWork
+    ) -> tuple[AttemptOutcome, Reply | None]:
         """Sends a request to a server; how that ended, and the answer, if any."""
         if not work.wanted:
-            return End.UNSENT, None
-        self.choice.began(place)
+            return AttemptOutcome.UNSENT, None
+        self.choice.record_start(place)
         attempt = work.attempted()
         try:
             return await self._tried(place, route, message, work, attempt)
         except BaseException:
-            self.choice.moot(place)
+            self.choice.release(place)
             raise
         finally:
             work.attempt_over(attempt)
 
     async def _tried(
-        self, place: Place, route: str, message: Message, work: RequestWork, attempt: Attempt
-    ) -> tuple[End, Reply | None]:
+        self, place: ServerState, route: str, message: Message, work: RequestWork, attempt: Attempt
+    ) -> tuple[AttemptOutcome, Reply | None]:
         choice, started = self.choice, self.wheel.now()
         link = self._pooled(place.id, work.safe)
         if link is None:
@@ -208,18 +208,18 @@
             link = await self._dial(place, within, attempt)
             if link is None:
                 if attempt.ended_by is None or attempt.out_of_time:
-                    choice.failed(self.wheel.now(), place, True)
+                    choice.record_failure(self.wheel.now(), place, True)
                 else:
-                    choice.moot(place)
-                return End.UNSENT, None
+                    choice.release(place)
+                return AttemptOutcome.UNSENT, None
         now = self.wheel.now()
         left = work.due - now
         # A dial takes time: the server may have begun to leave meanwhile.
-        gone = place.draining or choice.of.get(place.id) is not place
+        gone = place.draining or choice.servers.get(place.id) is not place
         if attempt.ended_by is not None or left < LEAST_MS or gone:
-            choice.moot(place)
+            choice.release(place)
             self._end(link)
-            return End.UNSENT, None
+            return AttemptOutcome.UNSENT, None
         attempt.link = link
         head = h11.Request(
             method=message.method,
@@ -252,16 +252,18 @@
             self._end(link)  # its end crossed the answer
         return self._read(now, place, route, now - started, message, answer, body, proof)
 
-    def _unanswered(self, now: float, place: Place, route: str, waited: float, attempt: Attempt) -> End:
+    def _unanswered(
+        self, now: float, place: ServerState, route: str, waited: float, attempt: Attempt
+    ) -> AttemptOutcome:
         """What an attempt without an answer tells of its server, and how it ended."""
         if attempt.ended_by is None:
-            self.choice.failed(now, place, False)
-            return End.BROKEN
+            self.choice.record_failure(now, place, False)
+            return AttemptOutcome.BROKEN
         if attempt.out_of_time:
-            self.choice.failed(now, place, True)
-            return End.SILENT
-        self.choice.abandoned(now, place, route, waited)
-        return End.ABANDONED
+            self.choice.record_failure(now, place, True)
+            return AttemptOutcome.TIMED_OUT
+        self.choice.record_abandonment(now, place, route, waited)
+        return AttemptOutcome.ABANDONED
 
     async def _answer(
         self, link: Link, head: h11.Request, message: Message
@@ -295,37 +297,37 @@
     def _read(
         self,
         now: float,
-        place: Place,
+        place: ServerState,
         route: str,
         took: float,
         message: Message,
         answer: h11.Response,
         body: bytes,
         proof: bool,
-    ) -> tuple[End, Reply | None]:
+    ) -> tuple[AttemptOutcome, Reply | None]:
         """What an answer means; ``proof``: it is this request's, by its id, or as no other answer without
         one came on its connection before."""
         headers = dict(answer.headers)
         status, choice = answer.status_code, self.choice
         if b"x-not-run" in headers or status == 421:
             if not proof:
-                choice.failed(now, place, False)
-                return End.BROKEN, None
+                choice.record_failure(now, place, False)
+                return AttemptOutcome.BROKEN, None
             if status == 421:
-                choice.failed(now, place, False)
-                place.rests_until = now + FAILED_LONG_MS
+                choice.record_failure(now, place, False)
+                place.ejected_until = now + FAILED_LONG_MS
             else:
-                choice.full(now, place)
+                choice.record_rejection(now, place)
             self.count["turned_away"] += 1
-            return End.NOT_RUN, None
+            return AttemptOutcome.NOT_RUN, None
         framed = b"content-length" in headers or b"transfer-encoding" in headers
         whole = framed or status in (204, 304) or message.method == b"HEAD"
         named = b"x-attempt-id" in headers  # else it may answer anything
         sealed = b"x-server-seal" in headers or status >= 300
         if not named or not sealed or not whole or b"content-encoding" in headers:
-            choice.failed(now, place, False)
-            return End.BROKEN, None
-        choice.answered(now, place, route, took, status < 500)
+            choice.record_failure(now, place, False)
+            return AttemptOutcome.BROKEN, None
+        choice.record_answer(now, place, route, took, status < 500)
         if load := headers.get(b"x-load"):
             self._told(now, place, load)
         reply = Reply(
@@ -339,17 +341,17 @@
             # Such a status of its own would be a promise, and this server says nothing of not having run.
             if status in (408, 429, 503):
                 reply = Reply(502)
-            return End.ERROR, reply
-        return End.ANSWER, reply
+            return AttemptOutcome.ERROR, reply
+        return AttemptOutcome.ANSWER, reply
 
-    def _told(self, now: float, place: Place, load: bytes) -> None:
+    def _told(self, now: float, place: ServerState, load: bytes) -> None:
         try:
             running, waiting, slots = (int(part) for part in load.split(b","))
         except ValueError:
             return  # it tells nothing that could be used
         if 0 <= running < 1 << 20 and 0 <= waiting < 1 << 20 and 0 < slots < 1 << 20:
             place.slots = slots
-            self.choice.told(now, place, running, waiting)
+            self.choice.record_load(now, place, running, waiting)
 
     def close(self) -> None:
         """Ends all that rests."""
--- a/larklb/gateway/status.py
+++ b/larklb/gateway/status.py
@@ -105,7 +105,7 @@
     for s in limiter.follower.servers.values():
         if query.get("service", s.target) != s.target:
             continue
-        seen = limiter.choice.of.get(s.id)
+        seen = limiter.choice.servers.get(s.id)
         rows.append(
             {
                 "id": s.id,
@@ -116,9 +116,9 @@
                 "software": s.version,
                 "state": STATES.get(s.state, s.state),
                 "silent": s.silent,
-                "inHand": seen.out if seen else 0,
-                "failures": seen.failures if seen else 0,
-                "restsMs": round(max(0.0, seen.rests_until - now)) if seen else 0,
+                "inHand": seen.in_flight if seen else 0,
+                "failures": seen.consecutive_failures if seen else 0,
+                "restsMs": round(max(0.0, seen.ejected_until - now)) if seen else 0,
             }
         )
     return _page("servers", "id", rows, query)
--- a/larklb/lab/emulator.py
+++ b/larklb/lab/emulator.py
@@ -16,9 +16,9 @@
 from collections.abc import Callable, Mapping, Sequence
 from typing import Any, Protocol, runtime_checkable
 
-from larklb.admission.budget import Budget
-from larklb.admission.choice import Choice, Place
-from larklb.admission.tries import Course, End, Next
+from larklb.admission.budget import RetryBudget
+from larklb.admission.choice import ServerSelector, ServerState
+from larklb.admission.tries import AttemptHistory, AttemptOutcome, NextStep
 from larklb.gateway.front import AGAIN_MOST_MS, AGAIN_MS, HEDGE_AIM, HEDGE_LAST, HEDGE_LATE, MARGIN_MS
 from larklb.gateway.servers import DIAL_NEAR_MS, IDLE_MS, LEAST_MS
 from larklb.lab.emulator_deployment import Deployment, Route, Service, Trouble
@@ -37,7 +37,7 @@
 RETRY_RATIO, RETRY_WINDOW_MS, RETRY_SLACK = 0.2, 10_000.0, 64.0
 
 
-Make = Callable[[int, str, dict[str, str], int], Choice]
+Make = Callable[[int, str, dict[str, str], int], ServerSelector]
 
 
 @runtime_checkable
@@ -87,9 +87,9 @@
 
     def __init__(self, request: Request, limiter: Limiter, due: float) -> None:
         self.request, self.limiter, self.due = request, limiter, due
-        self.course = Course(request.route.safe, request.route.tries)
+        self.course = AttemptHistory(request.route.safe, request.route.tries)
         self.tried: set[str] = set()
-        self.last, self.over, self.out = Next.REFUSE, False, 0
+        self.last, self.over, self.out = NextStep.REFUSE, False, 0
 
 
 class Attempt:
@@ -97,7 +97,7 @@
 
     __slots__ = ("handled", "place", "server", "started", "over", "dropped")
 
-    def __init__(self, handled: Handled, place: Place, server: Server, started: float) -> None:
+    def __init__(self, handled: Handled, place: ServerState, server: Server, started: float) -> None:
         self.handled, self.place, self.server, self.started = handled, place, server, started
         self.over = self.dropped = False
 
@@ -107,7 +107,7 @@
 
     __slots__ = ("name", "zone", "choice", "budget", "rests")
 
-    def __init__(self, name: str, zone: str, choice: Choice, budget: Budget) -> None:
+    def __init__(self, name: str, zone: str, choice: ServerSelector, budget: RetryBudget) -> None:
         self.name, self.zone, self.choice, self.budget = name, zone, choice, budget
         self.rests: dict[str, list[float]] = {}
 
@@ -151,12 +151,12 @@
         if isinstance(choice, Shares):
             zones = self.d.zones
             choice.peers(name, [(f"m{k}", zones[k % len(zones)]) for k in range(self.d.limiters)])
-        budget = Budget(RETRY_RATIO, RETRY_WINDOW_MS, RETRY_SLACK, self.d.limiters, now, settled=True,
-                        node=name)
+        budget = RetryBudget(RETRY_RATIO, RETRY_WINDOW_MS, RETRY_SLACK, self.d.limiters, now,
+                             first_start=True, node=name)
         return Limiter(name, zone, choice, budget)
 
-    def _places(self, silent: frozenset[str]) -> list[Place]:
-        return [Place(s.id, s.service.name, "", s.zone, s.service.slots, cold=s.cold_until,
+    def _places(self, silent: frozenset[str]) -> list[ServerState]:
+        return [ServerState(s.id, s.service.name, "", s.zone, s.service.slots, cold_until=s.cold_until,
                       draining=s.draining, silent=s.id in silent)
                 for s in self.servers.values() if not s.gone]
 
@@ -167,7 +167,7 @@
             else:
                 self._at(self.now + self.links.random() * TOLD_MS, self._told, limiter, self._places(silent))
 
-    def _told(self, limiter: Limiter, places: list[Place]) -> None:
+    def _told(self, limiter: Limiter, places: list[ServerState]) -> None:
         limiter.choice.update(places)
 
     def _at(self, when: float, do: Callable[..., None], *args: Any) -> None:
@@ -284,7 +284,8 @@
     def _end(self, server: Server) -> None:
         server.gone = True
         for attempt in [*server.running, *server.queue]:
-            self._at(self.now + self._way(attempt.handled.limiter, server), self._ended, attempt, End.BROKEN)
+            self._at(self.now + self._way(attempt.handled.limiter, server), self._ended, attempt,
+                     AttemptOutcome.BROKEN)
         server.running.clear()
         server.queue.clear()
         self._tell()
@@ -315,21 +316,21 @@
     def _arrived(self, request: Request, limiter: Limiter) -> None:
         left = request.born + request.route.deadline - self.now
         handled = Handled(request, limiter, self.now + left - MARGIN_MS)
-        limiter.budget.first(self.now, request.route.service)
+        limiter.budget.record_request(self.now, request.route.service)
         self._go(handled)
 
-    def _client(self, handled: Handled, step: Next) -> None:
+    def _client(self, handled: Handled, step: NextStep) -> None:
         """What the client does with the answer, ``client`` ms later."""
         request = handled.request
         self.figures.count[step.value] += 1
         at = self.now + self.d.client
-        if step is Next.PASS:
+        if step is NextStep.FORWARD:
             self._over(request, at - request.born)
             return
         left = request.born + request.route.deadline - at
-        again = request.tries < CLIENT_TRIES and (step is Next.REFUSE or request.route.safe)
+        again = request.tries < CLIENT_TRIES and (step is NextStep.REFUSE or request.route.safe)
         pause = 0.0
-        if step is Next.REFUSE:
+        if step is NextStep.REFUSE:
             pause = max(1.0, min(AGAIN_MS * (1 + self.links.random()), AGAIN_MOST_MS, left / 4.0))
         if again and left > pause + 2 * self.d.client + MARGIN_MS + LEAST_MS:
             self._at(at + pause, self._send, request, self.links)
@@ -348,15 +349,16 @@
     def _go(self, handled: Handled) -> None:
         now, course, choice, route = self.now, handled.course, handled.limiter.choice, handled.request.route
         if now >= handled.due - LEAST_MS:
-            self._own(handled, Next.LATE if course.may_have_run else Next.REFUSE)
+            self._own(handled, NextStep.TIME_OUT if course.may_have_run else NextStep.REFUSE)
             return
         place = choice.pick(now, route.service, route.name, route.aim, handled.tried)
-        if place is None or course.costs() and not handled.limiter.budget.may_repeat(now, place.target):
+        if place is None \
+                or course.needs_budget() and not handled.limiter.budget.take_retry(now, place.target):
             self._own(handled, handled.last)
             return
         self._attempt(handled, place)
-        patience = max(HEDGE_AIM * route.aim, HEDGE_LATE * choice.usual_of(route.name).late)
-        if course.safe and course.sent + 1 < course.tries \
+        patience = max(HEDGE_AIM * route.aim, HEDGE_LATE * choice.route_latency(route.name).p95)
+        if course.safe and course.sent + 1 < course.max_attempts \
                 and patience <= min(HEDGE_LAST * route.aim, handled.due - now):
             self._at(now + patience, self._hedge, handled, course.sent)
 
@@ -365,24 +367,24 @@
             return
         route, limiter = handled.request.route, handled.limiter
         other = limiter.choice.pick(self.now, route.service, route.name, route.aim, handled.tried)
-        if other is not None and limiter.budget.may_repeat(self.now, route.service):
+        if other is not None and limiter.budget.take_retry(self.now, route.service):
             self.figures.count["hedged"] += 1
             handled.course.sent += 1
             handled.course.may_have_run = True
             self._attempt(handled, other)
 
-    def _own(self, handled: Handled, step: Next) -> None:
+    def _own(self, handled: Handled, step: NextStep) -> None:
         handled.over = True
-        self._client(handled, handled.course.honest(step))
+        self._client(handled, handled.course.without_false_refusal(step))
 
     def _way(self, limiter: Limiter, server: Server) -> float:
         return self.d.inside if limiter.zone == server.zone else self.d.between
 
-    def _attempt(self, handled: Handled, place: Place) -> None:
+    def _attempt(self, handled: Handled, place: ServerState) -> None:
         now, limiter = self.now, handled.limiter
         handled.tried.add(place.id)
         handled.out += 1
-        limiter.choice.began(place)
+        limiter.choice.record_start(place)
         server = self.servers[place.id]
         attempt, way = Attempt(handled, place, server, now), self._way(limiter, server)
         rests = limiter.rests.get(place.id, [])
@@ -392,14 +394,14 @@
             rests.pop()
             self._at(now + way, self._reach, attempt)
         elif server.dark:
-            self._at(min(handled.due, now + DIAL_NEAR_MS), self._ended, attempt, End.UNSENT)
+            self._at(min(handled.due, now + DIAL_NEAR_MS), self._ended, attempt, AttemptOutcome.UNSENT)
         elif server.gone:
-            self._at(now + 2 * way, self._ended, attempt, End.UNSENT)
+            self._at(now + 2 * way, self._ended, attempt, AttemptOutcome.UNSENT)
         else:
             self._at(now + 3 * way, self._reach, attempt)
-        self._at(handled.due, self._ended, attempt, End.SILENT)
+        self._at(handled.due, self._ended, attempt, AttemptOutcome.TIMED_OUT)
 
-    def _ended(self, attempt: Attempt, end: End, load: tuple[int, int, int] | None = None) -> None:
+    def _ended(self, attempt: Attempt, end: AttemptOutcome, load: tuple[int, int, int] | None = None) -> None:
         if attempt.over:
             return
         attempt.over = True
@@ -407,29 +409,29 @@
         limiter = handled.limiter
         choice = limiter.choice
         handled.out -= 1
-        if end is End.ANSWER:
+        if end is AttemptOutcome.ANSWER:
             limiter.rests.setdefault(place.id, []).append(now)
-            choice.answered(now, place, handled.request.route.name, now - attempt.started, True)
+            choice.record_answer(now, place, handled.request.route.name, now - attempt.started, True)
             if load is not None:
-                choice.told(now, place, load[0], load[1])
-        elif end is End.NOT_RUN:
+                choice.record_load(now, place, load[0], load[1])
+        elif end is AttemptOutcome.NOT_RUN:
             limiter.rests.setdefault(place.id, []).append(now)
-            choice.full(now, place)
+            choice.record_rejection(now, place)
         else:
-            choice.failed(now, place, end in (End.SILENT, End.UNSENT))
-            if end is End.SILENT:
+            choice.record_failure(now, place, end in (AttemptOutcome.TIMED_OUT, AttemptOutcome.UNSENT))
+            if end is AttemptOutcome.TIMED_OUT:
                 self._at(now + self._way(limiter, server), self._drop, attempt)
         self.figures.count[f"end.{end.value}"] += 1
         if handled.over:
             return
-        if end is End.ANSWER:
+        if end is AttemptOutcome.ANSWER:
             handled.over = True
-            self._client(handled, Next.PASS)
+            self._client(handled, NextStep.FORWARD)
             return
         if handled.out:
             return                             # the hedge goes on
-        step, otherwise = handled.course.after(end)
-        if step is Next.AGAIN:
+        step, otherwise = handled.course.record_outcome(end)
+        if step is NextStep.RETRY:
             handled.last = otherwise
             self._go(handled)
         else:
@@ -442,17 +444,17 @@
         if server.dark or attempt.over:
             return
         if server.gone:
-            self._back(attempt, End.BROKEN)
+            self._back(attempt, AttemptOutcome.BROKEN)
         elif len(server.running) < server.service.slots:
             self._begin(server, attempt)
         elif len(server.queue) < server.service.queue:
             server.queue.append(attempt)
         elif server.service.on_full == "refuse":
-            self._back(attempt, End.NOT_RUN)
+            self._back(attempt, AttemptOutcome.NOT_RUN)
         elif server.service.on_full == "reset":
-            self._back(attempt, End.BROKEN)
+            self._back(attempt, AttemptOutcome.BROKEN)
 
-    def _back(self, attempt: Attempt, end: End, load: tuple[int, int, int] | None = None) -> None:
+    def _back(self, attempt: Attempt, end: AttemptOutcome, load: tuple[int, int, int] | None = None) -> None:
         way = self._way(attempt.handled.limiter, attempt.server)
         self._at(self.now + way, self._ended, attempt, end, load)
 
@@ -477,7 +479,7 @@
 
     def _done(self, server: Server, attempt: Attempt) -> None:
         if self._free(server, attempt):
-            self._back(attempt, End.ANSWER, self._load(server))
+            self._back(attempt, AttemptOutcome.ANSWER, self._load(server))
 
     def _drop(self, attempt: Attempt) -> None:
         server = attempt.server
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -15,7 +15,7 @@
 from hypothesis import strategies as st
 
 from larklb.admission import quotas as q
-from larklb.admission.budget import Budget
+from larklb.admission.budget import RetryBudget
 from larklb.admission.quota_records import Allowance, Ask, Verdict
 from larklb.admission.quotas import Quotas
 from larklb.quota.breaker import CircuitBreaker
@@ -43,8 +43,8 @@
         self.upkeep()
 
     def start(self, i: int, *, settled: bool) -> None:
-        limiter = Quotas(f"n{i}", self.now, i, settled=settled)
-        limiter.members(self.now, self.numbers, i)
+        limiter = Quotas(f"n{i}", self.now, i, first_start=settled)
+        limiter.set_limiters(self.now, self.numbers, i)
         self.limiters[i] = limiter
 
     def at(self, when: float, do: Callable[[], None]) -> None:
@@ -55,7 +55,7 @@
         def take(i: int) -> None:
             limiter = self.limiters[i]
             if limiter is not None:
-                limiter.members(self.now, numbers, i if i in numbers else None)
+                limiter.set_limiters(self.now, numbers, i if i in numbers else None)
         for i in whose:
             self.at(when + self.chance.uniform(0, 500), lambda i=i: take(i))        # type: ignore[misc]
 
@@ -65,8 +65,8 @@
     def upkeep(self) -> None:
         for i, limiter in self.limiters.items():
             if limiter is not None:
-                limiter.clean(self.now)
-                for to, note in limiter.notes(self.now):
+                limiter.expire(self.now)
+                for to, note in limiter.pending_messages(self.now):
                     self.post(i, to, note)
         self.at(self.now + 250.0, self.upkeep)
 
@@ -79,9 +79,9 @@
         if limiter is None:
             return
         if message["k"] in ("ask", "back", "hello"):
-            if (answer := limiter.asked(self.now, sender, message)) is not None:
+            if (answer := limiter.handle_request(self.now, sender, message)) is not None:
                 self.post(to, sender, answer)
-        elif (told := limiter.told(self.now, message)) is not None:
+        elif (told := limiter.handle_reply(self.now, message)) is not None:
             self.decided(told[1])
 
     def request(self, i: int) -> None:
@@ -92,16 +92,16 @@
         if isinstance(got, Verdict):
             return self.decided(got)
         self.asks.append((self.now, i))
-        self.at(got.give_up_at, lambda: self.late(i, got))
+        self.at(got.deadline, lambda: self.late(i, got))
         self.post(i, got.owner, got.message)
 
     def late(self, i: int, ask: Ask) -> None:
         limiter = self.limiters[i]
-        if limiter is not None and (out := limiter._out.get(ask.number)) is not None and not out.given_up:
-            self.decided(limiter.given_up(self.now, ask.number))
+        if limiter is not None and (out := limiter._out.get(ask.number)) is not None and not out.timed_out:
+            self.decided(limiter.handle_timeout(self.now, ask.number))
 
     def decided(self, verdict: Verdict) -> None:
-        self.by[verdict.by] = self.by.get(verdict.by, 0) + 1
+        self.by[verdict.decided_by] = self.by.get(verdict.decided_by, 0) + 1
         if verdict.allowed:
             self.let_in.append(self.now)
         else:
@@ -234,9 +234,9 @@
     allowance = Allowance("huka270", 1, 40)
     numbers = {0: "a", 1: "b"}
     mine = ring_owner(digest("huka270"), [0, 1])
-    owner, asker = (Quotas("x", 0.0, 1, settled=False), Quotas("y", 0.0, 2, settled=True))
-    owner.members(0.0, numbers, mine)
-    asker.members(0.0, numbers, 1 - mine)
+    owner, asker = (Quotas("x", 0.0, 1, first_start=False), Quotas("y", 0.0, 2, first_start=True))
+    owner.set_limiters(0.0, numbers, mine)
+    asker.set_limiters(0.0, numbers, 1 - mine)
 
     def ask(now: float) -> Ask:
         got = asker.request(now, allowance)
@@ -246,30 +246,31 @@
     def row(now: float) -> float:
         return float(owner.rows(now)[0]["tokens"])
 
-    answer = owner.asked(0.0, 1 - mine, ask(0.0).message)
-    assert answer is not None and row(0.0) == 40 * q.MOVED_PART - 1
-    assert asker.told(1.0, answer) == (1, Verdict(True, 0.0, "asked"))
-    assert asker.told(1.0, answer) is None
+    answer = owner.handle_request(0.0, 1 - mine, ask(0.0).message)
+    assert answer is not None and row(0.0) == 40 * q.MOVED_BURST_FRACTION - 1
+    assert asker.handle_reply(1.0, answer) == (1, Verdict(True, 0.0, "asked"))
+    assert asker.handle_reply(1.0, answer) is None
     late, lost = ask(2.0), ask(2.0)
-    assert asker.given_up(70.0, late.number).allowed and asker.given_up(70.0, lost.number).by == "copy"
+    assert asker.handle_timeout(70.0, late.number).allowed \
+        and asker.handle_timeout(70.0, lost.number).decided_by == "copy"
     again = ask(80.0)
     assert again.message["spent"] == 2
-    first = owner.asked(81.0, 1 - mine, again.message)
+    first = owner.handle_request(81.0, 1 - mine, again.message)
     assert first is not None and abs(row(81.0) - (9 - 2 - 1)) < 0.2
-    assert owner.asked(82.0, 1 - mine, again.message) is not None       # a repeat takes its token, no more
+    assert owner.handle_request(82.0, 1 - mine, again.message) is not None  # a repeat takes its token only
     assert abs(row(82.0) - (9 - 2 - 2)) < 0.2
 
 
 def test_a_lower_limit_of_a_newer_version_binds_at_the_owner() -> None:
-    owner = Quotas("x", 0.0, 1, settled=True)
-    owner.members(0.0, {0: "a", 1: "b"}, 0)
+    owner = Quotas("x", 0.0, 1, first_start=True)
+    owner.set_limiters(0.0, {0: "a", 1: "b"}, 0)
     ask = {"k": "ask", "n": 1, "t": "t", "r": 10.0, "b": 50.0, "v": 3, "life": 1, "spent": 0, "heard": 0}
-    first = owner.asked(0.0, 1, ask)
+    first = owner.handle_request(0.0, 1, ask)
     assert first is not None and first["left"] == 49
-    owner.allowances(1.0, 5, {"t": Allowance("t", 1.0, 5.0)})
+    owner.set_allowances(1.0, 5, {"t": Allowance("t", 1.0, 5.0)})
     for message in (ask, ask | {"v": 4, "b": 90.0}):
-        assert (answer := owner.asked(2.0, 1, message)) is not None and answer["left"] < 5
-    assert owner.asked(3.0, 1, ask | {"v": 6, "r": 2.0, "b": 9.0}) is not None
+        assert (answer := owner.handle_request(2.0, 1, message)) is not None and answer["left"] < 5
+    assert owner.handle_request(3.0, 1, ask | {"v": 6, "r": 2.0, "b": 9.0}) is not None
     assert owner.rows(3.0)[0]["burst"] == 9.0
 
 
@@ -282,12 +283,12 @@
 
 @pytest.mark.parametrize("word,key", [(word, key) for word in WORDS for key in word])
 def test_one_odd_field_makes_a_word_unreadable(word: dict[str, Any], key: str) -> None:
-    limiter = Quotas("x", 0.0, 1, settled=True)
-    limiter.members(0.0, {0: "a", 1: "b"}, 0)
+    limiter = Quotas("x", 0.0, 1, first_start=True)
+    limiter.set_limiters(0.0, {0: "a", 1: "b"}, 0)
     for odd in ODD:
-        assert limiter.asked(0.0, 1, word | {key: odd}) is None
-        assert limiter.told(0.0, word | {key: odd}) is None
-    assert not limiter.rows(0.0) and limiter.asked(0.0, 1, word) is not None
+        assert limiter.handle_request(0.0, 1, word | {key: odd}) is None
+        assert limiter.handle_reply(0.0, word | {key: odd}) is None
+    assert not limiter.rows(0.0) and limiter.handle_request(0.0, 1, word) is not None
 
 
 # Faults put in on purpose: the checks above must see each.
@@ -298,10 +299,10 @@
 
     def full(self: Quotas, now: float, allowance: Allowance, version: int, left: float | None) -> Any:
         known = self._owned.get(allowance.tenant)
-        fresh = known is None or known.lost and self._owner(allowance.tenant) == self._me
+        fresh = known is None or known.ownership_lost and self._owner(allowance.tenant) == self._me
         owned = own(self, now, allowance, version, None)
         if fresh:
-            owned.bucket.tokens, owned.moved = allowance.burst, False
+            owned.bucket.tokens, owned.recently_moved = allowance.burst, False
         return owned
 
     monkeypatch.setattr(Quotas, "_own", full)
@@ -348,20 +349,21 @@
 def play(phases: list[tuple[float, int, int, int, bool]], limiters: int, slack: float) -> Model:
     """Each phase lasts some ms, with firsts and wishes for further tries at a limiter, which may restart."""
     model, window, now = Model(0.2, slack), 10_000.0, 5.0
-    budgets = [Budget(0.2, window, slack, limiters, now, settled=True, node=f"n{i}") for i in range(limiters)]
+    budgets = [RetryBudget(0.2, window, slack, limiters, now, first_start=True, node=f"n{i}")
+               for i in range(limiters)]
     restarted: dict[int, float] = {}
     for length, firsts, wishes, at, restart in phases:
         at %= limiters
         if restart and now - restarted.get(at, -window) >= window:
-            budgets[at], restarted[at] = Budget(0.2, window, slack, limiters, now, settled=False,
+            budgets[at], restarted[at] = RetryBudget(0.2, window, slack, limiters, now, first_start=False,
                                                 node=f"n{at}"), now
         for k in range(firsts + wishes):
             now += length / (firsts + wishes)
             who = budgets[(at + k % 2) % limiters]
             if k < firsts:
-                who.first(now, "s")
+                who.record_request(now, "s")
                 model.firsts.append(now)
-            elif who.may_repeat(now, "s"):
+            elif who.take_retry(now, "s"):
                 model.repeats.append(now)
     return model
 
@@ -380,8 +382,8 @@
     assert len(steady(60, 20).repeats) > 0.75 * 0.2 * 220 and len(steady(60, 1).repeats) > 5
     assert steady(60, 60).over(10_000.0) <= 0
 
-    def whole_life(self: Budget, now: float, counts: Any) -> bool:
+    def whole_life(self: RetryBudget, now: float, counts: Any) -> bool:
         return bool(1 + sum(counts.repeats) <= 0.85 * 0.2 * sum(counts.firsts))
 
-    monkeypatch.setattr(Budget, "_room", whole_life)
+    monkeypatch.setattr(RetryBudget, "_within_budget", whole_life)
     assert steady(60, 60).over(10_000.0) > 0
--- a/tests/test_balancing.py
+++ b/tests/test_balancing.py
@@ -13,7 +13,7 @@
 from hypothesis import settings as tries
 from hypothesis import strategies as st
 
-from larklb.admission.choice import Place
+from larklb.admission.choice import ServerState
 from larklb.balancing import estimates as e
 from larklb.balancing.choice import AbleChoice
 from larklb.balancing.errors import UnreadableError
@@ -186,7 +186,7 @@
 def fleet(count: int = 6) -> AbleChoice:
     choice = AbleChoice("a", {"a": "r"}, 1)
     choice.peers("m0", [("m0", "a"), ("m1", "a")])
-    choice.update([Place(f"s{i}", "t", "", "a", 2) for i in range(count)])
+    choice.update([ServerState(f"s{i}", "t", "", "a", 2) for i in range(count)])
     return choice
 
 
@@ -194,16 +194,16 @@
            load: bool = True) -> None:
     """Requests of each route, one at a time, on all servers in turn, which take ``works`` times the usual."""
     chance, now = random.Random(5), 0.0
-    for i in range(60 * len(choice.of)):
+    for i in range(60 * len(choice.servers)):
         for route, work in routes.items():
             assert choice.pick(now, "t", route, 1_000.0) is not None
-            place = choice.of[f"s{i % len(choice.of)}"]
-            choice.began(place)
+            place = choice.servers[f"s{i % len(choice.servers)}"]
+            choice.record_start(place)
             took = work * works.get(place.id, 1.0) * chance.lognormvariate(0.0, 0.4)
             now += took
-            choice.answered(now, place, route, took, True)
+            choice.record_answer(now, place, route, took, True)
             if load:
-                choice.told(now, place, 0, 0)
+                choice.record_load(now, place, 0, 0)
 
 
 @pytest.mark.parametrize("load", [True, False])
@@ -211,7 +211,7 @@
     choice = fleet()
     served(choice, {"s0": 2.0}, {"dear": 300.0, "cheap": 30.0}, load)
     now = choice.clock
-    found = {name: choice.estimates.ability(now, name).factor for name in choice.of}
+    found = {name: choice.estimates.ability(now, name).factor for name in choice.servers}
     assert found["s0"] > 1.3 * max(f for name, f in found.items() if name != "s0")
     assert choice.norm("dear").work() / choice.norm("cheap").work() == pytest.approx(10.0, rel=0.25)
 
@@ -231,12 +231,12 @@
     choice = fleet(2)
     served(choice, {"s0": 6.0}, {"r": 50.0})
     now = choice.clock + 1.0
-    assert choice.pick(now, "t", "r", 1_000.0, beside=("s1",)) is not None
+    assert choice.pick(now, "t", "r", 1_000.0, exclude=("s1",)) is not None
     fast = choice.pick(now, "t", "r", 1_000.0)
     assert fast is not None and fast.id == "s1"
     other = fleet(2)
     first = other.pick(1.0, "t", "r", 1_000.0)
     assert first is not None
-    other.began(first)
+    other.record_start(first)
     second = other.pick(5_000.0, "t", "r", 10_000.0)
     assert second is not None and second.id != first.id
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -16,14 +16,14 @@
     async def play() -> capacity.Fabric:
         fabric = capacity.Fabric(6, 30)
         limiters = list(fabric.of.values())
-        assert all(n.follower.whole and len(n.choice.of) == 30 for n in limiters)
+        assert all(n.follower.whole and len(n.choice.servers) == 30 for n in limiters)
         assert len(set(n.follower.me.number for n in limiters)) == 6
         fabric.meter.reset()
         name = next(iter(fabric.servers))
         fabric.drain(name)
         answers = fabric.change("replace", 0, capacity.document_of(24, 8, 2, 1))
         fabric.run(400.0)
-        assert all(n.choice.of[name].draining for n in limiters)
+        assert all(n.choice.servers[name].draining for n in limiters)
         assert [a.status for a in answers] == [200] and all(n.version == 1 for n in limiters)
         return fabric
 
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -4,14 +4,14 @@
 
 import random
 
-from larklb.admission.choice import TRY_MS, Choice, Place
+from larklb.admission.choice import FULL_RETRY_MS, ServerSelector, ServerState
 
 
-def places(names: range) -> list[Place]:
-    return [Place(f"i-{n}", "orders", f"10.0.0.{n}:80", "north", 4) for n in names]
+def places(names: range) -> list[ServerState]:
+    return [ServerState(f"i-{n}", "orders", f"10.0.0.{n}:80", "north", 4) for n in names]
 
 
-def held(choice: Choice, now: float) -> dict[int, str]:
+def held(choice: ServerSelector, now: float) -> dict[int, str]:
     drawn = random.Random(1)
     callers = [drawn.getrandbits(64) for _ in range(400)]
     found = {}
@@ -23,7 +23,7 @@
 
 
 def test_a_server_that_leaves_moves_only_the_callers_that_it_held() -> None:
-    choice = Choice("north", {"north": "land"}, 1)
+    choice = ServerSelector("north", {"north": "land"}, 1)
     choice.update(places(range(12)))
     choice.assign(0.0, 1)
     before = held(choice, 0.0)
@@ -35,9 +35,9 @@
 
 
 def test_where_all_are_said_to_be_full_one_is_tried_again() -> None:
-    choice = Choice("north", {"north": "land"}, 1)
+    choice = ServerSelector("north", {"north": "land"}, 1)
     choice.update(places(range(3)))
-    for place in choice.of.values():
-        choice.told(0.0, place, 4, 60)          # false, and told again with nothing
-    assert choice.pick(TRY_MS / 2, "orders", "r", 400.0) is None
-    assert choice.pick(TRY_MS * 1.1, "orders", "r", 400.0) is not None
+    for place in choice.servers.values():
+        choice.record_load(0.0, place, 4, 60)          # false, and told again with nothing
+    assert choice.pick(FULL_RETRY_MS / 2, "orders", "r", 400.0) is None
+    assert choice.pick(FULL_RETRY_MS * 1.1, "orders", "r", 400.0) is not None
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -7,8 +7,8 @@
 import pytest
 from attrs import evolve
 
-from larklb.admission.choice import Choice
-from larklb.admission.tries import End
+from larklb.admission.choice import ServerSelector
+from larklb.admission.tries import AttemptOutcome
 from larklb.balancing.choice import AbleChoice
 from larklb.lab.emulator import Emulator, Make, play
 from larklb.lab.emulator_deployment import Deployment, Trouble, flags, shop
@@ -19,7 +19,7 @@
 SHORT = {"length": 12_000.0, "settling": 2_000.0}
 
 
-def maker(kind: type[Choice]) -> Make:
+def maker(kind: type[ServerSelector]) -> Make:
     return lambda number, zone, regions, seed: kind(zone, regions, seed)
 
 
@@ -30,7 +30,7 @@
 
 
 @pytest.mark.parametrize("kind", [*RIVALS.values(), AbleChoice])
-def test_a_day_is_the_same_again_and_every_request_ends_once(kind: type[Choice]) -> None:
+def test_a_day_is_the_same_again_and_every_request_ends_once(kind: type[ServerSelector]) -> None:
     d = flags(**SHORT)
     d = evolve(d, troubles=(Trouble("dark", 4_000.0, 3_000.0, "live", 0.2),
                             Trouble("release", 3_000.0, 6_000.0, "history")))
@@ -39,17 +39,18 @@
     assert first.took == again.run().took
     other = play(d, maker(RIVALS["round robin"]), 7)
     assert {r: len(t) for r, t in first.took.items()} == {r: len(t) for r, t in other.took.items()}
-    assert all(p.out == 0 for m in one.limiters for p in m.choice.of.values())
+    assert all(p.in_flight == 0 for m in one.limiters for p in m.choice.servers.values())
     assert not any(s.running or s.queue for s in one.servers.values())
 
 
 @pytest.mark.parametrize(("on_full", "end"), [
-    ("hang", End.SILENT), ("reset", End.BROKEN), ("refuse", End.NOT_RUN)])
-def test_full_servers_do_as_told(on_full: str, end: End) -> None:
+    ("hang", AttemptOutcome.TIMED_OUT), ("reset", AttemptOutcome.BROKEN), ("refuse", AttemptOutcome.NOT_RUN)])
+def test_full_servers_do_as_told(on_full: str, end: AttemptOutcome) -> None:
     figures = play(full(flags(**SHORT), on_full), maker(RIVALS["round robin"]), 1)
-    ends = {e: figures.count[f"end.{e.value}"] for e in (End.SILENT, End.BROKEN, End.NOT_RUN)}
+    ends = {e: figures.count[f"end.{e.value}"]
+            for e in (AttemptOutcome.TIMED_OUT, AttemptOutcome.BROKEN, AttemptOutcome.NOT_RUN)}
     assert ends[end] > 50
-    assert all(count == 0 for e, count in ends.items() if e not in (end, End.SILENT))
+    assert all(count == 0 for e, count in ends.items() if e not in (end, AttemptOutcome.TIMED_OUT))
 
 
 def test_work_takes_as_long_as_it_is_told_to() -> None:
@@ -64,7 +65,7 @@
 
 def test_the_choice_gains_and_the_weakest_serves() -> None:
     d = flags(load=0.7, length=25_000.0, settling=5_000.0)
-    able, before = (play(d, maker(kind), 4) for kind in (AbleChoice, Choice))
+    able, before = (play(d, maker(kind), 4) for kind in (AbleChoice, ServerSelector))
     assert able.in_aim() > before.in_aim() + 0.008
     assert all(able.weakest(s) > 0.2 for s in able.taken)
 
--- a/tests/test_gateway_process.py
+++ b/tests/test_gateway_process.py
@@ -13,8 +13,8 @@
 import pytest
 from attrs import define, field
 
-from larklb.admission.budget import Budget
-from larklb.admission.choice import Choice, Place
+from larklb.admission.budget import RetryBudget
+from larklb.admission.choice import ServerSelector, ServerState
 from larklb.admission.quota_records import Verdict
 from larklb.gateway import servers as servers_module
 from larklb.gateway.front import Front, in_force
@@ -144,16 +144,16 @@
     port: int = 0
     tasks: set[asyncio.Task[None]] = field(factory=set)
     wheel: Wheel = field(init=False)
-    choice: Choice = field(init=False)
+    choice: ServerSelector = field(init=False)
     servers: Servers = field(init=False)
     front: Front = field(init=False)
     door: Listener = field(init=False)
 
     async def start(self) -> None:
-        self.wheel, self.choice = Wheel(1.0), Choice("z", {"z": "r"}, 1)
+        self.wheel, self.choice = Wheel(1.0), ServerSelector("z", {"z": "r"}, 1)
         count = Counter[str]()
         self.servers = Servers(self.wheel, self.choice, 20, count)
-        budget = Budget(0.2, 10_000, 100, 1, self.wheel.now(), settled=True)
+        budget = RetryBudget(0.2, 10_000, 100, 1, self.wheel.now(), first_start=True)
 
         async def quota(tenant: Tenant) -> Verdict | None:
             return self.verdict
@@ -169,7 +169,7 @@
                 lambda r, w, name=name: self._connected(name, r, w), "127.0.0.1", 0)    # type: ignore[misc]
             self.listening.append(server)
             port = server.sockets[0].getsockname()[1]
-            places.append(Place(name, "t", f"127.0.0.1:{port}", "z", 4))
+            places.append(ServerState(name, "t", f"127.0.0.1:{port}", "z", 4))
         self.choice.update(places)
 
     def _connected(self, name: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -355,7 +355,7 @@
         assert (await bed.ask("safe")).body == b"whole"
         bed.go_on.set()
         await ended.wait()
-        bed.choice.of[next(n for n in bed.choice.of if n != bed.seen[0].server)].draining = True
+        bed.choice.servers[next(n for n in bed.choice.servers if n != bed.seen[0].server)].draining = True
         got = await bed.ask("safe", name=b"a2")
         assert got.body == b"whole" and bed.seen[1].server == bed.seen[0].server and bed.connections == 2
     played(test)
@@ -369,7 +369,7 @@
         bed.steps = [says(lambda c: b"HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")]
         assert (await bed.ask("safe")).body == b"whole"
         first = bed.seen[0].server
-        for name, place in bed.choice.of.items():
+        for name, place in bed.choice.servers.items():
             place.draining = name != first
         assert (await bed.ask("unsafe", name=b"a2")).body == b"whole"
         assert [call.server for call in bed.seen].count(first) == 2
@@ -393,14 +393,14 @@
     async def test(bed: Bed) -> None:
         async def slow(host: str, port: int) -> Any:
             link = await dial(host, port)
-            if not any(place.draining for place in bed.choice.of.values()):
-                for place in bed.choice.of.values():
+            if not any(place.draining for place in bed.choice.servers.values()):
+                for place in bed.choice.servers.values():
                     place.draining = place.address == f"{host}:{port}"
             return link
         monkeypatch.setattr(servers_module, "dial", slow)
         assert (await bed.ask("unsafe")).status == 200
-        assert len(bed.seen) == 1 and not bed.choice.of[bed.seen[0].server].draining
-        for place in bed.choice.of.values():
+        assert len(bed.seen) == 1 and not bed.choice.servers[bed.seen[0].server].draining
+        for place in bed.choice.servers.values():
             place.draining = True
         assert (await bed.ask("safe", name=b"a2")).status == 503 and len(bed.seen) == 1
     played(test)
@@ -482,7 +482,7 @@
     """With the second one's answer the first is broken off; an unsafe one never goes twice."""
     async def test(bed: Bed) -> None:
         for route in ("safe", "unsafe"):
-            bed.choice.usual_of(route).late = 1.0
+            bed.choice.route_latency(route).p95 = 1.0
         broken_off = asyncio.Event()
 
         async def works_until_closed(call: Call) -> bytes | None:
@@ -494,7 +494,7 @@
         assert (await bed.ask("safe")).body == b"whole" and len(bed.seen) == 2
         await broken_off.wait()
         await bed.until(lambda: not bed.front.background)
-        assert bed.servers.open == 1 and all(not p.out for p in bed.choice.of.values())
+        assert bed.servers.open == 1 and all(not p.in_flight for p in bed.choice.servers.values())
         bed.steps = [hangs]
         assert (await bed.ask("unsafe", left=400)).status == 504 and len(bed.seen) == 3
     played(test)
@@ -590,7 +590,7 @@
         assert not await clients[0][0].read()         # the one that rested longest makes room
         assert (await bed.ask("safe")).status == 200 and len(bed.door.links) <= 20
         bed.servers.most = 1
-        bed.choice.of[bed.seen[0].server].draining = True
+        bed.choice.servers[bed.seen[0].server].draining = True
         assert (await bed.ask("safe", name=b"a2")).status == 200
         assert bed.connections == 2 and bed.servers.open == 1
     played(test)
--- a/tests/test_request_cancellation.py
+++ b/tests/test_request_cancellation.py
@@ -14,8 +14,8 @@
 
 import pytest
 
-from larklb.admission.cancellation import Action, Cause, Phase, action
-from larklb.admission.choice import Choice, Place
+from larklb.admission.cancellation import Action, Cause, Phase, action_for
+from larklb.admission.choice import ServerSelector, ServerState
 from larklb.admission.quota_records import Verdict
 from larklb.balancing.choice import AbleChoice
 from larklb.gateway import servers as servers_module
@@ -85,16 +85,17 @@
 
 def settled(bed: Bed) -> bool:
     """Nothing is in work, and no server is held to have any of it, or to be worse for it."""
-    return not bed.door.busy() and all(not p.out and not p.failures for p in bed.choice.of.values())
+    return not bed.door.busy() and all(
+        not p.in_flight and not p.consecutive_failures for p in bed.choice.servers.values())
 
 
 def test_only_what_may_run_once_and_was_sent_outlasts_its_client() -> None:
     outlasts = {(phase, safe) for phase in Phase for safe in (True, False)
-                if action(Cause.CLIENT_GONE, phase, safe=safe) is Action.FINISH}
+                if action_for(Cause.CLIENT_GONE, phase, safe=safe) is Action.FINISH}
     assert outlasts == {(Phase.WAITING, False)}
     for cause in Cause:
         for safe in (True, False):
-            unsent = {action(cause, phase, safe=safe) for phase in Phase if phase is not Phase.WAITING}
+            unsent = {action_for(cause, phase, safe=safe) for phase in Phase if phase is not Phase.WAITING}
             assert unsent == {Action.STOP}, "what hasn't been sent is never sent after its end"
 
 
@@ -116,7 +117,7 @@
 def test_both_attempts_of_a_hedged_request_end_with_its_client() -> None:
     async def test(bed: Bed) -> None:
         ends: Ends = []
-        bed.choice.usual_of("safe").late = 1.0
+        bed.choice.route_latency("safe").p95 = 1.0
         bed.steps = [works_into(ends), works_into(ends)]
         _, writer = await bed.client()
         writer.write(request("safe", b"GET"))
@@ -124,7 +125,7 @@
         writer.close()
         assert await soon(lambda: ends == [BROKEN_OFF] * 2), ends
         assert await soon(lambda: not bed.door.busy() and not bed.front.background)
-        assert all(not place.out for place in bed.choice.of.values())
+        assert all(not place.in_flight for place in bed.choice.servers.values())
     played(test)
 
 
@@ -266,22 +267,22 @@
     played(test, tenants=True)
 
 
-def plays(choice: Choice, work: dict[str, float], patience: float) -> list[str]:
+def plays(choice: ServerSelector, work: dict[str, float], patience: float) -> list[str]:
     """Which servers get the last half of 400 requests, 30 ms apart; clients leave after ``patience`` ms."""
-    choice.update([Place(name, "t", f"{name}:1", "z", 4) for name in work])
-    chosen, ends = [], list[tuple[float, float, Place, bool]]()
+    choice.update([ServerState(name, "t", f"{name}:1", "z", 4) for name in work])
+    chosen, ends = [], list[tuple[float, float, ServerState, bool]]()
     for n in range(400):
         now = 1_000.0 + 30.0 * n
         for entry in sorted((e for e in ends if e[0] <= now), key=lambda e: e[0]):
             ends.remove(entry)
             at, took, server, left = entry
             if left:
-                choice.abandoned(at, server, "r", took)
+                choice.record_abandonment(at, server, "r", took)
             else:
-                choice.answered(at, server, "r", took, True)
+                choice.record_answer(at, server, "r", took, True)
         place = choice.pick(now, "t", "r", 600.0)
         assert place is not None
-        choice.began(place)
+        choice.record_start(place)
         chosen.append(place.id)
         took = min(patience, work[place.id])
         ends.append((now + took, took, place, work[place.id] > patience))
@@ -292,14 +293,14 @@
 @pytest.mark.parametrize("slow", [800.0, 1e9])
 def test_a_server_whose_clients_leave_first_is_not_held_to_be_quick(kind: str, slow: float) -> None:
     """Without its answers only the waits tell that it is slow, or silent."""
-    choice = Choice("z", {"z": "r"}, 1) if kind == "plain" else AbleChoice("z", {"z": "r"}, 1)
+    choice = ServerSelector("z", {"z": "r"}, 1) if kind == "plain" else AbleChoice("z", {"z": "r"}, 1)
     chosen = plays(choice, {"s1": 100.0, "s2": 110.0, "s3": 120.0, "slow": slow}, 300.0)
     assert chosen.count("slow") < 0.12 * len(chosen)
 
 
 @pytest.mark.parametrize("kind", ["plain", "able"])
 def test_clients_that_leave_soon_blame_no_server(kind: str) -> None:
-    choice = Choice("z", {"z": "r"}, 1) if kind == "plain" else AbleChoice("z", {"z": "r"}, 1)
+    choice = ServerSelector("z", {"z": "r"}, 1) if kind == "plain" else AbleChoice("z", {"z": "r"}, 1)
     chosen = plays(choice, {"s1": 100.0, "s2": 100.0}, 40.0)
     assert 60 < chosen.count("s1") < 140
-    assert all(not place.failures for place in choice.of.values())
+    assert all(not place.consecutive_failures for place in choice.servers.values())
