--- a/benchmarks/quota_error.py
+++ b/benchmarks/quota_error.py
@@ -22,7 +22,7 @@
 
 from benchmarks.load import machine, memory_mb
 from larklb.lab import net
-from larklb.quota.book import Book
+from larklb.quota.entitlements import Book
 
 MODES = {"before": (False, 1.0), "service": (True, 1.0), "quota": (True, 0.0)}
 
--- a/larklb/cli/lab.py
+++ b/larklb/cli/lab.py
@@ -47,7 +47,7 @@
               as_json: AsJson = False) -> None:
     """Play one day of several limiters under a scripted network, beside one perfect bucket per customer."""
     from larklb.lab import net
-    from larklb.quota.book import Book
+    from larklb.quota.entitlements import Book
     if scenario == "list":
         show([{"name": s.name, "what": s.words} for s in net.SCENARIOS.values()], ("name", "what"), as_json)
         return
@@ -132,7 +132,7 @@
           restarts: Annotated[int, typer.Option(help="Limiters restarted meanwhile.")] = 0,
           as_json: AsJson = False) -> None:
     """Print, by plan, the most units that may be let in too many, or refused wrongly, stated in advance."""
-    from larklb.quota.apart import bound as computed
+    from larklb.quota.shares import bound as computed
     from larklb.settings import load_operator
     with usable():
         loaded = load_operator(operator)
--- a/larklb/core.py
+++ b/larklb/core.py
@@ -16,8 +16,8 @@
 from larklb.counters import Counters
 from larklb.decide import Gateway
 from larklb.fleet.leases import Limits
-from larklb.quota.book import Book
 from larklb.quota.catalogue import plain
+from larklb.quota.entitlements import Book
 from larklb.told import in_service
 from larklb.wheel import Timer, Wheel
 
--- a/larklb/decide.py
+++ b/larklb/decide.py
@@ -22,12 +22,12 @@
 from larklb.fleet.words import Words
 from larklb.fleet.zones import STEADY_MS
 from larklb.health import ALL_WORK, TRIAL_PART, WORST, Attempt, Server
-from larklb.quota.alone import NEW_MS, REPEAT_MS, Alone
-from larklb.quota.book import Book
 from larklb.quota.breaker import CircuitBreaker
 from larklb.quota.bucket import TokenBucket
-from larklb.quota.kept import thin
+from larklb.quota.entitlements import Book
+from larklb.quota.fallback import NEW_MS, REPEAT_MS, Alone
 from larklb.quota.ring import digest, members, ring_owner
+from larklb.quota.table_limits import thin
 from larklb.records import Held, Lease
 from larklb.servers import LEARN, MEDIAN_AIM, Servers
 
--- a/larklb/desk.py
+++ b/larklb/desk.py
@@ -30,10 +30,10 @@
 from larklb.fleet.zones import Asked, Override, Zones, rehearsed
 from larklb.health import ALL_WORK
 from larklb.quota import catalogue as cat
-from larklb.quota.book import Book
-from larklb.quota.kept import customers
+from larklb.quota.entitlements import Book
 from larklb.quota.reservations import RefusedError, Reservation, Reservations, Shares, Wanted
 from larklb.quota.ring import digest, members, ring_owner
+from larklb.quota.table_limits import customers
 from larklb.settings import Config, ConfigError, ExportEntry, InstanceEntry, LedgerEntry, Operator
 from larklb.state.folder import Folder
 from larklb.state.log import LogError, Step
--- a/larklb/fleet/members.py
+++ b/larklb/fleet/members.py
@@ -20,7 +20,7 @@
 
 from larklb.fleet.verdicts import BAD, LIMITER, Mark, Verdicts
 
-APART_MS = 1200.0          # without a word from a limiter that was heard: it is quiet (``quota/apart.py``)
+APART_MS = 1200.0          # without a word from a limiter that was heard: it is quiet (``quota/shares.py``)
 UNHEARD = 4.0              # how bad a limiter is found that did not answer: it counts for 1.6 half-lives
 
 
--- a/larklb/fleet/words.py
+++ b/larklb/fleet/words.py
@@ -13,7 +13,7 @@
 from larklb import peerwire as pw
 from larklb.fleet.pace import Pace
 from larklb.fleet.verdicts import LIMITER, Finding, Verdicts
-from larklb.quota.alone import QUIET_MS, Alone
+from larklb.quota.fallback import QUIET_MS, Alone
 
 MOST_RIDERS = 64           # items that wait for a message to a peer that gets none
 RELEASE_COPIES = 2         # messages a release rides on: one lost would block a slot until its lease ends
--- a/larklb/handed.py
+++ b/larklb/handed.py
@@ -13,11 +13,11 @@
 from larklb import interface as io
 from larklb.decide import Gateway
 from larklb.health import Server
-from larklb.quota.apart import Asked, Told
 from larklb.quota.breaker import CircuitBreaker
 from larklb.quota.bucket import TokenBucket
 from larklb.quota.demand import Demand
-from larklb.quota.settling import Known, Mine
+from larklb.quota.settlement import Known, Mine
+from larklb.quota.shares import Asked, Told
 from larklb.records import Copy, Lease
 
 VERSION = 1                # of this form: a process of another one is not understood
--- a/larklb/lab/check.py
+++ b/larklb/lab/check.py
@@ -12,7 +12,7 @@
 from typing import Protocol
 
 from larklb.quota.bucket import TokenBucket
-from larklb.quota.settling import Confirmed, Count, Settling
+from larklb.quota.settlement import Confirmed, Count, Settling
 
 KEY, OWNER = 7, 0
 BURST = 8.0
--- a/larklb/lab/net.py
+++ b/larklb/lab/net.py
@@ -13,10 +13,10 @@
 
 from larklb import interface as io
 from larklb.decide import Gateway
-from larklb.quota.apart import Bound, bound
-from larklb.quota.book import Book
 from larklb.quota.bucket import TokenBucket
+from larklb.quota.entitlements import Book
 from larklb.quota.ring import digest, members, ring_owner
+from larklb.quota.shares import Bound, bound
 
 SERVE = 60.0               # ms for which an execute node works on a job
 DELAY = (1.0, 39.0)        # ms of a message, from the operators' brief
--- a/larklb/lab/spread.py
+++ b/larklb/lab/spread.py
@@ -17,8 +17,8 @@
 from larklb.fleet.pace import Pace
 from larklb.fleet.verdicts import BAD, SPREAD_MS, Finding, Verdicts
 from larklb.fleet.words import Words
-from larklb.quota.alone import Alone
-from larklb.quota.book import Book
+from larklb.quota.entitlements import Book
+from larklb.quota.fallback import Alone
 
 AIM, TICK, INBOX, HALF = 1500.0, 4.0, 60.0, 4000.0
 DELAY = (1.0, 39.0)        # ms of a message, from the operators' brief
--- a/larklb/net/front.py
+++ b/larklb/net/front.py
@@ -23,7 +23,7 @@
 from larklb.net.execute import Content, Ended, ExecuteNodes
 from larklb.net.http import MOST_BODY, MOST_BULK, LateError, Link, TooLongError, WatchedReader
 from larklb.phase import Phase
-from larklb.quota.kept import PART, PROGRAM_MB
+from larklb.quota.table_limits import PART, PROGRAM_MB
 from larklb.settings import Config
 
 if TYPE_CHECKING:
--- a/larklb/peerwire.py
+++ b/larklb/peerwire.py
@@ -12,8 +12,8 @@
 from larklb.fleet.leases import Share as Share
 from larklb.fleet.leases import Want as Want
 from larklb.fleet.verdicts import Finding as Finding
-from larklb.quota.settling import Confirmed as Confirmed
-from larklb.quota.settling import Count as Count
+from larklb.quota.settlement import Confirmed as Confirmed
+from larklb.quota.settlement import Count as Count
 
 VERSION = 0xB1
 MOST_BYTES = 256
--- a/larklb/quota/book.py
+++ b/larklb/quota/entitlements.py
@@ -8,9 +8,9 @@
 from larklb import peerwire as pw
 from larklb.quota.bucket import TokenBucket, fresh
 from larklb.quota.catalogue import Catalogue, plain
-from larklb.quota.kept import MOST
 from larklb.quota.reservations import LEAST, Reservation, Reservations
 from larklb.quota.ring import digest
+from larklb.quota.table_limits import MOST
 
 RESERVE = 1.0              # the platform's: errs on the side of service (docs/design/losing-the-counter.md)
 SPEAKS_HOLDS = 10000.0     # ms for which a peer is believed to speak so: it may come back as an older program
@@ -34,7 +34,7 @@
     def __init__(self, plans: tuple[io.Plan, ...], catalogue: Catalogue | None = None,
                  reservations: Reservations | None = None, offset: float = 0.0, *,
                  settle: bool = True, reserve: float = RESERVE, most: int = MOST) -> None:
-        """``settle``: what is let in without the owner is settled with it; ``reserve``: see ``apart.py``;
+        """``settle``: what is let in without the owner is settled with it; ``reserve``: see ``shares.py``;
         ``most``: customers that are kept in each table."""
         self.settle, self.reserve, self.most = settle, reserve, most
         self.catalogue = catalogue or plain(plans)
--- a/larklb/quota/alone.py
+++ b/larklb/quota/fallback.py
@@ -1,6 +1,6 @@
 """What a limiter decides without its customer's owner, and how that is settled with it afterwards.
 
-It holds the late copies and slices, the shares (``apart.py``) and the counts (``settling.py``), and knows
+It holds the late copies and slices, the shares (``shares.py``) and the counts (``settlement.py``), and knows
 which limiters have been heard of lately.  The module asks it and tells it; it does no input or output.
 """
 
@@ -11,11 +11,11 @@
 
 from larklb import interface as io
 from larklb import peerwire as pw
-from larklb.quota.apart import APART_MS, DEBT, FORGET_MS, SETTLE_MS, SLACK, Shares
-from larklb.quota.book import Book
 from larklb.quota.bucket import TokenBucket
-from larklb.quota.kept import make_room, thin
-from larklb.quota.settling import STEP, Confirmed, Count, Settling
+from larklb.quota.entitlements import Book
+from larklb.quota.settlement import STEP, Confirmed, Count, Settling
+from larklb.quota.shares import APART_MS, DEBT, FORGET_MS, SETTLE_MS, SLACK, Shares
+from larklb.quota.table_limits import make_room, thin
 from larklb.records import Copy, Held
 
 COPY_FRESH_MS = 1000.0     # a late copy older than this no longer stands in for the owner (design)
--- a/larklb/quota/apart.py
+++ b/larklb/quota/shares.py
@@ -10,7 +10,7 @@
 to what it sees over what all were asked for before, by ``reserve`` at the most: 0 errs on the side of the
 quota, 1 on that of service.
 
-Rejoin.  Counts of what was let in apart (``settling.py``) are taken from the escrow first, then from the
+Rejoin.  Counts of what was let in apart (``settlement.py``) are taken from the escrow first, then from the
 bucket; what is left of the escrow returns to the bucket some seconds after all are heard again.
 """
 
@@ -20,7 +20,7 @@
 from dataclasses import dataclass
 
 from larklb.quota.demand import SLOW_MS, Demand, moved
-from larklb.quota.kept import MOST, make_room
+from larklb.quota.table_limits import MOST, make_room
 
 APART_MS = 1200.0          # without a word from a limiter that has a share: it is taken to be apart
 SETTLE_MS = 1500.0         # after all are heard again counts may still come: then the escrow returns
--- a/larklb/serve.py
+++ b/larklb/serve.py
@@ -30,8 +30,8 @@
 from larklb.net.handover import Channel, HandoverError, find, meeting_place, take
 from larklb.net.machines import FIRST_LIST, Machines
 from larklb.phase import Phase
-from larklb.quota.book import Book
-from larklb.quota.kept import customers
+from larklb.quota.entitlements import Book
+from larklb.quota.table_limits import customers
 from larklb.settings import Config, ConfigError, Operator, StoreEntry, load
 from larklb.succession import Succession
 from larklb.upkeep import for_good
--- a/tests/test_hardening.py
+++ b/tests/test_hardening.py
@@ -30,8 +30,8 @@
 from larklb.net import execute, peers
 from larklb.net.front import Front, parse
 from larklb.net.machines import Machine, Machines
-from larklb.quota.kept import BYTES, customers
-from larklb.quota.settling import ENDED_MS, Count, Settling
+from larklb.quota.settlement import ENDED_MS, Count, Settling
+from larklb.quota.table_limits import BYTES, customers
 from larklb.settings import InstanceEntry, Operator, load
 from larklb.state.log import LogError, replay
 from tests.conftest import Bed
@@ -98,7 +98,7 @@
     assert choose.left < 0 and len(b.gateways[0].waiting) >= 4
 
 
-MEETS = ["larklb.quota.book.Book.made", "larklb.decide.Gateway._decide", "larklb.decide.Gateway._choose",
+MEETS = ["larklb.quota.entitlements.Book.made", "larklb.decide.Gateway._decide", "larklb.decide.Gateway._choose",
          "larklb.decide.Gateway._send", "larklb.quota.bucket.TokenBucket.fill",
          "larklb.decide.Gateway._after"]
 
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -14,10 +14,10 @@
 
 from larklb import interface as io
 from larklb import peerwire as pw
-from larklb.quota.alone import Alone
-from larklb.quota.book import Book
 from larklb.quota.bucket import TokenBucket
 from larklb.quota.catalogue import Catalogue, CatalogueError, differences, parse, plain, succeed
+from larklb.quota.entitlements import Book
+from larklb.quota.fallback import Alone
 from larklb.quota.reservations import (
     MOVES,
     Move,
--- a/tests/test_settling.py
+++ b/tests/test_settling.py
@@ -17,12 +17,12 @@
 from larklb.lab import net
 from larklb.lab.check import FoundError, World, explore
 from larklb.lab.relay import Relay
-from larklb.quota.alone import COPY_BYTES, COUNT_BYTES
-from larklb.quota.apart import APART_MS, SETTLE_MS, Shares, bound
-from larklb.quota.book import Book
 from larklb.quota.bucket import TokenBucket
 from larklb.quota.demand import SLOW_MS, Demand
-from larklb.quota.settling import Confirmed, Count, Settling
+from larklb.quota.entitlements import Book
+from larklb.quota.fallback import COPY_BYTES, COUNT_BYTES
+from larklb.quota.settlement import Confirmed, Count, Settling
+from larklb.quota.shares import APART_MS, SETTLE_MS, Shares, bound
 from tests.standins import Yard, ask, job
 from tests.test_desk import granted, owner_first
 from tests.test_usage import larklb
@@ -79,7 +79,7 @@
 
 
 def test_state_ages_out_and_stays_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("larklb.quota.settling.MOST", 50)
+    monkeypatch.setattr("larklb.quota.settlement.MOST", 50)
     owner, asker = Settling(1), Settling(5)
     for key in range(200):
         asker.let(float(key), key, 0, 0, 1.0)
