--- a/benchmarks/quota_error.py
+++ b/benchmarks/quota_error.py
@@ -22,7 +22,7 @@
 
 from benchmarks.load import machine, memory_mb
 from larklb.lab import net
-from larklb.quota.entitlements import Book
+from larklb.quota.entitlements import Entitlements
 
 MODES = {"before": (False, 1.0), "service": (True, 1.0), "quota": (True, 0.0)}
 
@@ -41,7 +41,7 @@
 def day(asked: tuple[str, int, str]) -> Figures:
     name, seed, mode = asked
     settle, reserve = MODES[mode]
-    played = net.play(name, seed, book=lambda number: Book(net.PLANS, settle=settle, reserve=reserve))
+    played = net.play(name, seed, book=lambda number: Entitlements(net.PLANS, settle=settle, reserve=reserve))
     over, refused = net.totals(played)
     s = net.SCENARIOS[name]
     parts = [max(c.most_over / b.over, c.most_under / b.under) for c in played.customers
@@ -91,7 +91,7 @@
         spent = {}
         for settle in ((False, True), (True, False))[seed % 2]:
             began = time.process_time()
-            played = net.play("calm", seed, book=lambda number, on=settle: Book(   # type: ignore[misc]
+            played = net.play("calm", seed, book=lambda number, on=settle: Entitlements(   # type: ignore[misc]
                 net.PLANS, settle=on))
             spent[settle] = (time.process_time() - began) / sum(c.tried for c in played.customers)
         ratios.append(spent[True] / spent[False])
--- a/larklb/admission/quotas.py
+++ b/larklb/admission/quotas.py
@@ -239,7 +239,7 @@
             return Verdict(False, MAX_TIMEOUT_MS, SLICE)
         out.given_up = True
         self._waiting -= 1
-        self._peer(now, out.owner).breaker.failed(now, self._chance.random())
+        self._peer(now, out.owner).breaker.record_failure(now, self._chance.random())
         return self._alone(now, self._slice(now, out.allowance))
 
     def notes(self, now: float) -> list[tuple[int, dict[str, Any]]]:
--- a/larklb/cli/fleet.py
+++ b/larklb/cli/fleet.py
@@ -36,7 +36,7 @@
     """Print how old verdicts may be, how soon a lost link is noticed, how far over and under limits go."""
     from larklb.decide import GIVE_UP_AIM
     from larklb.fleet import bound as stated
-    from larklb.quota.shares import bound as quota
+    from larklb.quota.shares import error_bound as quota
     from larklb.settings import load_operator
     with usable():
         loaded = load_operator(operator)
--- a/larklb/cli/lab.py
+++ b/larklb/cli/lab.py
@@ -47,13 +47,14 @@
               as_json: AsJson = False) -> None:
     """Play one day of several limiters under a scripted network, beside one perfect bucket per customer."""
     from larklb.lab import net
-    from larklb.quota.entitlements import Book
+    from larklb.quota.entitlements import Entitlements
     if scenario == "list":
         show([{"name": s.name, "what": s.words} for s in net.SCENARIOS.values()], ("name", "what"), as_json)
         return
     if scenario not in net.SCENARIOS:
         raise stop(f"there is no scenario {scenario!r}: see --scenario list")
-    day = net.play(scenario, seed, book=lambda number: Book(net.PLANS, settle=settle, reserve=reserve))
+    day = net.play(scenario, seed,
+                   book=lambda number: Entitlements(net.PLANS, settle=settle, reserve=reserve))
     show(net.rows(day, net.SCENARIOS[scenario], reserve),
          ("customer", "plan", "load", "owner", "tried", "perfect", "let in", "over", "refused", "most over",
           "bound over", "most under", "bound under"), as_json)
@@ -132,7 +133,7 @@
           restarts: Annotated[int, typer.Option(help="Limiters restarted meanwhile.")] = 0,
           as_json: AsJson = False) -> None:
     """Print, by plan, the most units that may be let in too many, or refused wrongly, stated in advance."""
-    from larklb.quota.shares import bound as computed
+    from larklb.quota.shares import error_bound as computed
     from larklb.settings import load_operator
     with usable():
         loaded = load_operator(operator)
--- a/larklb/cli/plans.py
+++ b/larklb/cli/plans.py
@@ -70,7 +70,7 @@
             show(rows, ("name", "counts", "newest", "heard", "note"), as_json)
             raise typer.Exit(SILENT if silent or len({r["newest"] for r in rows}) > 1 else 0)
         found = _read(_file(operator), operator)
-    now = found.at(time.time() * 1000.0)
+    now = found.index_at(time.time() * 1000.0)
     rows = []
     for i, version in enumerate(found.versions):
         row = shown(version)
@@ -99,7 +99,7 @@
     """
     import time
 
-    from larklb.quota.catalogue import CatalogueError, succeed
+    from larklb.quota.catalogue import CatalogueError, successor
     from larklb.settings import load_operator
     from larklb.state.folder import put_file
     with usable():
@@ -107,7 +107,7 @@
         new = _read(file, operator)
         if target.exists():
             try:
-                succeed(_read(target, operator), new, time.time() * 1000.0)
+                successor(_read(target, operator), new, time.time() * 1000.0)
             except CatalogueError as error:
                 raise stop(f"{file}: {error}", REFUSED) from error
         text = file.read_text()
--- a/larklb/core.py
+++ b/larklb/core.py
@@ -16,8 +16,8 @@
 from larklb.counters import Counters
 from larklb.decide import Gateway
 from larklb.fleet.leases import Limits
-from larklb.quota.catalogue import plain
-from larklb.quota.entitlements import Book
+from larklb.quota.catalogue import settings_catalogue
+from larklb.quota.entitlements import Entitlements
 from larklb.told import in_service
 from larklb.wheel import Timer, Wheel
 
@@ -62,7 +62,7 @@
     """One Gateway and the jobs it decides on."""
 
     def __init__(self, settings: io.Settings, seed: int, wheel: Wheel, counters: Counters,
-                 book: Book | None = None, limits: Limits | None = None) -> None:
+                 book: Entitlements | None = None, limits: Limits | None = None) -> None:
         self.settings = settings
         self.wheel = wheel
         self.counters = counters
@@ -91,7 +91,7 @@
         cannot be taken over in service."""
         kept = in_service(self.settings, settings, self.gateway.topics)
         if not self.gateway.book.extended:        # else plans are the catalogue's
-            self.gateway.book.take(self.wheel.now(), plain(kept.plans))
+            self.gateway.book.replace_catalogue(self.wheel.now(), settings_catalogue(kept.plans))
         self.settings = kept
         self.classes = {c.name: c for c in kept.classes}
         self.plans = {p.name for p in settings.plans}
--- a/larklb/decide.py
+++ b/larklb/decide.py
@@ -24,10 +24,10 @@
 from larklb.health import ALL_WORK, TRIAL_PART, WORST, Attempt, Server
 from larklb.quota.breaker import CircuitBreaker
 from larklb.quota.bucket import TokenBucket
-from larklb.quota.entitlements import Book
-from larklb.quota.fallback import NEW_MS, REPEAT_MS, Alone
+from larklb.quota.entitlements import Entitlements
+from larklb.quota.fallback import REPORT_MS, WARMUP_MS, Fallback
 from larklb.quota.ring import digest, members, ring_owner
-from larklb.quota.table_limits import thin
+from larklb.quota.table_limits import evict_fullest
 from larklb.records import Held, Lease
 from larklb.servers import LEARN, MEDIAN_AIM, Servers
 
@@ -61,10 +61,10 @@
 class Gateway:
     """One gateway: ``handle(now, event)`` returns the actions to carry out."""
 
-    def __init__(self, settings: io.Settings, seed: int, now: float, book: Book | None = None,
+    def __init__(self, settings: io.Settings, seed: int, now: float, book: Entitlements | None = None,
                  limits: Limits | None = None) -> None:
-        self.book = book or Book(settings.plans)
-        self.alone = Alone(settings, self.book, now)              # what is decided without the owner
+        self.book = book or Entitlements(settings.plans)
+        self.alone = Fallback(settings, self.book, now)              # what is decided without the owner
         self.random = random.Random(seed)
         self.verdicts = Verdicts(settings.number, settings.gateways, half_life(settings))
         self.view = Servers(settings, self.random, self.verdicts)       # of all servers
@@ -81,7 +81,7 @@
         self.waiting: list[Held] = []                             # admitted, but no server has room
         self.look_at = -math.inf                                 # when it is looked at next, if nothing else
         self.servers = self.view.of
-        self.repeat = REPEAT_MS                                   # between looks at who is to be told again
+        self.repeat = REPORT_MS                                   # between looks at who is to be told again
         self.room = ROOM_START
         self.steady = False                                       # the zones are looked at by a timer
         self.pressed = -math.inf                                  # when a job last had to wait for room
@@ -89,7 +89,7 @@
         self.marks = itertools.count(1)
         self.numbers = itertools.count(self.random.randrange(1 << 31))
         self.pace = Pace(settings.inbox_per_s, settings.tick, self.aim)      # of words to peers
-        self.members = Members(settings.number, settings.gateways, self.alone.heard_at, self.verdicts)
+        self.members = Members(settings.number, settings.gateways, self.alone.last_heard_at, self.verdicts)
         self.words = Words(settings.number, self.aim, self.pace, self.alone, self.verdicts)
         self.limits = limits or Limits(settings.number, settings.gateways, now, self.most_due)
         self.actions: list[io.Action] = []
@@ -102,15 +102,15 @@
             self._after(SPREAD_MS, self._spread)
         if self.limits.node_attempts:
             self._after(HASTE_MS, self._lease)
-        if self.alone.on:
+        if self.alone.enabled:
             # Words that nobody asked for leave nearly all of an inbox to those that somebody waits for.
-            self.repeat = max(REPEAT_MS, REPEAT_GAPS * 1000.0 / max(1e-3, self.s.inbox_per_s * INBOX_SHARE))
-            self._after(REPEAT_MS, self._repeat)
+            self.repeat = max(REPORT_MS, REPEAT_GAPS * 1000.0 / max(1e-3, self.s.inbox_per_s * INBOX_SHARE))
+            self._after(REPORT_MS, self._repeat)
             self._greet(now)
         return self.actions
 
     def _settle_in(self, settings: io.Settings) -> None:
-        self.s = self.alone.s = self.view.s = settings
+        self.s = self.alone.settings = self.view.s = settings
         self.classes = {c.name: c for c in settings.classes}
         self.plans = {p.name: (i, p) for i, p in enumerate(settings.plans)}
         for c in settings.classes:                # a class keeps its topic, here and at peers, for good
@@ -127,7 +127,7 @@
         self._settle_in(settings)
         self.limits.renew(self.most_due)
         for key, (told, bucket) in self.buckets.items():
-            self.book.fit(now, key, told, bucket)
+            self.book.update_bucket(now, key, told, bucket)
 
     def handle(self, now: float, event: io.Event) -> list[io.Action]:
         self.actions = []
@@ -178,11 +178,11 @@
         """Idle buckets, copies and leases age out; state stays bounded by recent traffic."""
         self._after(self.most_due / 4, self._clean)      # first: one that fails must not be the last
         for key, (told, b) in list(self.buckets.items()):
-            self.book.fit(now, key, told, b)
-            self.alone.hold(now, key, b)
+            self.book.update_bucket(now, key, told, b)
+            self.alone.apply_share(now, key, b)
             if b.open <= 0 and now - b.at > self.most_due and b.part == 1.0 and b.fill(now) >= b.burst:
                 del self.buckets[key]
-        self.alone.clean(now, self.most_due)
+        self.alone.expire(now, self.most_due)
         self.words.clean(now, self.most_due)
         for name, lease in list(self.leases.items()):
             if now >= lease.until:
@@ -206,16 +206,16 @@
         for key, plan_name, tokens, at in rows:
             if plan_name in self.plans and at <= now:
                 number = self.plans[plan_name][0]
-                self.buckets[key] = (number, self.book.restored(key, number, tokens, at))
+                self.buckets[key] = (number, self.book.restored_bucket(key, number, tokens, at))
         return len(self.buckets)
 
     def _bucket(self, now: float, key: int, plan_number: int) -> TokenBucket:
         if key not in self.buckets:
-            thin(self.buckets, now, self.book.most)
-            self.buckets[key] = (plan_number, self.book.made(now, key, plan_number))
+            evict_fullest(self.buckets, now, self.book.max_customers)
+            self.buckets[key] = (plan_number, self.book.new_bucket(now, key, plan_number))
         bucket = self.buckets[key][1]
-        self.book.fit(now, key, plan_number, bucket)
-        self.alone.hold(now, key, bucket)
+        self.book.update_bucket(now, key, plan_number, bucket)
+        self.alone.apply_share(now, key, bucket)
         return bucket
 
     def _decide(self, now: float, name: tuple[int, int], key: int, plan_number: int, units: float,
@@ -223,7 +223,7 @@
         """The owner's verdict; the same ask gets the same one."""
         if name in self.leases:
             return self.leases[name]
-        judged, bucket = self.book.judged(now, key, plan_number), self._bucket(now, key, plan_number)
+        judged, bucket = self.book.effective_plan(now, key, plan_number), self._bucket(now, key, plan_number)
         plan, drawn = judged.plan, None
         bucket.fill(now)
         room = not plan.most_open or bucket.open < plan.most_open
@@ -241,7 +241,7 @@
 
     def _lease_over(self, now: float, name: tuple[int, int], back: float) -> None:
         lease = self.leases.get(name)
-        if lease is None and self.alone.on:      # it overtook its ask, which must not be granted any more
+        if lease is None and self.alone.enabled:  # it overtook its ask, which must not be granted any more
             self.leases[name] = Lease(0, 0, False, 0.0, now + self.most_due, True)
         if lease is None or lease.over:
             return
@@ -259,7 +259,7 @@
             raise ValueError(f"request: service {e.service!r} or plan {e.plan!r} is not in the settings")
         told, spread = self.plans[e.plan][0], max(1, min(e.spread, self.s.gateways))
         key = digest(e.customer)
-        number, plan, version = self.book.judged(now, key, told)
+        number, plan, version = self.book.effective_plan(now, key, told)
         ring = (key, e.first, spread)
         if ring not in self.owners:
             self.owners[ring] = ring_owner(key, members(e.first, spread, self.s.gateways))
@@ -269,7 +269,7 @@
             there = Server(io.Entry("", b.zone, b.cell), self.s.number, self.forgive)
             h.before.append(Attempt(there, now - b.age, False))
         self.held[e.request] = h
-        self.alone.tried(now, h)
+        self.alone.record_request(now, h)
         last = min((a.sent + h.cls.window - self.s.tick for a in h.before), default=e.due - 2 * self.s.tick)
         self._after(min(last, e.due - 2 * self.s.tick) - now, lambda t: self._next(t, h))
         if h.before and not any(self._may_follow(h, h.before, s, now) for s in self.view.up):
@@ -278,8 +278,8 @@
             self._go(now, h)
         elif h.owner == self.s.number:
             self._own(now, h)
-        elif (wait := self.alone.empty(now, h, self.s.inbox_per_s * INBOX_SHARE,
-                                       self.usual[h.cls.name])) is not None:
+        elif (wait := self.alone.refusal_wait(now, h, self.s.inbox_per_s * INBOX_SHARE,
+                                              self.usual[h.cls.name])) is not None:
             self._beyond(now, h, wait)
         elif (not self.s.can_tell or self.members.silent(now, h.owner)
               or not self.breakers[h.owner].allows(now)):
@@ -298,14 +298,14 @@
             self._beyond(now, h, self._bucket(now, h.key, h.told).wait_for(h.units))
 
     def _ask(self, now: float, h: Held) -> None:
-        speaks = pw.SPEAKS if self.book.extended or self.alone.on else 0
+        speaks = pw.SPEAKS if self.book.extended or self.alone.enabled else 0
         h.asking = number = next(self.numbers) & pw.NUMBERS | speaks
         self.asks[number] = h
-        ask = pw.Ask(number, h.key, h.told, h.units, h.due - now, self.alone.left(now, h))
-        if self.book.speaks(now, h.owner):
-            if self.alone.on:
-                ask = ask._replace(demand=self.alone.shares.usual(now, h.key))
-            owed: list[pw.Item] = [*self.book.owed(h.key), *self.alone.count_of(now, h)]
+        ask = pw.Ask(number, h.key, h.told, h.units, h.due - now, self.alone.tokens_left(now, h))
+        if self.book.supports_extended(now, h.owner):
+            if self.alone.enabled:
+                ask = ask._replace(demand=self.alone.shares.average_demand(now, h.key))
+            owed: list[pw.Item] = [*self.book.unconfirmed_draws(h.key), *self.alone.count_to_report(now, h)]
             for item in owed:
                 self._tell(h.owner, item)
         self._tell(h.owner, ask)
@@ -320,10 +320,10 @@
                 self._after(again, unheard)
             else:
                 h.asking = None
-                if self.alone.on:        # whatever the owner may grant after all is void: it is counted anew
+                if self.alone.enabled:  # whatever the owner may grant after all is void: it is counted anew
                     h.void = True
                     self.words.ride(h.owner, pw.Release(number, h.units))
-                self.breakers[h.owner].failed(t, self.random.random())
+                self.breakers[h.owner].record_failure(t, self.random.random())
                 self.members.unheard(t, h.owner, now)
                 self._fallback(t, h)
 
@@ -332,10 +332,10 @@
     def _fallback(self, now: float, h: Held) -> None:
         """The owner cannot be asked: the late copy less what it let in since, else the share, decides."""
         out = sum(o.key == h.key and o.out() for o in self.held.values()) if h.plan.most_open else 0
-        inside, wait = self.alone.judge(now, h, out, self.breakers[h.owner].failures)
+        inside, wait = self.alone.decide(now, h, out, self.breakers[h.owner].failures)
         if inside:
-            self.alone.let(now, h)
-        elif (drawn := self.book.draw_apart(now, h.key, h.units, self.s.number)) is not None:
+            self.alone.record_admitted(now, h)
+        elif (drawn := self.book.draw_without_owner(now, h.key, h.units, self.s.number)) is not None:
             inside, h.reservation = True, drawn.tag
             self.actions.append(drawn)
         if inside:
@@ -345,11 +345,11 @@
 
     def _repeat(self, now: float) -> None:
         """Who is silent is asked for a word, and owners are told again what they have not confirmed."""
-        self._after(REPEAT_MS, self._repeat)
-        self.alone.near = self.pace.fair(self.view.writers(now)) <= REPEAT_MS / 2
-        for peer in self.alone.quiet(now):
+        self._after(REPORT_MS, self._repeat)
+        self.alone.can_detect_silence = self.pace.fair(self.view.writers(now)) <= REPORT_MS / 2
+        for peer in self.alone.quiet_peers(now):
             self._knock(now, peer)
-        for peer in self.alone.owing(now, self.repeat):
+        for peer in self.alone.owners_to_report_to(now, self.repeat):
             self._wake(peer)
 
     def _beyond(self, now: float, h: Held, wait: float) -> None:
@@ -369,11 +369,11 @@
 
     def _greet(self, now: float) -> None:
         """In its first second a start is told again and again: messages are lost, owners need copies."""
-        if self.s.gateways <= GREETED and self.alone.is_new(now):
+        if self.s.gateways <= GREETED and self.alone.is_starting(now):
             for peer in range(self.s.gateways):
                 if peer != self.s.number:
                     self._wake(peer)
-            self._after(REPEAT_MS / 4, self._greet)
+            self._after(REPORT_MS / 4, self._greet)
 
     def _wake(self, peer: int) -> None:
         """A message goes to a peer with what the rest of this gateway has for it."""
@@ -456,7 +456,7 @@
         if not items or e.sender == self.s.number:
             return
         self.breakers.pop(e.sender, None)       # any word closes it
-        self.alone.heard(now, e.sender)
+        self.alone.on_message(now, e.sender)
         self.members.heard(now, e.sender)
         self.view.heard(now, e.sender, next((item.out for item in items if isinstance(item, pw.Loads)), None))
         self.pace.arrived(now, e.sender)
@@ -473,24 +473,24 @@
                 case pw.Release():
                     self._lease_over(now, (e.sender, item.number), item.back)
                 case pw.Drawn():
-                    if (kept := self.book.drawn_apart(e.sender, item)) is not None:
+                    if (kept := self.book.on_remote_draw(e.sender, item)) is not None:
                         self.actions.append(kept)
                     self._tell(e.sender, pw.Told(item.tag, item.units))
                 case pw.Told():
-                    self.book.confirmed(item)
+                    self.book.on_draw_confirmed(item)
                 case pw.Count() if item.plan < len(self.s.plans):
                     bucket = self._bucket(now, item.key, item.plan)
-                    if (word := self.alone.counted(now, e.sender, item, bucket)) is not None:
+                    if (word := self.alone.on_count(now, e.sender, item, bucket)) is not None:
                         self._tell(e.sender, word)
                 case pw.Confirmed():
-                    self.alone.settling.heard_confirmed(now, e.sender, item)
+                    self.alone.settlement.on_confirmed(now, e.sender, item)
                 case pw.Fresh():
                     for want in self.limits.fresh(now, e.sender, self.view.attempts):
                         self._tell(e.sender, want)
-                    if self.alone.fresh(now, e.sender, item.incarnation):
+                    if self.alone.on_peer_started(now, e.sender, item.incarnation):
                         self._wake(e.sender)
-                case pw.CopyOf() if item.plan < len(self.s.plans) and self.alone.is_new(now):
-                    self.alone.copied(now, self._bucket(now, item.key, item.plan), item.left)
+                case pw.CopyOf() if item.plan < len(self.s.plans) and self.alone.is_starting(now):
+                    self.alone.on_copy(now, self._bucket(now, item.key, item.plan), item.left)
                 case pw.News():
                     stamp = self.verdicts.stamp(now - item.age)
                     self._found(now, e.sender, Finding(item.server, item.topic, item.slow, item.age, e.sender,
@@ -508,22 +508,22 @@
         if ask.plan >= len(self.s.plans):
             return
         if ask.demand is not None:
-            self.alone.shares.heard(now, ask.customer, sender, ask.demand)
+            self.alone.shares.record_peer_demand(now, ask.customer, sender, ask.demand)
         bucket = self._bucket(now, ask.customer, ask.plan)
         # Only a new bucket knows less than a copy, which lacks what has filled while messages were under way.
-        if ask.left is not None and now - bucket.born < NEW_MS and (sender, ask.number) not in self.leases:
-            self.alone.copied(now, bucket, ask.left)
+        if ask.left is not None and now - bucket.born < WARMUP_MS and (sender, ask.number) not in self.leases:
+            self.alone.on_copy(now, bucket, ask.left)
         lease = self._decide(now, (sender, ask.number), ask.customer, ask.plan, ask.units, ask.lease)
         if lease.units <= 0:
             return                              # it was given up: nobody waits for a word
         verdict = pw.Verdict(ask.number, lease.granted, bucket.fill(now), bucket.open)
-        if self.alone.on and ask.number & pw.SPEAKS:
-            share, total = self.alone.shares.tell(now, ask.customer, sender)
+        if self.alone.enabled and ask.number & pw.SPEAKS:
+            share, total = self.alone.shares.share_for(now, ask.customer, sender)
             verdict = verdict._replace(share=share, total=total)
         if self.book.extended and ask.number & pw.SPEAKS:
             verdict = verdict._replace(plan=lease.judged, version=lease.version,
                                        reservation=lease.reservation,
-                                       reserved=self.book.reserved(now, ask.customer))
+                                       reserved=self.book.reserved_units(now, ask.customer))
         self._tell(sender, verdict)
 
     def _verdict(self, now: float, sender: int, v: pw.Verdict) -> None:
@@ -532,9 +532,9 @@
         h = self.asks.pop(v.number)
         self.pace.answered(now, v.number)
         late = h.asking != v.number or h.ended
-        self.alone.verdict(now, h, v)
+        self.alone.on_verdict(now, h, v)
         if v.share is not None or v.plan is not None:
-            if word := self.book.heard(now, sender, v.version):
+            if word := self.book.on_peer_version(now, sender, v.version):
                 self.actions.append(io.Log(word))
         if late:                                   # too late to be used, but it still mended the copy
             if v.granted and not h.void and (h.ended or not h.admitted):
--- a/larklb/desk.py
+++ b/larklb/desk.py
@@ -30,10 +30,10 @@
 from larklb.fleet.zones import Asked, Override, Zones, rehearsed
 from larklb.health import ALL_WORK
 from larklb.quota import catalogue as cat
-from larklb.quota.entitlements import Book
-from larklb.quota.reservations import RefusedError, Reservation, Reservations, Shares, Wanted
+from larklb.quota.entitlements import Entitlements
+from larklb.quota.reservations import RefusedError, Reservation, ReservationLimits, Reservations, Wanted
 from larklb.quota.ring import digest, members, ring_owner
-from larklb.quota.table_limits import customers
+from larklb.quota.table_limits import customers_for_memory
 from larklb.settings import Config, ConfigError, ExportEntry, InstanceEntry, LedgerEntry, Operator
 from larklb.state.folder import Folder
 from larklb.state.log import LogError, Step
@@ -124,13 +124,15 @@
                 self.held = Folder(folder / "reservations")
                 r = operator.reservations
                 reservations = Reservations(
-                    Shares(r.fleet_share * r.fleet_rate if r.fleet_rate else float("inf"), r.customer_share),
+                    ReservationLimits(r.fleet_share * r.fleet_rate if r.fleet_rate else float("inf"),
+                                      r.customer_share),
                     config.settings.gateways, config.settings.number)
                 self.reserved = ReservedLog(folder / "reservations" / "reservations.log", reservations,
                                             self.wall(), self.step)
         self.reservations = reservations
-        self.book = Book(plans, catalogue, reservations, self.offset, settle=operator.quota.settle,
-                         reserve=operator.quota.reserve(), most=customers(config.memory_mb))
+        self.book = Entitlements(plans, catalogue, reservations, self.offset, settle=operator.quota.settle,
+                                 reserve=operator.quota.reserve(),
+                                 max_customers=customers_for_memory(config.memory_mb))
         if self.ledger is not None and operator.export is not None:
             self.exporter = ex.Exporter(self.ledger, counters, receiver_of(operator.export, base),
                                         operator.export.most_wait_s, config.seed)
@@ -214,15 +216,15 @@
             log.error("the plans stay at version %d: %s", self.book.catalogue.newest.number, error)
 
     def take(self, new: cat.Catalogue) -> None:
-        taken = cat.succeed(self.book.catalogue, new, self.wall())
+        taken = cat.successor(self.book.catalogue, new, self.wall())
         assert self.core is not None
-        self.book.take(self.core.wheel.now(), taken)
+        self.book.replace_catalogue(self.core.wheel.now(), taken)
         self.counters.add("plans.taken")
         log.info("plans: version %d is the newest, %d counts now", taken.newest.number, self._counts())
 
     def _counts(self) -> int:
         c = self.book.catalogue
-        return c.versions[c.at(self.wall())].number
+        return c.versions[c.index_at(self.wall())].number
 
     # What the administrative address answers ------------------------------------------------
 
@@ -239,14 +241,15 @@
         c = self.book.catalogue
         return {"name": self.config.name, "number": self.config.settings.number, "pid": os.getpid(),
                 "program": __version__, "serving_s": round(time.time() - self.began, 1),
-                "plans": {"counts": self._counts(), "newest": c.newest.number, "heard": self.book.newer},
+                "plans": {"counts": self._counts(), "newest": c.newest.number,
+                          "heard": self.book.newest_peer_version},
                 "reservations": len(self.reservations.by_name) if self.reservations is not None else 0,
                 "jobs": len(self.core.jobs) if self.core is not None else 0}
 
     async def plans_show(self, q: dict[str, Any]) -> dict[str, Any]:
         c = self.book.catalogue
         return {"name": self.config.name, "counts": self._counts(), "newest": c.newest.number,
-                "heard": self.book.newer, "versions": [shown(v) for v in c.versions]}
+                "heard": self.book.newest_peer_version, "versions": [shown(v) for v in c.versions]}
 
     def _told(self, q: dict[str, Any]) -> cat.Catalogue:
         if self.plans_file is None:
@@ -259,7 +262,7 @@
     async def plans_check(self, q: dict[str, Any]) -> dict[str, Any]:
         new = self._told(q)
         try:
-            taken = cat.succeed(self.book.catalogue, new, self.wall())
+            taken = cat.successor(self.book.catalogue, new, self.wall())
         except cat.CatalogueError as error:
             raise AdminError(str(error)) from error
         return {"name": self.config.name, "changes": cat.differences(self.book.catalogue, taken)}
@@ -295,7 +298,7 @@
         if not owned and not q.get("copy"):
             raise AdminError(f"the owner of this customer is limiter {owner}")
         c = self.book.catalogue
-        index = c.at(wanted.begin)
+        index = c.index_at(wanted.begin)
         plan = c.versions[index].plans[c.plan_of(key, index, number)]
         known = wanted.name in reservations.by_name
         try:
@@ -305,7 +308,7 @@
         except RefusedError as error:
             raise AdminError(str(error)) from error
         except LogError as error:
-            reservations.drop(r)
+            reservations.remove(r)
             raise AdminError(f"it could not be kept: {error}") from error
         return self._shown(r)
 
@@ -313,8 +316,9 @@
         w = r.wanted
         return {"id": w.name, "state": r.advance(self.wall()).value, "owner": r.owned, "tag": f"{r.tag:08x}",
                 "limiter": self.config.name, "customer": w.customer, "plan": w.plan, "units": w.units,
-                "left": r.left, "drawn": r.drawn, "apart": sum(r.apart.values()), "begin": cat.when(w.begin),
-                "end": cat.when(w.end), "set": f"spread={w.spread},first={w.first}"}
+                "left": r.remaining, "drawn": r.drawn, "apart": sum(r.remote_draws.values()),
+                "begin": cat.format_instant(w.begin), "end": cat.format_instant(w.end),
+                "set": f"spread={w.spread},first={w.first}"}
 
     async def reserve_list(self, q: dict[str, Any]) -> dict[str, Any]:
         reservations, _ = self._reservations()
@@ -339,7 +343,7 @@
         except MalformedError as error:
             raise AdminError(str(error)) from error
         gateway = self.core.gateway
-        found = gateway.alone.state(self.core.wheel.now(), key, gateway.buckets.get(key))
+        found = gateway.alone.describe(self.core.wheel.now(), key, gateway.buckets.get(key))
         return {"name": self.config.name, **found}
 
     async def fleet_state(self, q: dict[str, Any]) -> dict[str, Any]:
@@ -366,7 +370,7 @@
                 node = g.zones.by_short[subject].name if subject in g.zones.by_short else f"{subject:04x}"
             verdicts.append({"node": node, "topic": topics.get(topic, str(topic)), **row})
         return {"name": self.config.name, "number": g.s.number, "members": g.members.rows(now),
-                "ages_ms": {peer: round(now - at) for peer, at in g.alone.heard_at.items()},
+                "ages_ms": {peer: round(now - at) for peer, at in g.alone.last_heard_at.items()},
                 "nodes": len(g.view.up), "reach": [s.entry.server for s in g.view.near],
                 "list": g.view.version,
                 "inbox": round(g.pace.inbox.now(now), 1), "verdicts": verdicts,
@@ -454,7 +458,8 @@
 
 def shown(v: cat.Version) -> dict[str, Any]:
     """A version for a command."""
-    return {"number": v.number, "from": cat.when(v.at), "note": v.note, "says": cat.stated(v),
+    return {"number": v.number, "from": cat.format_instant(v.effective_at), "note": v.note,
+            "says": cat.summary(v),
             "plans": {p.name: {"rate": p.rate, "burst": p.burst, "most_open": p.most_open} for p in v.plans}}
 
 
--- a/larklb/fleet/words.py
+++ b/larklb/fleet/words.py
@@ -13,7 +13,7 @@
 from larklb import peerwire as pw
 from larklb.fleet.pace import Pace
 from larklb.fleet.verdicts import LIMITER, Finding, Verdicts
-from larklb.quota.fallback import QUIET_MS, Alone
+from larklb.quota.fallback import PEER_QUIET_MS, Fallback
 
 MOST_RIDERS = 64           # items that wait for a message to a peer that gets none
 RELEASE_COPIES = 2         # messages a release rides on: one lost would block a slot until its lease ends
@@ -28,7 +28,7 @@
 class Words:
     """One limiter's messages to the others."""
 
-    def __init__(self, number: int, aim: float, pace: Pace, alone: Alone, verdicts: Verdicts) -> None:
+    def __init__(self, number: int, aim: float, pace: Pace, alone: Fallback, verdicts: Verdicts) -> None:
         """``number`` of this limiter; ``aim``: ms, the least of all classes."""
         self.number, self.aim = number, aim
         self.pace, self.alone, self.verdicts = pace, alone, verdicts
@@ -53,7 +53,7 @@
 
     def knock(self, now: float, peer: int, out: Pairs) -> None:
         """A word to a peer not heard of: any closes a breaker, which else outlasts a cut by its 30 s."""
-        if now - self.load_at.get(peer, -math.inf) >= min(self.aim * KNOCK_AIM, QUIET_MS):
+        if now - self.load_at.get(peer, -math.inf) >= min(self.aim * KNOCK_AIM, PEER_QUIET_MS):
             self.call(now, peer, out)
 
     def call(self, now: float, peer: int, out: Pairs) -> None:
@@ -85,7 +85,7 @@
 
     def _message(self, now: float, peer: int, out: Callable[[], Pairs],
                  ) -> tuple[bytes, list[tuple[pw.Item, int]]]:
-        data, rest = bytes([pw.VERSION]) + self.alone.greeting(now), []
+        data, rest = bytes([pw.VERSION]) + self.alone.startup_notice(now), []
         box = self.boxes.pop(peer)
         for item, copies in box:
             packed = pw.pack_item(item)
@@ -93,7 +93,7 @@
                 data, copies = data + packed, copies - 1
             if copies:
                 rest.append((item, copies))
-        data += b"".join(self.alone.riders(now, peer, pw.MOST_BYTES - len(data)))
+        data += b"".join(self.alone.piggybacked_items(now, peer, pw.MOST_BYTES - len(data)))
         if not box or not all(isinstance(item, pw.Loads) for item, _ in box):      # a knock has loads alone
             data += self._news(now, peer, pw.MOST_BYTES - len(data))
         return data + self._loads(now, peer, pw.MOST_BYTES - len(data), out), rest
--- a/larklb/handed.py
+++ b/larklb/handed.py
@@ -16,8 +16,8 @@
 from larklb.quota.breaker import CircuitBreaker
 from larklb.quota.bucket import TokenBucket
 from larklb.quota.demand import Demand
-from larklb.quota.settlement import Known, Mine
-from larklb.quota.shares import Asked, Told
+from larklb.quota.settlement import LocalCount, PeerCount
+from larklb.quota.shares import GrantedShare, PeerDemand
 from larklb.records import Copy, Lease
 
 VERSION = 1                # of this form: a process of another one is not understood
@@ -74,14 +74,14 @@
     heard_at: dict[int, float]
     ends: dict[int, float]
     demand: dict[int, Demand]
-    asked: dict[int, dict[int, Asked]]
-    told: dict[int, Told]
+    asked: dict[int, dict[int, PeerDemand]]
+    told: dict[int, GrantedShare]
     since: dict[int, float]
     whole: dict[int, float]
     incarnation: int
-    mine: dict[int, Mine]
+    mine: dict[int, LocalCount]
     unsettled: dict[int, list[int]]
-    known: list[tuple[tuple[int, int], Known]]
+    known: list[tuple[tuple[int, int], PeerCount]]
     current: dict[int, int]
     settled_at: dict[int, float]
     speak: dict[int, tuple[float, int]]
@@ -91,7 +91,7 @@
          places: dict[str, Place]) -> bytes:
     """The state as bytes."""
     g, alone = gateway, gateway.alone
-    shares, settling = alone.shares, alone.settling
+    shares, settling = alone.shares, alone.settlement
     return msgspec.msgpack.encode(Handed(
         version=VERSION, draining=draining, generation=generation, discovery=discovery, offset=offset,
         places=places,
@@ -101,12 +101,14 @@
         buckets=[(key, plan, bucket) for key, (plan, bucket) in g.buckets.items()],
         # Its own leases belong to jobs that it finishes itself.
         leases=[(name, lease) for name, lease in g.leases.items() if name[0] != g.s.number],
-        began=alone.began, copies=alone.copies, slices=alone.slices, heard_at=alone.heard_at,
-        ends=alone.ends, demand=shares.demand, asked=shares.asked, told=shares.told,
-        since=shares.since, whole=shares.whole, incarnation=settling.incarnation,
-        mine=settling.mine, unsettled={owner: list(keys) for owner, keys in settling.open.items()},
-        known=list(settling.known.items()), current=settling.current, settled_at=settling.heard_at,
-        speak=g.book.peers))
+        began=alone.started_at, copies=alone.copies, slices=alone.share_buckets, heard_at=alone.last_heard_at,
+        ends=alone.reunited_at, demand=shares.demand, asked=shares.peer_demand, told=shares.granted,
+        since=shares.separated_since, whole=shares.initial_demand, incarnation=settling.incarnation,
+        mine=settling.local_counts,
+        unsettled={owner: list(keys) for owner, keys in settling.unconfirmed.items()},
+        known=list(settling.peer_counts.items()), current=settling.incarnations,
+        settled_at=settling.last_heard_at,
+        speak=g.book.extended_peers))
 
 
 def unpack(data: bytes) -> Handed:
@@ -140,25 +142,25 @@
         if lease.plan in to:
             lease.plan, lease.judged = to[lease.plan], to.get(lease.judged, to[lease.plan])
             g.leases[name] = lease
-    alone.began, alone.heard_at, alone.ends = handed.began, handed.heard_at, handed.ends
+    alone.started_at, alone.last_heard_at, alone.reunited_at = handed.began, handed.heard_at, handed.ends
     for key, copy in handed.copies.items():
         if copy.plan in to:
             copy.plan, alone.copies[key] = to[copy.plan], copy
-    alone.slices = {k: (to[p], b, part) for k, (p, b, part) in handed.slices.items() if p in to}
-    shares, settling = alone.shares, alone.settling
-    shares.demand, shares.asked, shares.told = handed.demand, handed.asked, handed.told
-    shares.since, shares.whole = handed.since, handed.whole
+    alone.share_buckets = {k: (to[p], b, part) for k, (p, b, part) in handed.slices.items() if p in to}
+    shares, settling = alone.shares, alone.settlement
+    shares.demand, shares.peer_demand, shares.granted = handed.demand, handed.asked, handed.told
+    shares.separated_since, shares.initial_demand = handed.since, handed.whole
     settling.incarnation = handed.incarnation
-    settling.mine = {k: m for k, m in handed.mine.items() if m.plan in to}
-    for mine in settling.mine.values():
+    settling.local_counts = {k: m for k, m in handed.mine.items() if m.plan in to}
+    for mine in settling.local_counts.values():
         mine.plan = to[mine.plan]
-    settling.open = {owner: {k: settling.mine[k] for k in keys if k in settling.mine}
-                     for owner, keys in handed.unsettled.items()}
-    settling.known = dict(handed.known)
-    settling.current, settling.heard_at = handed.current, handed.settled_at
-    g.book.peers = handed.speak
+    settling.unconfirmed = {owner: {k: settling.local_counts[k] for k in keys if k in settling.local_counts}
+                            for owner, keys in handed.unsettled.items()}
+    settling.peer_counts = dict(handed.known)
+    settling.incarnations, settling.last_heard_at = handed.current, handed.settled_at
+    g.book.extended_peers = handed.speak
     for key, (told, bucket) in g.buckets.items():
-        g.book.fit(now, key, told, bucket)
+        g.book.update_bucket(now, key, told, bucket)
 
 
 def retired(settings: io.Settings) -> dict[str, Any]:
--- a/larklb/lab/check.py
+++ b/larklb/lab/check.py
@@ -12,7 +12,7 @@
 from typing import Protocol
 
 from larklb.quota.bucket import TokenBucket
-from larklb.quota.settlement import Confirmed, Count, Settling
+from larklb.quota.settlement import Confirmed, Count, Settlement
 
 KEY, OWNER = 7, 0
 BURST = 8.0
@@ -30,7 +30,7 @@
 class Letting:
     """A limiter apart: what it may let in by its share, and has."""
 
-    settling: Settling
+    settling: Settlement
     left: float
     starts: int = 1
 
@@ -38,11 +38,11 @@
 class World:
     """One world; ``make`` gives the counts' keeper, so that tests can put faults into it."""
 
-    def __init__(self, limiters: int, make: Callable[[int], Settling]) -> None:
+    def __init__(self, limiters: int, make: Callable[[int], Settlement]) -> None:
         self.make = make
         self.owner, self.owner_starts = make(1), 1
         self.bucket = TokenBucket(1e-9, BURST, BURST, 0.0)
-        self.bucket.share(0.0, 1.0 - SHARE * limiters)
+        self.bucket.set_part(0.0, 1.0 - SHARE * limiters)
         self.apart = {i: Letting(make(1), BURST * SHARE) for i in range(1, limiters + 1)}
         self.flying: list[tuple[int, Count | Confirmed]] = []       # to whom or from whom, and what
         self.let = 0.0                                      # by all, ever
@@ -54,7 +54,7 @@
         for i, a in self.apart.items():
             if a.left >= 1.0:
                 found.append(("let", i))
-            if a.settling.owed_of(KEY) is not None and len(self.flying) < MOST_MESSAGES:
+            if a.settling.unconfirmed_count(KEY) is not None and len(self.flying) < MOST_MESSAGES:
                 found.append(("tell", i))
             if a.starts < 2:
                 found.append(("restart", i))
@@ -71,12 +71,12 @@
             case "let":
                 a = self.apart[n]
                 a.left -= 1.0
-                a.settling.let(0.0, KEY, 0, OWNER, 1.0)
+                a.settling.record_admitted(0.0, KEY, 0, OWNER, 1.0)
                 self.let += 1.0
                 name_of = (n, a.settling.incarnation)
                 self.by[name_of] = self.by.get(name_of, 0.0) + 1.0
             case "tell":
-                count = self.apart[n].settling.owed_of(KEY)
+                count = self.apart[n].settling.unconfirmed_count(KEY)
                 assert count is not None
                 self.flying.append((n, count))
             case "restart":
@@ -95,13 +95,13 @@
 
     def _arrive(self, who: int, message: Count | Confirmed) -> None:
         if isinstance(message, Confirmed):
-            self.apart[who].settling.heard_confirmed(0.0, OWNER, message)
+            self.apart[who].settling.on_confirmed(0.0, OWNER, message)
             return
-        news = self.owner.heard(0.0, who, message)
+        news = self.owner.on_count(0.0, who, message)
         name = (who, message.incarnation)
         self.taken[name] = self.taken.get(name, 0.0) + news
         self.bucket.settle(0.0, news, BURST)
-        word = self.owner.confirms(who, KEY)
+        word = self.owner.confirmation_for(who, KEY)
         if word is not None and len(self.flying) < MOST_MESSAGES:
             self.flying.append((who, word))
 
@@ -114,7 +114,7 @@
         if self.let > BURST + 1e-9:
             return f"{self.let:g} units were let in on a quota of {BURST:g}"
         for i, a in self.apart.items():
-            mine = a.settling.mine.get(KEY)
+            mine = a.settling.local_counts.get(KEY)
             if mine is not None and mine.confirmed > mine.units + 1e-9:
                 return f"limiter {i} was confirmed more than it let in"
         return ""
@@ -125,7 +125,7 @@
         self.flying.clear()
         for i, a in self.apart.items():
             for _ in range(2):
-                count = a.settling.owed_of(KEY)
+                count = a.settling.unconfirmed_count(KEY)
                 if count is not None:
                     self._arrive(i, count)
                     for who, word in self.flying:
@@ -135,13 +135,13 @@
                 if isinstance(message, Count):
                     self._arrive(who, message)
             self.flying.clear()
-            mine = a.settling.mine.get(KEY)
+            mine = a.settling.local_counts.get(KEY)
             if mine is None:
                 continue
-            known = self.owner.known.get((i, KEY))
+            known = self.owner.peer_counts.get((i, KEY))
             done = known is not None and known.units == mine.units or self.owner_starts > 1 and (
                 mine.confirmed == mine.units)              # its former self confirmed all of it
-            if not done or a.settling.owed_of(KEY) is not None:
+            if not done or a.settling.unconfirmed_count(KEY) is not None:
                 return f"limiter {i} let in {mine.units:g}, its owner knows of {known and known.units}"
             if self.owner_starts == 1 and self.taken.get((i, a.settling.incarnation), 0.0) != mine.units:
                 return (f"limiter {i} let in {mine.units:g}, and "
@@ -150,17 +150,18 @@
 
     def looks(self) -> object:
         """Worlds that look alike go on alike."""
-        def of(s: Settling) -> object:
-            return (s.incarnation, tuple(sorted((k, m.units, m.confirmed) for k, m in s.mine.items())),
-                    tuple(sorted(s.open.get(OWNER, {}))), tuple(sorted(s.current.items())),
-                    tuple(sorted((k, v.incarnation, v.units) for k, v in s.known.items())))
+        def of(s: Settlement) -> object:
+            return (s.incarnation,
+                    tuple(sorted((k, m.units, m.confirmed) for k, m in s.local_counts.items())),
+                    tuple(sorted(s.unconfirmed.get(OWNER, {}))), tuple(sorted(s.incarnations.items())),
+                    tuple(sorted((k, v.incarnation, v.units) for k, v in s.peer_counts.items())))
         return (of(self.owner), self.owner_starts, self.bucket.tokens, self.bucket.escrow,
                 tuple((of(a.settling), a.left, a.starts) for a in self.apart.values()),
                 tuple(sorted(self.flying, key=repr)), tuple(sorted(self.taken.items())),
                 tuple(sorted(self.by.items())))
 
 
-def explore(depth: int, limiters: int = 1, make: Callable[[int], Settling] = Settling) -> int:
+def explore(depth: int, limiters: int = 1, make: Callable[[int], Settlement] = Settlement) -> int:
     """Plays every world of counts up to a depth; how many differ."""
     return explored(depth, lambda: World(limiters, make))
 
--- a/larklb/lab/net.py
+++ b/larklb/lab/net.py
@@ -14,9 +14,9 @@
 from larklb import interface as io
 from larklb.decide import Gateway
 from larklb.quota.bucket import TokenBucket
-from larklb.quota.entitlements import Book
+from larklb.quota.entitlements import Entitlements
 from larklb.quota.ring import digest, members, ring_owner
-from larklb.quota.shares import Bound, bound
+from larklb.quota.shares import ErrorBound, error_bound
 
 SERVE = 60.0               # ms for which an execute node works on a job
 DELAY = (1.0, 39.0)        # ms of a message, from the operators' brief
@@ -85,7 +85,7 @@
     def __init__(self, gateways: int, customers: list[Customer], link: Link, seed: int, *,
                  plans: tuple[io.Plan, ...] = PLANS, inbox: float = 60.0,
                  servers: tuple[io.Entry, ...] = (),
-                 book: Callable[[int], Book | None] = lambda number: None) -> None:
+                 book: Callable[[int], Entitlements | None] = lambda number: None) -> None:
         """``servers``: the list that all limiters start with; none: four for each limiter."""
         self.customers, self.link, self.book, self.inbox = customers, link, book, inbox
         self.chance = random.Random(seed)
@@ -301,7 +301,7 @@
 
 
 def play(name: str, seed: int, *, gateways: int = 4, count: int = 24, spread: int = 3,
-         book: Callable[[int], Book | None] = lambda number: None) -> Net:
+         book: Callable[[int], Entitlements | None] = lambda number: None) -> Net:
     """One day of a scenario."""
     s = SCENARIOS[name]
     net = Net(gateways, customers_of(s, gateways, count, spread, seed), link_of(s, gateways), seed, book=book)
@@ -319,11 +319,11 @@
             sum(max(0.0, c.ideal - c.let) for c in net.customers) / ideal)
 
 
-def bound_of(s: Scenario, c: Customer, reserve: float) -> Bound:
+def bound_of(s: Scenario, c: Customer, reserve: float) -> ErrorBound:
     """The bound stated in advance for a customer of a scenario, in units."""
     apart = max((b - a for a, b in s.cuts), default=0.0) / 1000.0
-    return bound(c.plan.rate, c.plan.burst, c.spread, loss=s.loss, apart_s=apart, reserve=reserve,
-                 restarts=len(s.restarts), cuts=len(s.cuts))
+    return error_bound(c.plan.rate, c.plan.burst, c.spread, loss=s.loss, apart_s=apart, reserve=reserve,
+                       restarts=len(s.restarts), cuts=len(s.cuts))
 
 
 def rows(net: Net, s: Scenario, reserve: float) -> list[dict[str, object]]:
--- a/larklb/lab/spread.py
+++ b/larklb/lab/spread.py
@@ -17,8 +17,8 @@
 from larklb.fleet.pace import Pace
 from larklb.fleet.verdicts import BAD, SPREAD_MS, Finding, Verdicts
 from larklb.fleet.words import Words
-from larklb.quota.entitlements import Book
-from larklb.quota.fallback import Alone
+from larklb.quota.entitlements import Entitlements
+from larklb.quota.fallback import Fallback
 
 AIM, TICK, INBOX, HALF = 1500.0, 4.0, 60.0, 4000.0
 DELAY = (1.0, 39.0)        # ms of a message, from the operators' brief
@@ -80,7 +80,7 @@
         settings = io.Settings(number=number, gateways=self.count, inbox_per_s=INBOX, tick=TICK,
                                classes=(io.ServiceClass("c", AIM, 4000.0),), plans=(io.Plan("p"),))
         pace, verdicts = Pace(INBOX, TICK, AIM), make(number, self.count, HALF)
-        alone = Alone(settings, Book(settings.plans), -1e6)
+        alone = Fallback(settings, Entitlements(settings.plans), -1e6)
         return Limiter(number, pace, verdicts, Words(number, AIM, pace, alone, verdicts))
 
     def at(self, when: float, act: Callable[[], object]) -> None:
--- a/larklb/net/front.py
+++ b/larklb/net/front.py
@@ -23,7 +23,7 @@
 from larklb.net.execute import Content, Ended, ExecuteNodes
 from larklb.net.http import MOST_BODY, MOST_BULK, LateError, Link, TooLongError, WatchedReader
 from larklb.phase import Phase
-from larklb.quota.table_limits import PART, PROGRAM_MB
+from larklb.quota.table_limits import CUSTOMER_MEMORY_PART, PROCESS_BASE_MB
 from larklb.settings import Config
 
 if TYPE_CHECKING:
@@ -132,7 +132,7 @@
         self.phase = phase
         # What customers' tables and the program leave of the memory is for bodies and answers that flow.
         self.flows = asyncio.Semaphore(max(LEAST_FLOWS, int(
-            (config.memory_mb - PROGRAM_MB) * (1.0 - PART) / FLOW_MB)))
+            (config.memory_mb - PROCESS_BASE_MB) * (1.0 - CUSTOMER_MEMORY_PART) / FLOW_MB)))
         self.most = int(config.sockets * SOCKETS_PART) - (MOST_AT_ONCE if config.admin is not None else 0)
         self.kept = int(config.sockets * KEPT_PART)
         self.links: dict[Link, None] = {}      # that count: a closed one's task may still be on its way out
--- a/larklb/quota/breaker.py
+++ b/larklb/quota/breaker.py
@@ -26,8 +26,8 @@
         self.trial = True
         return True
 
-    def failed(self, now: float, chance: float) -> None:
+    def record_failure(self, now: float, jitter: float) -> None:
         self.failures += 1
         if self.failures >= BREAKER_FAILURES and (self.trial or now >= self.open_until):
-            self.open_until = now + BREAKER_OPEN_MS * (1 + BREAKER_JITTER * chance)
+            self.open_until = now + BREAKER_OPEN_MS * (1 + BREAKER_JITTER * jitter)
             self.trial = False
--- a/larklb/quota/bucket.py
+++ b/larklb/quota/bucket.py
@@ -5,7 +5,7 @@
 import math
 from dataclasses import dataclass
 
-SPILT_MS = 2000.0          # what a bucket could not hold so long ago would not have been there for others
+SPILL_DECAY_MS = 2000.0    # what a bucket could not hold so long ago would not have been there for others
 
 
 @dataclass
@@ -37,13 +37,13 @@
                 self.escrow += gain * (1.0 - self.part) + over
                 gain *= self.part
             over = max(0.0, self.tokens + gain - self.burst)
-            faded = math.exp(min(0.0, self.at - now) / SPILT_MS)
-            self.spilt = min(self.burst, self.spilt * faded + min(over, self.rate * SPILT_MS / 1000.0))
+            faded = math.exp(min(0.0, self.at - now) / SPILL_DECAY_MS)
+            self.spilt = min(self.burst, self.spilt * faded + min(over, self.rate * SPILL_DECAY_MS / 1000.0))
             self.tokens = min(self.burst, self.tokens + gain)
         self.at = max(self.at, now)
         return min(self.burst, self.tokens)
 
-    def share(self, now: float, part: float) -> None:
+    def set_part(self, now: float, part: float) -> None:
         """From now on this side has a part of the quota; 1 leaves the escrow until it is released."""
         if part == self.part:
             return
@@ -64,7 +64,7 @@
         if self.rate > 0:
             self.tokens = max(min(self.tokens, -debt), self.tokens - (units - covered))
 
-    def release(self, now: float) -> None:
+    def release_escrow(self, now: float) -> None:
         """All has been settled: what the others did not use returns."""
         self.fill(now)
         self.tokens, self.escrow = min(self.burst, self.tokens + self.escrow), 0.0
@@ -89,6 +89,6 @@
             self.tokens = min(self.tokens, burst)
 
 
-def fresh(rate: float, burst: float, at: float) -> TokenBucket:
+def full_bucket(rate: float, burst: float, at: float) -> TokenBucket:
     """A bucket of a customer not seen before: full (design); without a rate it has not begun to count."""
     return TokenBucket(rate, burst, burst if rate > 0 else math.inf, at, 0, at)
--- a/larklb/quota/catalogue.py
+++ b/larklb/quota/catalogue.py
@@ -18,11 +18,11 @@
 from larklb.fields import MalformedError, account
 from larklb.quota.ring import digest
 
-MOST_VERSIONS = 1000           # of a catalogue: some changes a week for years
-MOST_NUMBER = 65535            # that a peer message can carry
-MOST_CUSTOMERS = 200_000       # assignments in all versions together
-MOST_RATE = 1e6                # units a second: beyond it a figure is a slip of the pen
-SETTINGS = 0                   # the version that the settings told at the start
+MAX_VERSIONS = 1000           # of a catalogue: some changes a week for years
+MAX_VERSION_NUMBER = 65535            # that a peer message can carry
+MAX_ASSIGNMENTS = 200_000       # assignments in all versions together
+MAX_RATE = 1e6                # units a second: beyond it a figure is a slip of the pen
+SETTINGS_VERSION = 0                   # the version that the settings told at the start
 
 
 class CatalogueError(Exception):
@@ -54,12 +54,12 @@
     """All plans as one version leaves them; ``at`` is in Unix milliseconds, -inf for the settings'."""
 
     number: int
-    at: float
+    effective_at: float
     plans: tuple[io.Plan, ...]
     note: str = ""
-    stated: tuple[tuple[str, Figures], ...] = ()
+    plan_changes: tuple[tuple[str, Figures], ...] = ()
     customers: tuple[tuple[str, str], ...] = ()
-    written: float = -math.inf      # the instant as the file has it: one in the past counts from its arrival
+    stated_at: float = -math.inf  # the instant as the file has it: one in the past counts from its arrival
 
 
 class Catalogue:
@@ -67,41 +67,41 @@
 
     def __init__(self, versions: tuple[Version, ...]) -> None:
         self.versions = versions
-        self.index = {v.number: i for i, v in enumerate(versions)}
-        self.instants = [v.at for v in versions]
+        self.index_by_number = {v.number: i for i, v in enumerate(versions)}
+        self.instants = [v.effective_at for v in versions]
         names = {p.name: i for i, p in enumerate(versions[0].plans)}
         # Of each assigned customer: from which version on it is on which plan; None for the plan it names.
-        self.assigned: dict[int, list[tuple[int, int | None]]] = {}
+        self.assignments: dict[int, list[tuple[int, int | None]]] = {}
         for i, v in enumerate(versions):
             for customer, plan in v.customers:
-                self.assigned.setdefault(digest(customer), []).append((i, names.get(plan)))
+                self.assignments.setdefault(digest(customer), []).append((i, names.get(plan)))
 
     @property
     def newest(self) -> Version:
         return self.versions[-1]
 
-    def changes(self, after: int, upto: int) -> list[int]:
+    def effective_changes(self, after: int, upto: int) -> list[int]:
         """The versions from one to another that really counted: of one instant only the last."""
         return [i for i in range(after + 1, upto + 1)
                 if i == upto or self.instants[i + 1] > self.instants[i]]
 
-    def at(self, wall: float) -> int:
+    def index_at(self, wall: float) -> int:
         """The index of the version that counts at an instant."""
         return max(0, bisect_right(self.instants, wall) - 1)
 
     def plan_of(self, key: int, index: int, told: int) -> int:
         """Number of the plan of a customer under a version; ``told`` is the one that its request names."""
         plan: int | None = None
-        for since, number in self.assigned.get(key, ()):
+        for since, number in self.assignments.get(key, ()):
             if since > index:
                 break
             plan = number
         return told if plan is None else plan
 
 
-def plain(plans: tuple[io.Plan, ...]) -> Catalogue:
+def settings_catalogue(plans: tuple[io.Plan, ...]) -> Catalogue:
     """What the settings say, and nothing else."""
-    return Catalogue((Version(SETTINGS, -math.inf, plans),))
+    return Catalogue((Version(SETTINGS_VERSION, -math.inf, plans),))
 
 
 def parse(data: bytes, plans: tuple[io.Plan, ...], where: str = "plans") -> Catalogue:
@@ -113,11 +113,11 @@
         raw = msgspec.toml.decode(data, type=_File)
     except (msgspec.DecodeError, ValueError) as error:
         raise CatalogueError(f"{where}: {str(error).splitlines()[0]}") from error
-    if len(raw.version) > MOST_VERSIONS:
-        raise CatalogueError(f"{where}: {len(raw.version)} versions, {MOST_VERSIONS} at most")
-    if sum(len(e.customers) for e in raw.version) > MOST_CUSTOMERS:
-        raise CatalogueError(f"{where}: more than {MOST_CUSTOMERS} assignments of customers")
-    versions = [Version(SETTINGS, -math.inf, plans)]
+    if len(raw.version) > MAX_VERSIONS:
+        raise CatalogueError(f"{where}: {len(raw.version)} versions, {MAX_VERSIONS} at most")
+    if sum(len(e.customers) for e in raw.version) > MAX_ASSIGNMENTS:
+        raise CatalogueError(f"{where}: more than {MAX_ASSIGNMENTS} assignments of customers")
+    versions = [Version(SETTINGS_VERSION, -math.inf, plans)]
     for entry in raw.version:
         try:
             versions.append(_version(entry, versions[-1]))
@@ -127,12 +127,13 @@
 
 
 def _version(entry: _Entry, before: Version) -> Version:
-    if not before.number < entry.number <= MOST_NUMBER:
-        raise CatalogueError(f"numbers go up from 1 to {MOST_NUMBER}, and {before.number} came before it")
+    if not before.number < entry.number <= MAX_VERSION_NUMBER:
+        raise CatalogueError(f"numbers go up from 1 to {MAX_VERSION_NUMBER}, "
+                             f"and {before.number} came before it")
     if entry.instant.tzinfo is None:
         raise CatalogueError("from: the instant has no time zone")
     at = entry.instant.timestamp() * 1000.0
-    if at < before.at:
+    if at < before.effective_at:
         raise CatalogueError(f"from: it would count before version {before.number} does")
     plans = {p.name: p for p in before.plans}
     for name, figures in entry.plans.items():
@@ -157,7 +158,7 @@
     new = replace(plan, rate=plan.rate if f.rate is None else f.rate,
                   burst=plan.burst if f.burst is None else f.burst,
                   most_open=plan.most_open if f.most_open is None else f.most_open)
-    good = {"rate": 0 <= new.rate <= MOST_RATE, "most_open": 0 <= new.most_open <= io.MOST_OPEN,
+    good = {"rate": 0 <= new.rate <= MAX_RATE, "most_open": 0 <= new.most_open <= io.MOST_OPEN,
             "burst": 0 <= new.burst <= io.MOST_BURST and (new.rate == 0 or new.burst > 0)}
     for name, fine in good.items():
         if not fine:        # NaN compares false and ends here too
@@ -165,7 +166,7 @@
     return new
 
 
-def succeed(old: Catalogue, new: Catalogue, now: float) -> Catalogue:
+def successor(old: Catalogue, new: Catalogue, now: float) -> Catalogue:
     """``new`` as it counts after ``old`` from ``now`` (Unix ms) on, or CatalogueError and ``old`` stays.
 
     A version that comes with an instant in the past counts from now on: what was judged stays judged.
@@ -177,19 +178,19 @@
     for v in new.versions:
         known = kept.pop(v.number, None)
         if known is not None:
-            if (v.plans, v.customers, v.written) != (known.plans, known.customers, known.written):
+            if (v.plans, v.customers, v.stated_at) != (known.plans, known.customers, known.stated_at):
                 raise CatalogueError(f"version {v.number} differs from the one that is here by this number")
             versions.append(known)
         elif v.number < old.newest.number:
             raise CatalogueError(f"version {v.number} comes after version {old.newest.number} was taken")
         else:
-            versions.append(replace(v, at=max(v.at, now)))
+            versions.append(replace(v, effective_at=max(v.effective_at, now)))
     if kept:
         raise CatalogueError(f"version {min(kept)}, which is here already, is missing from it")
     return Catalogue(tuple(versions))
 
 
-def when(at: float) -> str:
+def format_instant(at: float) -> str:
     """An instant for people."""
     if at == -math.inf:
         return "always"
@@ -203,12 +204,13 @@
     for number in sorted(mine.keys() | theirs.keys()):
         a, b = mine.get(number), theirs.get(number)
         if a is None and b is not None:
-            lines.append(f"+ version {number} from {when(b.at)}: {stated(b)}")
+            lines.append(f"+ version {number} from {format_instant(b.effective_at)}: {summary(b)}")
         elif b is None and a is not None:
-            lines.append(f"- version {number} from {when(a.at)}: {stated(a)}")
+            lines.append(f"- version {number} from {format_instant(a.effective_at)}: {summary(a)}")
         elif a is not None and b is not None:
-            if a.at != b.at:
-                lines.append(f"~ version {number} counts from {when(b.at)}, not from {when(a.at)}")
+            if a.effective_at != b.effective_at:
+                lines.append(f"~ version {number} counts from {format_instant(b.effective_at)}, "
+                             f"not from {format_instant(a.effective_at)}")
             for p, q in zip(a.plans, b.plans, strict=True):
                 lines += [f"~ version {number}: {p.name}: {n} {getattr(p, n):g} -> {getattr(q, n):g}"
                           for n in ("rate", "burst", "most_open") if getattr(p, n) != getattr(q, n)]
@@ -219,10 +221,10 @@
     return lines
 
 
-def stated(v: Version) -> str:
+def summary(v: Version) -> str:
     """What a version itself says, in one line."""
     words = []
-    for name, f in v.stated:
+    for name, f in v.plan_changes:
         words.append(name + " " + " ".join(f"{n}={getattr(f, n):g}" for n in ("rate", "burst", "most_open")
                                            if getattr(f, n) is not None))
     if v.customers:
--- a/larklb/quota/reservations.py
+++ b/larklb/quota/reservations.py
@@ -14,11 +14,11 @@
 
 from larklb.quota.ring import digest
 
-MOST_UNITS = 1e9               # of one reservation
-MOST_WINDOW = 31 * 86400e3     # ms: a month's refit
-KEPT = 7 * 86400e3             # ms for which a reservation that is over can still be looked up
-MOST_KEPT = 10_000             # reservations at one limiter, those that are over among them
-LEAST = 1e-9
+MAX_UNITS = 1e9               # of one reservation
+MAX_WINDOW_MS = 31 * 86400e3     # ms: a month's refit
+RETENTION_MS = 7 * 86400e3             # ms for which a reservation that is over can still be looked up
+MAX_RESERVATIONS = 10_000             # reservations at one limiter, those that are over among them
+UNIT_TOLERANCE = 1e-9
 
 
 class State(Enum):
@@ -29,7 +29,7 @@
     CANCELLED = "cancelled"    # taken back by an operator; what was drawn stays drawn
 
 
-class Move(Enum):
+class Transition(Enum):
     OPENS = "opens"            # the window's first instant
     DRAWN = "drawn"            # the last unit was drawn
     RETURNED = "returned"      # units came back from a try that was never sent
@@ -38,14 +38,17 @@
 
 
 #: The whole life of a reservation.  A move that a state does not have leaves it as it is.
-MOVES: dict[State, dict[Move, State]] = {
-    State.HELD: {Move.OPENS: State.OPEN, Move.ENDS: State.LAPSED, Move.CANCEL: State.CANCELLED},
-    State.OPEN: {Move.DRAWN: State.SPENT, Move.ENDS: State.LAPSED, Move.CANCEL: State.CANCELLED},
-    State.SPENT: {Move.RETURNED: State.OPEN, Move.ENDS: State.LAPSED, Move.CANCEL: State.CANCELLED},
+TRANSITIONS: dict[State, dict[Transition, State]] = {
+    State.HELD: {Transition.OPENS: State.OPEN, Transition.ENDS: State.LAPSED,
+                 Transition.CANCEL: State.CANCELLED},
+    State.OPEN: {Transition.DRAWN: State.SPENT, Transition.ENDS: State.LAPSED,
+                 Transition.CANCEL: State.CANCELLED},
+    State.SPENT: {Transition.RETURNED: State.OPEN, Transition.ENDS: State.LAPSED,
+                  Transition.CANCEL: State.CANCELLED},
     State.LAPSED: {},
     State.CANCELLED: {},
 }
-PENDING = frozenset({State.HELD, State.OPEN, State.SPENT})     # these count against the shares
+ACTIVE_STATES = frozenset({State.HELD, State.OPEN, State.SPENT})     # these count against the shares
 
 
 class RefusedError(Exception):
@@ -74,7 +77,8 @@
     owned: bool                # else it is a copy
     state: State = State.HELD
     drawn: float = 0.0         # by the owner's verdicts
-    apart: dict[int, float] = field(default_factory=dict)      # by limiters that could not ask, as they told
+    # By limiters that could not ask the owner, as they reported it.
+    remote_draws: dict[int, float] = field(default_factory=dict)
 
     @property
     def tag(self) -> int:
@@ -82,38 +86,38 @@
         return digest(self.wanted.name) & 0xFFFFFFFF
 
     @property
-    def left(self) -> float:
-        return max(0.0, self.wanted.units - self.drawn - sum(self.apart.values()))
+    def remaining(self) -> float:
+        return max(0.0, self.wanted.units - self.drawn - sum(self.remote_draws.values()))
 
     @property
-    def part(self) -> float:
+    def limiter_part(self) -> float:
         """What one limiter that is not the owner may draw while the owner cannot be asked."""
         return self.wanted.units / self.wanted.spread
 
-    def move(self, by: Move) -> None:
-        self.state = MOVES[self.state].get(by, self.state)
+    def apply(self, by: Transition) -> None:
+        self.state = TRANSITIONS[self.state].get(by, self.state)
 
     def advance(self, wall: float) -> State:
         """The state at an instant; a window that opened and ended unseen lapses like any other."""
         if wall >= self.wanted.begin:
-            self.move(Move.OPENS)
+            self.apply(Transition.OPENS)
         if wall >= self.wanted.end:
-            self.move(Move.ENDS)
+            self.apply(Transition.ENDS)
         return self.state
 
-    def take(self, units: float) -> None:
+    def draw(self, units: float) -> None:
         self.drawn += units
-        if self.left < LEAST:
-            self.move(Move.DRAWN)
+        if self.remaining < UNIT_TOLERANCE:
+            self.apply(Transition.DRAWN)
 
     def give_back(self, units: float) -> None:
         self.drawn = max(0.0, self.drawn - units)
-        if self.left >= LEAST:
-            self.move(Move.RETURNED)
+        if self.remaining >= UNIT_TOLERANCE:
+            self.apply(Transition.RETURNED)
 
 
 @dataclass(frozen=True)
-class Shares:
+class ReservationLimits:
     """What may be reserved, as units a second; infinity where the operator's file gives no bound."""
 
     fleet: float = math.inf            # of all owners together
@@ -123,8 +127,8 @@
 class Reservations:
     """All that one limiter knows of."""
 
-    def __init__(self, shares: Shares, limiters: int, number: int) -> None:
-        self.shares, self.limiters, self.number = shares, limiters, number
+    def __init__(self, shares: ReservationLimits, limiters: int, number: int) -> None:
+        self.limits, self.limiters, self.number = shares, limiters, number
         self.by_name: dict[str, Reservation] = {}
         self.by_tag: dict[int, Reservation] = {}
         self.by_key: dict[int, list[Reservation]] = {}
@@ -139,51 +143,51 @@
             if known.wanted != wanted:
                 raise RefusedError(f"the id {wanted.name!r} is another reservation's")
             return known
-        self._checked(wanted, wall)
+        self._validate(wanted, wall)
         if owned:
-            self._fits(wanted, wall, rate)
-        return self.put(Reservation(wanted, owned))
+            self._check_limits(wanted, wall, rate)
+        return self.insert(Reservation(wanted, owned))
 
-    def _checked(self, w: Wanted, wall: float) -> None:
+    def _validate(self, w: Wanted, wall: float) -> None:
         if not 0 < len(w.name) <= 64 or not w.name.isprintable() or " " in w.name:
             raise RefusedError("an id has 1 to 64 characters and no blanks")
-        if not 0 < w.units <= MOST_UNITS:
-            raise RefusedError(f"units: {w.units:g} are not between 0 and {MOST_UNITS:g}")
+        if not 0 < w.units <= MAX_UNITS:
+            raise RefusedError(f"units: {w.units:g} are not between 0 and {MAX_UNITS:g}")
         if not w.begin < w.end:
             raise RefusedError("the window ends before it begins")
         if w.end <= wall:
             raise RefusedError("the window is over")
-        if w.end - w.begin > MOST_WINDOW:
+        if w.end - w.begin > MAX_WINDOW_MS:
             raise RefusedError("the window is longer than 31 days")
         if not (1 <= w.spread <= self.limiters and 0 <= w.first < self.limiters):
             raise RefusedError("there are no such limiters")
         if digest(w.name) & 0xFFFFFFFF in self.by_tag:
             raise RefusedError("its short name is another reservation's: choose another id")
-        if len(self.by_name) >= MOST_KEPT:
-            self.clean(wall)
-            if len(self.by_name) >= MOST_KEPT:
-                raise RefusedError(f"this limiter holds {MOST_KEPT} reservations already")
+        if len(self.by_name) >= MAX_RESERVATIONS:
+            self.expire(wall)
+            if len(self.by_name) >= MAX_RESERVATIONS:
+                raise RefusedError(f"this limiter holds {MAX_RESERVATIONS} reservations already")
 
-    def _fits(self, w: Wanted, wall: float, rate: float) -> None:
+    def _check_limits(self, w: Wanted, wall: float, rate: float) -> None:
         """Against what is held: a customer has one owner, so each owner has its part of the fleet's share."""
-        fleet = self.shares.fleet / self.limiters
-        mine = self.shares.customer * rate if rate > 0 else math.inf
-        held = [r for r in self.by_name.values() if r.owned and r.advance(wall) in PENDING]
+        fleet = self.limits.fleet / self.limiters
+        mine = self.limits.customer * rate if rate > 0 else math.inf
+        held = [r for r in self.by_name.values() if r.owned and r.advance(wall) in ACTIVE_STATES]
         for name, bound, among in (
                 ("fleet", fleet, held),
                 ("customer", mine, [r for r in held if r.wanted.customer == w.customer])):
-            most = peak(w, among)
-            if most > bound * (1 + LEAST):
+            most = peak_rate(w, among)
+            if most > bound * (1 + UNIT_TOLERANCE):
                 raise RefusedError(f"the {name}'s share is {bound:g} units a second at this limiter, and "
                                    f"{most:g} would be reserved at the fullest instant of the window")
 
-    def put(self, r: Reservation) -> Reservation:
+    def insert(self, r: Reservation) -> Reservation:
         """Takes over what is known to be a reservation, at a start or from its owner."""
         self.by_name[r.wanted.name] = self.by_tag[r.tag] = r
         self.by_key.setdefault(digest(r.wanted.customer), []).append(r)
         return r
 
-    def drop(self, r: Reservation) -> None:
+    def remove(self, r: Reservation) -> None:
         """Forgets one altogether."""
         del self.by_name[r.wanted.name], self.by_tag[r.tag]
         self.by_key[digest(r.wanted.customer)].remove(r)
@@ -194,27 +198,28 @@
             raise RefusedError(f"there is no reservation {name!r}")
         if r.advance(wall) is State.LAPSED:
             raise RefusedError(f"{name!r} has lapsed")
-        r.move(Move.CANCEL)
+        r.apply(Transition.CANCEL)
         return r
 
-    def open(self, key: int, wall: float) -> Iterable[Reservation]:
+    def open_for(self, key: int, wall: float) -> Iterable[Reservation]:
         """Those of a customer from which units may be drawn, the one that ends first in front."""
         found = [r for r in self.by_key.get(key, ()) if r.advance(wall) is State.OPEN]
         return sorted(found, key=lambda r: (r.wanted.end, r.wanted.name)) if len(found) > 1 else found
 
-    def clean(self, wall: float) -> None:
+    def expire(self, wall: float) -> None:
         for r in list(self.by_name.values()):
-            if r.advance(wall) not in PENDING and wall - r.wanted.end > KEPT:
-                self.drop(r)
+            if r.advance(wall) not in ACTIVE_STATES and wall - r.wanted.end > RETENTION_MS:
+                self.remove(r)
 
 
-def pace(w: Wanted) -> float:
+def reserved_rate(w: Wanted) -> float:
     """Units a second over its window."""
     return w.units / (w.end - w.begin) * 1000.0
 
 
-def peak(w: Wanted, others: Iterable[Reservation]) -> float:
+def peak_rate(w: Wanted, others: Iterable[Reservation]) -> float:
     """Units a second reserved at the fullest instant of the window, this one included."""
     over = [r.wanted for r in others if r.wanted.begin < w.end and w.begin < r.wanted.end]
     starts = [w.begin, *(o.begin for o in over if o.begin > w.begin)]
-    return max(pace(w) + sum(pace(o) for o in over if o.begin <= at < o.end) for at in starts)
+    return max(reserved_rate(w) + sum(reserved_rate(o) for o in over if o.begin <= at < o.end)
+               for at in starts)
--- a/larklb/quota/table_limits.py
+++ b/larklb/quota/table_limits.py
@@ -10,29 +10,30 @@
 
 from larklb.quota.bucket import TokenBucket
 
-MOST = 20_000              # customers in each table, where nothing says how much memory there is
-BYTES = 2_400              # of one customer in all tables together (measured; the tests hold it)
-PROGRAM_MB = 26            # the program itself with its connections
-PART = 0.75                # of the rest is for customers
-LEAST = 1_000
-FORGOTTEN = 8              # one in so many goes at once: looking for them costs a sort
+DEFAULT_MAX_CUSTOMERS = 20_000  # customers in each table, where nothing says how much memory there is
+BYTES_PER_CUSTOMER = 2_400              # of one customer in all tables together (measured; the tests hold it)
+PROCESS_BASE_MB = 26            # the program itself with its connections
+CUSTOMER_MEMORY_PART = 0.75                # of the rest is for customers
+MIN_CUSTOMERS = 1_000
+EVICTION_DIVISOR = 8              # one in so many goes at once: looking for them costs a sort
 
 K = TypeVar("K")
 V = TypeVar("V", bound=tuple[Any, ...])
 
 
-def customers(memory_mb: float) -> int:
+def customers_for_memory(memory_mb: float) -> int:
     """How many customers to keep in each table where a process may have so many MB."""
-    return max(LEAST, int((memory_mb - PROGRAM_MB) * 1e6 * PART / BYTES))
+    return max(MIN_CUSTOMERS,
+               int((memory_mb - PROCESS_BASE_MB) * 1e6 * CUSTOMER_MEMORY_PART / BYTES_PER_CUSTOMER))
 
 
-def make_room(table: dict[K, Any], most: int) -> None:
+def evict_oldest(table: dict[K, Any], most: int) -> None:
     """Before one more goes in: the oldest goes, as far as there are too many."""
     while len(table) >= most:
         del table[next(iter(table))]
 
 
-def thin(buckets: dict[int, V], now: float, most: int) -> None:
+def evict_fullest(buckets: dict[int, V], now: float, most: int) -> None:
     """The same for buckets, which stand second in their rows: the fullest go.
 
     A customer whose bucket is forgotten begins with a full one: it gets what was missing twice.  So those go
@@ -46,5 +47,5 @@
         return lack + 1e9 * (bucket.part < 1.0 or bucket.escrow > 0)
 
     rows = sorted(buckets, key=lambda k: missing(buckets[k][1]))
-    for key in rows[:max(1, most // FORGOTTEN)]:
+    for key in rows[:max(1, most // EVICTION_DIVISOR)]:
         del buckets[key]
--- a/larklb/serve.py
+++ b/larklb/serve.py
@@ -30,8 +30,8 @@
 from larklb.net.handover import Channel, HandoverError, find, meeting_place, take
 from larklb.net.machines import FIRST_LIST, Machines
 from larklb.phase import Phase
-from larklb.quota.entitlements import Book
-from larklb.quota.table_limits import customers
+from larklb.quota.entitlements import Entitlements
+from larklb.quota.table_limits import customers_for_memory
 from larklb.settings import Config, ConfigError, Operator, StoreEntry, load
 from larklb.succession import Succession
 from larklb.upkeep import for_good
@@ -63,7 +63,8 @@
     loop.add_signal_handler(signal.SIGUSR1, lambda: print(counters.as_json(), file=sys.stderr, flush=True))
     wheel = Wheel(config.settings.tick, functools.partial(counters.add, "errors.timer"))
     desk = _desk(config, base, operator, counters, wheel) if operator is not None else None
-    book = desk.book if desk is not None else Book(config.settings.plans, most=customers(config.memory_mb))
+    book = desk.book if desk is not None else Entitlements(
+        config.settings.plans, max_customers=customers_for_memory(config.memory_mb))
     limits = _limits(config, operator, wheel) if operator is not None else None
     core = Core(config.settings, config.seed, wheel, counters, book, limits)
     core.ledger = desk.ledger if desk is not None else None
--- a/larklb/state/reserved.py
+++ b/larklb/state/reserved.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from larklb import interface as io
-from larklb.quota.reservations import Move, Reservation, Reservations, State, Wanted
+from larklb.quota.reservations import Reservation, Reservations, State, Transition, Wanted
 from larklb.state.log import Log, LogError, Step, replay
 
 REWRITE = 256 * 1024       # bytes of draws after which the log is written anew
@@ -44,17 +44,18 @@
             raise LogError(f"{where}: a record of another version: {error}") from error
         match record:
             case _Added():
-                r = into.put(Reservation(record.wanted, record.owned, State.HELD, record.drawn, record.apart))
+                r = into.insert(Reservation(record.wanted, record.owned, State.HELD, record.drawn,
+                                            record.apart))
                 if record.cancelled:
-                    r.move(Move.CANCEL)
+                    r.apply(Transition.CANCEL)
             case _Drew() if record.tag in into.by_tag:
                 r = into.by_tag[record.tag]
                 if record.apart:
-                    r.apart[record.by] = record.units
+                    r.remote_draws[record.by] = record.units
                 else:
                     r.drawn = record.units
             case _Cancelled() if record.name in into.by_name:
-                into.by_name[record.name].move(Move.CANCEL)
+                into.by_name[record.name].apply(Transition.CANCEL)
 
 
 def look(path: Path, into: Reservations) -> None:
@@ -72,14 +73,15 @@
         _load(self.log.records, reservations, path)
         self.log.records = []
         for r in reservations.by_name.values():
-            if r.owned and r.left <= 0:
-                r.move(Move.OPENS)
-                r.move(Move.DRAWN)
-        reservations.clean(wall)
+            if r.owned and r.remaining <= 0:
+                r.apply(Transition.OPENS)
+                r.apply(Transition.DRAWN)
+        reservations.expire(wall)
         self._rewrite()
 
     def _rewrite(self) -> None:
-        self.log.rewrite([_encode(_Added(r.wanted, r.owned, r.drawn, r.apart, r.state is State.CANCELLED))
+        self.log.rewrite([_encode(_Added(r.wanted, r.owned, r.drawn, r.remote_draws,
+                                         r.state is State.CANCELLED))
                           for r in self.reservations.by_name.values()])
         self.floor = self.log.size
         self.late.clear()
@@ -114,7 +116,7 @@
 
     def tidy(self, wall: float) -> None:
         """Off the requests' path: forgets what is long over, and the draws that newer ones replace."""
-        self.reservations.clean(wall)
+        self.reservations.expire(wall)
         if self.late or self.log.broken:
             self._flush()
         if self.log.size - self.floor > REWRITE:
--- a/tests/test_hardening.py
+++ b/tests/test_hardening.py
@@ -30,8 +30,8 @@
 from larklb.net import execute, peers
 from larklb.net.front import Front, parse
 from larklb.net.machines import Machine, Machines
-from larklb.quota.settlement import ENDED_MS, Count, Settling
-from larklb.quota.table_limits import BYTES, customers
+from larklb.quota.settlement import INCARNATION_TIMEOUT_MS, Count, Settlement
+from larklb.quota.table_limits import BYTES_PER_CUSTOMER, customers_for_memory
 from larklb.settings import InstanceEntry, Operator, load
 from larklb.state.log import LogError, replay
 from tests.conftest import Bed
@@ -72,7 +72,7 @@
 # The module ---------------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("what", ["alone.clean", "alone.quiet"])
+@pytest.mark.parametrize("what", ["alone.expire", "alone.quiet_peers"])
 def test_what_comes_round_comes_round_again_after_a_failure(what: str) -> None:
     """Cleaning up was set for its next round last of all: one failure, and state grew for good."""
     b = Driven(gateways=2)
@@ -98,7 +98,8 @@
     assert choose.left < 0 and len(b.gateways[0].waiting) >= 4
 
 
-MEETS = ["larklb.quota.entitlements.Book.made", "larklb.decide.Gateway._decide", "larklb.decide.Gateway._choose",
+MEETS = ["larklb.quota.entitlements.Entitlements.new_bucket", "larklb.decide.Gateway._decide",
+         "larklb.decide.Gateway._choose",
          "larklb.decide.Gateway._send", "larklb.quota.bucket.TokenBucket.fill",
          "larklb.decide.Gateway._after"]
 
@@ -141,7 +142,7 @@
     b.serve = 20.0
     most = 40
     for g in b.gateways.values():
-        g.book.most = g.alone.shares.most = most
+        g.book.max_customers = g.alone.shares.max_customers = most
     for i in range(3):
         b.ask(0, f"greedy{i}", plan="slow", customer="greedy", spread=1)
     for i in range(400):
@@ -149,7 +150,8 @@
         b.run(20.0)
     for g in b.gateways.values():
         shares = g.alone.shares
-        for table in (g.buckets, g.alone.copies, g.alone.slices, shares.demand, shares.asked, shares.told):
+        for table in (g.buckets, g.alone.copies, g.alone.share_buckets, shares.demand, shares.peer_demand,
+                      shares.granted):
             assert 0 <= len(table) <= most
         assert len(g.buckets) > most / 2 and len(g.leases) < 420 and len(g.owners) < 420
     b.ask(0, "more", plan="slow", customer="greedy", spread=1)
@@ -188,18 +190,19 @@
     ask_for(100, 1100)
     each = (tracemalloc.get_traced_memory()[0] - before) / 1000
     tracemalloc.stop()
-    assert 200 < each < BYTES
-    assert customers(192) * BYTES < 192e6 and customers(64) * BYTES < 64e6 and customers(0) > 0
+    assert 200 < each < BYTES_PER_CUSTOMER
+    assert (customers_for_memory(192) * BYTES_PER_CUSTOMER < 192e6
+            and customers_for_memory(64) * BYTES_PER_CUSTOMER < 64e6 and customers_for_memory(0) > 0)
 
 
 def test_a_machine_whose_clock_starts_anew_is_listened_to_again() -> None:
     """Its numbers were smaller than its former self's: what it let in was never settled again."""
-    owner = Settling(1)
-    assert owner.heard(0.0, 3, Count(9, 0, 9_000_000, 4.0, 0.0)) == 4.0
-    assert owner.heard(500.0, 3, Count(9, 0, 70, 2.0, 0.0)) == 0.0, "a late word of the one before it"
-    at = 500.0 + ENDED_MS
-    assert owner.heard(at, 3, Count(9, 0, 70, 2.0, 0.0)) == 2.0
-    assert owner.heard(at, 3, Count(9, 0, 70, 3.0, 0.0)) == 1.0
+    owner = Settlement(1)
+    assert owner.on_count(0.0, 3, Count(9, 0, 9_000_000, 4.0, 0.0)) == 4.0
+    assert owner.on_count(500.0, 3, Count(9, 0, 70, 2.0, 0.0)) == 0.0, "a late word of the one before it"
+    at = 500.0 + INCARNATION_TIMEOUT_MS
+    assert owner.on_count(at, 3, Count(9, 0, 70, 2.0, 0.0)) == 2.0
+    assert owner.on_count(at, 3, Count(9, 0, 70, 3.0, 0.0)) == 1.0
 
 
 # Descriptors, and tasks that go on for good -------------------------------------------------
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -34,11 +34,11 @@
     b = CircuitBreaker()
     for _ in range(3):
         assert b.allows(0.0)
-        b.failed(0.0, chance=0.5)
+        b.record_failure(0.0, jitter=0.5)
     assert not b.allows(BREAKER_OPEN_MS * 1.09)
     assert b.allows(BREAKER_OPEN_MS * 1.11)
     assert not b.allows(BREAKER_OPEN_MS * 1.11), "one trial only"
-    b.failed(BREAKER_OPEN_MS * 1.2, chance=0.0)
+    b.record_failure(BREAKER_OPEN_MS * 1.2, jitter=0.0)
     assert not b.allows(BREAKER_OPEN_MS * 1.3)
 
 
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -15,17 +15,24 @@
 from larklb import interface as io
 from larklb import peerwire as pw
 from larklb.quota.bucket import TokenBucket
-from larklb.quota.catalogue import Catalogue, CatalogueError, differences, parse, plain, succeed
-from larklb.quota.entitlements import Book
-from larklb.quota.fallback import Alone
+from larklb.quota.catalogue import (
+    Catalogue,
+    CatalogueError,
+    differences,
+    parse,
+    settings_catalogue,
+    successor,
+)
+from larklb.quota.entitlements import Entitlements
+from larklb.quota.fallback import Fallback
 from larklb.quota.reservations import (
-    MOVES,
-    Move,
+    TRANSITIONS,
     RefusedError,
     Reservation,
+    ReservationLimits,
     Reservations,
-    Shares,
     State,
+    Transition,
     Wanted,
 )
 from larklb.quota.ring import digest, ring_owner
@@ -69,18 +76,19 @@
 
 def test_a_successor_keeps_what_counted_and_never_goes_back() -> None:
     one, two = version(1, 1000, FASTER), version(2, 30000, SLOWER)
-    old = succeed(plain(PLANS), catalogue(one, two), 5000.0)
-    assert [v.at for v in old.versions] == [-math.inf, 5000.0, 30000.0], "the past counts from its arrival"
-    assert succeed(old, catalogue(one, two), 9000.0).versions == old.versions, "the same file again"
+    old = successor(settings_catalogue(PLANS), catalogue(one, two), 5000.0)
+    assert [v.effective_at for v in old.versions] == [-math.inf, 5000.0, 30000.0], (
+        "the past counts from its arrival")
+    assert successor(old, catalogue(one, two), 9000.0).versions == old.versions, "the same file again"
     three = version(3, 40000, f'[version.customers]\n"{C}" = "free"')
     for bad, why in (((one,), "ends with version 1"), ((two, three), "version 1, which is here"),
                      ((version(1, 1000, SLOWER), two), "version 1 differs"),
                      ((one, version(2, 20000, SLOWER)), "version 2 differs")):
         with pytest.raises(CatalogueError, match=why):
-            succeed(old, catalogue(*bad), 9000.0)
-    late = succeed(plain(PLANS), catalogue(one, three), 0.0)
+            successor(old, catalogue(*bad), 9000.0)
+    late = successor(settings_catalogue(PLANS), catalogue(one, three), 0.0)
     with pytest.raises(CatalogueError, match="version 2 comes after version 3"):
-        succeed(late, catalogue(one, version(2, 30000), three), 0.0)
+        successor(late, catalogue(one, version(2, 30000), three), 0.0)
     assert differences(old, catalogue(one, two, three)) == [
         "+ version 3 from 1970-01-01T00:00:40Z: 1 customers assigned",
         "~ version 1 counts from 1970-01-01T00:00:01Z, not from 1970-01-01T00:00:05Z"][::-1]
@@ -113,28 +121,28 @@
     changes = sorted(changes, key=lambda c: c[0])
     texts = [version(n + 1, at, f"[version.plans.rate]\nrate = {rate}\nburst = {burst}")
              for n, (at, rate, burst) in enumerate(changes)]
-    book = Book(PLANS, catalogue(*texts))
+    book = Entitlements(PLANS, catalogue(*texts))
     model = Model([(-1, 1.0, 3.0), *changes])
-    now, bucket = 0, book.made(0.0, 5, 0)
+    now, bucket = 0, book.new_bucket(0.0, 5, 0)
     for wait, units in asks:
         model.run(now, now + wait)
         now += wait
-        book.fit(now, 5, 0, bucket)
+        book.update_bucket(now, 5, 0, bucket)
         assert bucket.fill(now) == pytest.approx(model.tokens, abs=1e-6)
         if bucket.tokens >= units + 1e-6:
             bucket.tokens -= units
             model.tokens -= units
     fresh = Model([(-1, 1.0, 3.0), *changes])
     fresh.run(0, now)
-    assert book.made(now, 6, 0).fill(now) == pytest.approx(fresh.tokens, abs=1e-6)
+    assert book.new_bucket(now, 6, 0).fill(now) == pytest.approx(fresh.tokens, abs=1e-6)
 
 
 def test_switching_to_and_fro_earns_no_burst() -> None:
     texts = [version(n, 1000 + n, SLOWER if n % 2 else FASTER) for n in range(1, 41)]
-    book = Book(PLANS, catalogue(*texts))
-    bucket = book.made(0.0, 5, 0)
+    book = Entitlements(PLANS, catalogue(*texts))
+    bucket = book.new_bucket(0.0, 5, 0)
     bucket.tokens = 0.0
-    book.fit(2000.0, 5, 0, bucket)
+    book.update_bucket(2000.0, 5, 0, bucket)
     assert bucket.fill(2000.0) <= 1.0 + 4.0 * 1.0 + 1e-9
     away = TokenBucket(1.0, 3.0, 0.5, 0.0)
     away.change(0.0, 0.0, 0.0)
@@ -145,10 +153,10 @@
 # The module under a catalogue ------------------------------------------------------------
 
 
-def with_books(b: Bed, *books: Book) -> Bed:
+def with_books(b: Bed, *books: Entitlements) -> Bed:
     for gateway, book in zip(b.gateways.values(), books, strict=True):
-        gateway.book, gateway.alone = book, Alone(gateway.s, book, b.now)
-        gateway.words.alone, gateway.members.heard_at = gateway.alone, gateway.alone.heard_at
+        gateway.book, gateway.alone = book, Fallback(gateway.s, book, b.now)
+        gateway.words.alone, gateway.members.heard_at = gateway.alone, gateway.alone.last_heard_at
     b.log.clear()
     return b
 
@@ -163,7 +171,7 @@
 
 
 def test_without_a_catalogue_the_bytes_between_limiters_are_those_of_before() -> None:
-    b = with_books(Bed(gateways=2), Book(PLANS, settle=False), Book(PLANS, settle=False))
+    b = with_books(Bed(gateways=2), Entitlements(PLANS, settle=False), Entitlements(PLANS, settle=False))
     for i in range(6):
         b.ask(i % 2, f"r{i}")
     b.run(400)
@@ -180,8 +188,8 @@
     """Half of the limiters have the change and half do not; one of them is of an older program."""
     owner, other = sides()
     text = version(3, 100, FASTER)
-    books = {owner: Book(PLANS, catalogue(text) if knows[0] else None, settle=knows[0]),
-             other: Book(PLANS, catalogue(text) if knows[1] else None, settle=knows[1])}
+    books = {owner: Entitlements(PLANS, catalogue(text) if knows[0] else None, settle=knows[0]),
+             other: Entitlements(PLANS, catalogue(text) if knows[1] else None, settle=knows[1])}
     b = with_books(Bed(gateways=2), books[0], books[1])
     b.ask(other, "r", customer=C)
     b.run(100)
@@ -201,8 +209,8 @@
 
 def test_a_newer_version_is_told_once_and_what_is_here_counts_on() -> None:
     owner, other = sides()
-    books = {owner: Book(PLANS, catalogue(version(1, 1), version(2, 2))),
-             other: Book(PLANS, catalogue(version(1, 1)))}
+    books = {owner: Entitlements(PLANS, catalogue(version(1, 1), version(2, 2))),
+             other: Entitlements(PLANS, catalogue(version(1, 1)))}
     b = with_books(Bed(gateways=2), books[0], books[1])
     for i in range(3):
         b.ask(other, f"r{i}", customer=C)
@@ -215,7 +223,7 @@
 def test_an_ask_under_way_and_a_try_sent_again_keep_the_version_they_were_judged_under() -> None:
     owner, other = sides()
     texts = (version(1, 100), version(2, 650 + 12, SLOWER))
-    b = with_books(Bed(gateways=2, delay=10.0), *(Book(PLANS, catalogue(*texts)) for _ in range(2)))
+    b = with_books(Bed(gateways=2, delay=10.0), *(Entitlements(PLANS, catalogue(*texts)) for _ in range(2)))
     b.run(45)                                  # at 645: the ask leaves under version 1, ...
     b.ask(other, "r", "write", customer=C)
     b.run(100)                                 # ... arrives at 655 and the verdict comes after the change
@@ -227,14 +235,14 @@
 
 
 def test_a_change_while_the_owner_restarts_and_a_restored_bucket_goes_through_it() -> None:
-    b = with_books(Bed(), Book(PLANS, catalogue(version(1, 700, SLOWER))))
+    b = with_books(Bed(), Entitlements(PLANS, catalogue(version(1, 700, SLOWER))))
     assert len(b.gateways) == 1
     for i in range(3):
         b.ask(0, f"r{i}")
     rows = b.gateways[0].bucket_rows()
     b.run(400)                                 # 1000: version 1 has counted since 700
     b.begin(0)
-    b.gateways[0].book = Book(PLANS, catalogue(version(1, 700, SLOWER)))
+    b.gateways[0].book = Entitlements(PLANS, catalogue(version(1, 700, SLOWER)))
     assert b.gateways[0].restore(b.now, rows) == 1
     b.ask(0, "after")
     assert len(b.of(io.Send)) == 3 and b.of(io.Refuse)[0].request == "after"
@@ -245,7 +253,7 @@
 def test_customers_move_between_plans_and_back_to_the_one_they_name() -> None:
     texts = (version(1, 1000, f'[version.customers]\n"{C}" = "free"'),
              version(2, 2000, f'[version.customers]\n"{C}" = ""'))
-    b = with_books(Bed(), Book(PLANS, catalogue(*texts)))
+    b = with_books(Bed(), Entitlements(PLANS, catalogue(*texts)))
     for at in (900, 1500, 2500):
         b.run(at - b.now)
         for i in range(5):
@@ -264,15 +272,16 @@
 
 
 def test_the_table_of_states_has_no_way_out_of_an_end_and_every_state_is_reached() -> None:
-    assert set(MOVES) == set(State)
-    reached = {State.HELD} | {to for moves in MOVES.values() for to in moves.values()}
-    assert reached == set(State) and not MOVES[State.LAPSED] and not MOVES[State.CANCELLED]
-    for moves in MOVES.values():
-        assert not moves or moves[Move.ENDS] is State.LAPSED and moves[Move.CANCEL] is State.CANCELLED
+    assert set(TRANSITIONS) == set(State)
+    reached = {State.HELD} | {to for moves in TRANSITIONS.values() for to in moves.values()}
+    assert reached == set(State) and not TRANSITIONS[State.LAPSED] and not TRANSITIONS[State.CANCELLED]
+    for moves in TRANSITIONS.values():
+        assert (not moves or moves[Transition.ENDS] is State.LAPSED
+                and moves[Transition.CANCEL] is State.CANCELLED)
 
 
 def test_an_owner_turns_down_what_exceeds_the_shares_and_knows_an_id_again() -> None:
-    book = Reservations(Shares(fleet=4.0, customer=0.75), 2, 0)
+    book = Reservations(ReservationLimits(fleet=4.0, customer=0.75), 2, 0)
     first = book.add(wanted(units=4.0), True, 0.0, rate=1.0)                       # 0.5 a second
     assert book.add(wanted(units=4.0), True, 0.0, rate=1.0) is first
     for w, why in ((wanted(units=5.0), "another reservation's"),
@@ -294,11 +303,11 @@
     assert book.add(others[3], True, 0.0, rate=1.0).state is State.HELD, "what is cancelled is free again"
 
 
-def reserving(*reserved: Wanted, owned: bool = True) -> Book:
-    held = Reservations(Shares(), 2, 0)
+def reserving(*reserved: Wanted, owned: bool = True) -> Entitlements:
+    held = Reservations(ReservationLimits(), 2, 0)
     for w in reserved:
-        held.put(Reservation(w, owned))
-    return Book(PLANS, None, held)
+        held.insert(Reservation(w, owned))
+    return Entitlements(PLANS, None, held)
 
 
 def test_reserved_units_serve_what_the_bucket_refuses_within_the_window_alone() -> None:
@@ -320,7 +329,7 @@
 def test_reserved_units_are_drawn_over_all_limiters_and_what_is_not_used_comes_back() -> None:
     owner, other = sides()
     books = {owner: reserving(wanted(units=4.0, spread=2)),
-             other: Book(PLANS, None, Reservations(Shares(), 2, 1))}
+             other: Entitlements(PLANS, None, Reservations(ReservationLimits(), 2, 1))}
     b = with_books(Bed(gateways=2), books[0], books[1])
     b.run(1500 - b.now)
     for i in range(10):
@@ -350,8 +359,8 @@
         b.ask(other, f"s{i}", customer=C)
         b.run(300)
     held = books[owner].reservations
-    assert held is not None and held.by_name["refit"].apart == {other: 2.0}
-    assert not books[other].untold, "confirmed, and not told again"
+    assert held is not None and held.by_name["refit"].remote_draws == {other: 2.0}
+    assert not books[other].unconfirmed, "confirmed, and not told again"
     total = sum(1 for s in stamps(b).values() if s.reservation)
     assert total <= 4 and held.by_name["refit"].drawn + 2.0 == total
 
@@ -376,15 +385,15 @@
                 owner.give_back(drawn.tag, amount)
                 granted -= amount
         else:
-            granted += amount if others[n - 1].draw_apart(10.0, key, amount, n) else 0.0
-            words += [(n, told) for told in others[n - 1].owed(key)]
+            granted += amount if others[n - 1].draw_without_owner(10.0, key, amount, n) else 0.0
+            words += [(n, told) for told in others[n - 1].unconfirmed_draws(key)]
         if words and chance.random() < 0.4:
             sender, told = chance.choice(words)
-            owner.drawn_apart(sender, told)
+            owner.on_remote_draw(sender, told)
     assert granted <= units + (spread - 1) * units / spread + 1e-6
     assert owner.reservations is not None
     for sender, told in [*words, *words[:len(words) // 2]]:        # at last old words again
-        owner.drawn_apart(sender, told)
+        owner.on_remote_draw(sender, told)
     r = owner.reservations.by_name["refit"]
-    assert r.drawn + sum(r.apart.values()) == pytest.approx(granted)
-    assert owner.draw(10.0, key, max(0.5, r.left + 0.5)) is None
+    assert r.drawn + sum(r.remote_draws.values()) == pytest.approx(granted)
+    assert owner.draw(10.0, key, max(0.5, r.remaining + 0.5)) is None
--- a/tests/test_running_out.py
+++ b/tests/test_running_out.py
@@ -18,7 +18,7 @@
 from larklb.export import tally as t
 from larklb.export.audit import read
 from larklb.export.ledger import Ledger
-from larklb.quota.reservations import Reservations, Shares, Wanted
+from larklb.quota.reservations import ReservationLimits, Reservations, Wanted
 from larklb.state import folder as state_folder
 from larklb.state.log import Log, LogError, replay
 from larklb.state.reserved import ReservedLog
@@ -214,7 +214,7 @@
 
 
 def reserved_log(folder: Path) -> tuple[Reservations, ReservedLog]:
-    reservations = Reservations(Shares(), 1, 0)
+    reservations = Reservations(ReservationLimits(), 1, 0)
     return reservations, ReservedLog(folder / "reservations.log", reservations, 0.0)
 
 
@@ -234,11 +234,11 @@
             refused = reservations.add(wanted[2], True, 0.0, 1.0)
             with pytest.raises(LogError):
                 kept.added(refused)
-            reservations.drop(refused)
-            a.take(4.0)
+            reservations.remove(refused)
+            a.draw(4.0)
             with pytest.raises(LogError):
                 kept.drew(io.Drawn(a.tag, a.drawn), 0)
-        b.take(1.0)
+        b.draw(1.0)
         kept.drew(io.Drawn(b.tag, b.drawn), 0)
         again, _ = reserved_log(folder)                    # killed, and started
         assert {r.wanted.name: r.drawn for r in again.by_name.values()} == {"a": 4.0, "b": 1.0}
--- a/tests/test_settling.py
+++ b/tests/test_settling.py
@@ -18,11 +18,11 @@
 from larklb.lab.check import FoundError, World, explore
 from larklb.lab.relay import Relay
 from larklb.quota.bucket import TokenBucket
-from larklb.quota.demand import SLOW_MS, Demand
-from larklb.quota.entitlements import Book
+from larklb.quota.demand import SLOW_DECAY_MS, Demand
+from larklb.quota.entitlements import Entitlements
 from larklb.quota.fallback import COPY_BYTES, COUNT_BYTES
-from larklb.quota.settlement import Confirmed, Count, Settling
-from larklb.quota.shares import APART_MS, SETTLE_MS, Shares, bound
+from larklb.quota.settlement import Confirmed, Count, Settlement
+from larklb.quota.shares import ESCROW_RELEASE_DELAY_MS, PEER_TIMEOUT_MS, Shares, error_bound
 from tests.standins import Yard, ask, job
 from tests.test_desk import granted, owner_first
 from tests.test_usage import larklb
@@ -35,101 +35,101 @@
 def test_counts_agree_whatever_is_lost_repeated_or_late(seed: int) -> None:
     """Beside a plain sum: what left the owner's bucket is what was let in, once all have spoken."""
     chance = random.Random(seed)
-    owner, asker, flying = Settling(1), Settling(5), list[Count]()
+    owner, asker, flying = Settlement(1), Settlement(5), list[Count]()
     let = taken = 0.0
     for step in range(60):
         now = step * 100.0
         if chance.random() < 0.4:
             units = chance.choice([0.5, 1.0, 3.0])
             let += units
-            asker.let(now, 9, 2, 0, units)
-        flying += [c for c in asker.owed(now, 0) if chance.random() < 0.7]
+            asker.record_admitted(now, 9, 2, 0, units)
+        flying += [c for c in asker.due_counts(now, 0) if chance.random() < 0.7]
         chance.shuffle(flying)
         while flying and chance.random() < 0.5:
             count = flying[-1] if chance.random() < 0.3 else flying.pop()
-            taken += owner.heard(now, 3, count)
-            word = owner.confirms(3, 9)
+            taken += owner.on_count(now, 3, count)
+            word = owner.confirmation_for(3, 9)
             if word is not None and chance.random() < 0.7:
-                asker.heard_confirmed(now, 0, word)
+                asker.on_confirmed(now, 0, word)
         assert taken <= let
-    for count in [c for c in [asker.owed_of(9)] if c is not None] + flying:
-        taken += owner.heard(9e3, 3, count)
-        word = owner.confirms(3, 9)
+    for count in [c for c in [asker.unconfirmed_count(9)] if c is not None] + flying:
+        taken += owner.on_count(9e3, 3, count)
+        word = owner.confirmation_for(3, 9)
         assert word is not None
-        asker.heard_confirmed(9e3, 0, word)
-    assert taken == let and asker.owed_of(9) is None
+        asker.on_confirmed(9e3, 0, word)
+    assert taken == let and asker.unconfirmed_count(9) is None
 
 
 def test_a_word_from_an_earlier_incarnation_changes_nothing_and_a_fresh_owner_begins_where_it_was() -> None:
-    owner = Settling(1)
-    assert owner.heard(0.0, 3, Count(9, 0, 10, 4.0, 0.0)) == 4.0
-    assert owner.heard(0.0, 3, Count(9, 0, 11, 2.0, 0.0)) == 2.0, "restarted: its counts begin anew"
-    assert owner.heard(0.0, 3, Count(9, 0, 10, 9.0, 0.0)) == 0.0, "from before its restart"
-    assert owner.heard(0.0, 3, Count(9, 0, 11, 3.0, 0.0)) == 1.0
-    fresh = Settling(2)
-    assert fresh.heard(0.0, 3, Count(9, 0, 11, 5.0, 3.0)) == 2.0, "what the former owner confirmed is done"
-    asker = Settling(11)
-    asker.let(0.0, 9, 0, 0, 5.0)
+    owner = Settlement(1)
+    assert owner.on_count(0.0, 3, Count(9, 0, 10, 4.0, 0.0)) == 4.0
+    assert owner.on_count(0.0, 3, Count(9, 0, 11, 2.0, 0.0)) == 2.0, "restarted: its counts begin anew"
+    assert owner.on_count(0.0, 3, Count(9, 0, 10, 9.0, 0.0)) == 0.0, "from before its restart"
+    assert owner.on_count(0.0, 3, Count(9, 0, 11, 3.0, 0.0)) == 1.0
+    fresh = Settlement(2)
+    assert fresh.on_count(0.0, 3, Count(9, 0, 11, 5.0, 3.0)) == 2.0, "what the former owner confirmed is done"
+    asker = Settlement(11)
+    asker.record_admitted(0.0, 9, 0, 0, 5.0)
     for word in (Confirmed(9, 10, 5.0), Confirmed(8, 11, 5.0)):
-        asker.heard_confirmed(0.0, 0, word)
-    asker.heard_confirmed(0.0, 1, Confirmed(9, 11, 5.0))
-    assert asker.owed_of(9) is not None, "not of this incarnation, customer or owner"
-    asker.heard_confirmed(0.0, 0, Confirmed(9, 11, 5.0))
-    assert asker.owed_of(9) is None
+        asker.on_confirmed(0.0, 0, word)
+    asker.on_confirmed(0.0, 1, Confirmed(9, 11, 5.0))
+    assert asker.unconfirmed_count(9) is not None, "not of this incarnation, customer or owner"
+    asker.on_confirmed(0.0, 0, Confirmed(9, 11, 5.0))
+    assert asker.unconfirmed_count(9) is None
 
 
 def test_state_ages_out_and_stays_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("larklb.quota.settlement.MOST", 50)
-    owner, asker = Settling(1), Settling(5)
+    monkeypatch.setattr("larklb.quota.settlement.MAX_COUNTS", 50)
+    owner, asker = Settlement(1), Settlement(5)
     for key in range(200):
-        asker.let(float(key), key, 0, 0, 1.0)
-        owner.heard(float(key), 3, Count(key, 0, 5, 1.0, 0.0))
-    assert len(asker.mine) == 50 == len(owner.known) and len(asker.open[0]) == 50
-    for key in list(asker.mine):
-        asker.heard_confirmed(300.0, 0, Confirmed(key, 5, 1.0))
-    asker.clean(1e6)
-    owner.clean(1e6)
-    assert not asker.mine and not asker.open.get(0) and not owner.known
+        asker.record_admitted(float(key), key, 0, 0, 1.0)
+        owner.on_count(float(key), 3, Count(key, 0, 5, 1.0, 0.0))
+    assert len(asker.local_counts) == 50 == len(owner.peer_counts) and len(asker.unconfirmed[0]) == 50
+    for key in list(asker.local_counts):
+        asker.on_confirmed(300.0, 0, Confirmed(key, 5, 1.0))
+    asker.expire(1e6)
+    owner.expire(1e6)
+    assert not asker.local_counts and not asker.unconfirmed.get(0) and not owner.peer_counts
 
 
 # The checker ----------------------------------------------------------------------------
 
 
-class TwiceSettling(Settling):
+class TwiceSettling(Settlement):
     """A fault: adds what it hears instead of keeping the maximum."""
 
-    def heard(self, now: float, sender: int, c: Count) -> float:
-        super().heard(now, sender, c)
+    def on_count(self, now: float, sender: int, c: Count) -> float:
+        super().on_count(now, sender, c)
         return c.units
 
 
-class ForgetsIncarnation(Settling):
+class ForgetsIncarnation(Settlement):
     """A fault: takes a former incarnation's word for the present one's."""
 
     def is_current(self, now: float, sender: int, incarnation: int) -> bool:
         return True
 
 
-class ConfirmsTooMuch(Settling):
+class ConfirmsTooMuch(Settlement):
     """A fault: takes a word for all that it has let in since."""
 
-    def heard_confirmed(self, now: float, sender: int, c: Confirmed) -> None:
-        mine = self.mine.get(c.key)
-        super().heard_confirmed(now, sender, c._replace(units=mine.units if mine else 0.0))
+    def on_confirmed(self, now: float, sender: int, c: Confirmed) -> None:
+        mine = self.local_counts.get(c.key)
+        super().on_confirmed(now, sender, c._replace(units=mine.units if mine else 0.0))
 
 
-class NoBase(Settling):
+class NoBase(Settlement):
     """A fault: a fresh owner takes a whole count for news."""
 
-    def heard(self, now: float, sender: int, c: Count) -> float:
-        return super().heard(now, sender, c._replace(confirmed=0.0))
+    def on_count(self, now: float, sender: int, c: Count) -> float:
+        return super().on_count(now, sender, c._replace(confirmed=0.0))
 
 
-class OfAnyIncarnation(Settling):
+class OfAnyIncarnation(Settlement):
     """A fault: a confirmation of its former self's count is taken for its own."""
 
-    def heard_confirmed(self, now: float, sender: int, c: Confirmed) -> None:
-        super().heard_confirmed(now, sender, c._replace(incarnation=self.incarnation))
+    def on_confirmed(self, now: float, sender: int, c: Confirmed) -> None:
+        super().on_confirmed(now, sender, c._replace(incarnation=self.incarnation))
 
 
 def test_all_orders_of_delivery_loss_and_restart_hold_up_to_a_depth() -> None:
@@ -142,21 +142,21 @@
     (ForgetsIncarnation, 7, "were settled, and it let in|left the owner's bucket|its owner knows"),
     (ConfirmsTooMuch, 7, "its owner knows of"),
     (OfAnyIncarnation, 8, "its owner knows of|left the owner's bucket")])
-def test_the_checker_finds_seeded_faults(fault: type[Settling], depth: int, words: str) -> None:
+def test_the_checker_finds_seeded_faults(fault: type[Settlement], depth: int, words: str) -> None:
     with pytest.raises(FoundError, match=words):
         explore(depth, make=fault)
 
 
 def test_a_fresh_owner_that_takes_whole_counts_for_news_settles_twice() -> None:
     """Not to be seen in one owner's bucket: what its former self confirmed leaves the fresh one again."""
-    for make, expected in ((Settling, 1.0), (NoBase, 3.0)):
+    for make, expected in ((Settlement, 1.0), (NoBase, 3.0)):
         world = World(1, make)
         for action in (("let", 1), ("let", 1), ("tell", 1), ("deliver", 0), ("deliver", 0),
                        ("owner restarts", 0), ("let", 1) if world.apart[1].left >= 3 else ("grant", 0)):
             world.act(action)
-        world.apart[1].settling.let(0.0, 7, 0, 0, 1.0)
-        count = world.apart[1].settling.owed_of(7)
-        assert count is not None and world.owner.heard(0.0, 1, count) == expected
+        world.apart[1].settling.record_admitted(0.0, 7, 0, 0, 1.0)
+        count = world.apart[1].settling.unconfirmed_count(7)
+        assert count is not None and world.owner.on_count(0.0, 1, count) == expected
 
 
 # Shares ---------------------------------------------------------------------------------
@@ -170,55 +170,57 @@
         while now < 8000.0:
             now += chance.expovariate(5.0) * 1000.0
             demand.add(now, 1.0)
-        usual.append(demand.usual(8000.0))
+        usual.append(demand.average_rate(8000.0))
     assert sum(usual) / 200 == pytest.approx(5.0, rel=0.05)
-    assert demand.usual(8000.0 + 5 * SLOW_MS) < 0.1
+    assert demand.average_rate(8000.0 + 5 * SLOW_DECAY_MS) < 0.1
 
 
 def test_shares_of_all_sides_make_up_the_quota_and_no_more() -> None:
     owner = Shares(reserve=0.0)
     for step in range(100):
-        owner.tried(step * 100.0, 9, 1.0)
+        owner.record_request(step * 100.0, 9, 1.0)
         for g, demand in ((1, 6.0), (2, 4.0)):
-            owner.heard(step * 100.0, 9, g, demand)
-    told = {g: owner.tell(1e4, 9, g) for g in (1, 2)}
+            owner.record_peer_demand(step * 100.0, 9, g, demand)
+    told = {g: owner.share_for(1e4, 9, g) for g in (1, 2)}
     assert told[1][0] == pytest.approx(0.3, rel=0.05) and told[1][1] == pytest.approx(20.0, rel=0.05)
-    assert owner.part(1e4, 9, frozenset()) == 1.0
+    assert owner.owner_part(1e4, 9, frozenset()) == 1.0
     for apart in ({1}, {2}, {1, 2}):
-        owner.since.clear()
-        assert owner.part(1e4, 9, frozenset(apart)) + sum(told[g][0] for g in apart) == pytest.approx(1.0)
+        owner.separated_since.clear()
+        assert (owner.owner_part(1e4, 9, frozenset(apart)) + sum(told[g][0] for g in apart)
+                == pytest.approx(1.0))
 
 
 @pytest.mark.parametrize("reserve,expected", [(0.0, 0.2), (0.3, 0.5), (1.0, 1.0)])
 def test_a_share_follows_traffic_that_moved_by_its_reserve_alone(reserve: float, expected: float) -> None:
     side = Shares(reserve)
     for step in range(200):
-        side.tried(step * 100.0, 9, 0.2)
-    side.take(2e4, 9, 0.2, 10.0)
-    usual = side.share(2e4, 9, 3)
+        side.record_request(step * 100.0, 9, 0.2)
+    side.accept_share(2e4, 9, 0.2, 10.0)
+    usual = side.local_share(2e4, 9, 3)
     assert 0.2 <= usual <= (0.2 if reserve == 0 else 0.4)
     for step in range(60):
-        side.tried(2e4 + step * 100.0, 9, 1.0)
-    assert side.share(2.6e4, 9, 3) == pytest.approx(expected)
-    assert side.share(2.6e4, 8, 3) == pytest.approx(1 / 3), "of a customer that the owner told nothing of"
+        side.record_request(2e4 + step * 100.0, 9, 1.0)
+    assert side.local_share(2.6e4, 9, 3) == pytest.approx(expected)
+    assert side.local_share(2.6e4, 8, 3) == pytest.approx(1 / 3), (
+        "of a customer that the owner told nothing of")
 
 
 def test_the_escrow_pays_for_what_was_let_in_apart_and_returns_the_rest() -> None:
     bucket = TokenBucket(10.0, 20.0, 20.0, 0.0)
-    bucket.share(0.0, 0.6)
+    bucket.set_part(0.0, 0.6)
     assert bucket.tokens == pytest.approx(12.0) and bucket.escrow == pytest.approx(8.0)
     bucket.tokens -= 12.0
     bucket.fill(2000.0)
     assert bucket.tokens == pytest.approx(12.0) and bucket.escrow == pytest.approx(16.0)
     bucket.fill(4000.0)
     assert bucket.tokens == 20.0 and bucket.escrow == pytest.approx(28.0), "and what it could not hold"
-    bucket.share(4000.0, 1.0)
+    bucket.set_part(4000.0, 1.0)
     bucket.settle(4000.0, 25.0, debt=20.0)
     assert bucket.tokens == 20.0 and bucket.escrow == pytest.approx(3.0)
     bucket.settle(4000.0, 50.0, debt=20.0)
     assert bucket.tokens == -20.0, "a debt is bounded: nobody pays for it longer than two bursts take"
     bucket.escrow = 5.0
-    bucket.release(4000.0)
+    bucket.release_escrow(4000.0)
     assert bucket.tokens == -15.0 and bucket.escrow == 0.0
 
 
@@ -226,7 +228,8 @@
 
 
 def played(name: str, seed: int, settle: bool = True, reserve: float = 1.0) -> net.Net:
-    return net.play(name, seed, count=10, book=lambda i: Book(net.PLANS, settle=settle, reserve=reserve))
+    return net.play(name, seed, count=10,
+                    book=lambda i: Entitlements(net.PLANS, settle=settle, reserve=reserve))
 
 
 @pytest.mark.parametrize("name,most_over,most_refused", [
@@ -241,7 +244,7 @@
         b = net.bound_of(s, c, 1.0)
         assert c.most_over <= b.over and c.most_under <= b.under
         assert c.over <= most_over and c.refused <= most_refused
-    assert max(g for g in (len(x.alone.settling.mine) for x in day.gateways.values())) <= 10
+    assert max(g for g in (len(x.alone.settlement.local_counts) for x in day.gateways.values())) <= 10
 
 
 @pytest.mark.parametrize("name", ["loss30", "split", "flapping"])
@@ -266,10 +269,10 @@
     s = net.SCENARIOS["split"]
     day = net.Net(4, net.customers_of(s, 4, 10, 3, 5), net.link_of(s, 4), 5)
     day.run(34000.0)
-    assert any(g.alone.settling.open for g in day.gateways.values()), "something was let in apart"
-    day.run(35000.0 + APART_MS + SETTLE_MS + 1500.0)
+    assert any(g.alone.settlement.unconfirmed for g in day.gateways.values()), "something was let in apart"
+    day.run(35000.0 + PEER_TIMEOUT_MS + ESCROW_RELEASE_DELAY_MS + 1500.0)
     for g in day.gateways.values():
-        late = [m for waiting in g.alone.settling.open.values() for m in waiting.values()
+        late = [m for waiting in g.alone.settlement.unconfirmed.values() for m in waiting.values()
                 if day.now - m.at > 2000.0]
         assert not late
         assert all(b.part == 1.0 and b.escrow == 0.0 for _, b in g.buckets.values())
@@ -288,7 +291,7 @@
     """One side has the change and the reservation, the other has not: each goes by what it has."""
     from larklb.quota.catalogue import parse
     from larklb.quota.reservations import Reservation, Reservations, Wanted
-    from larklb.quota.reservations import Shares as Held
+    from larklb.quota.reservations import ReservationLimits as Held
     from tests.test_quota import version
 
     text = version(1, 25000.0, "[version.plans.astillero]\nrate = 4.5\nburst = 8.0")
@@ -296,23 +299,23 @@
     customers = net.customers_of(s, 4, 8, 3, 3)
     who = next(c for c in customers if c.plan.name == "taller" and c.asks(0.0) > c.plan.rate)
 
-    def book(number: int) -> Book:
+    def book(number: int) -> Entitlements:
         held = Reservations(Held(), 4, number)
-        held.put(Reservation(Wanted("refit", who.name, "taller", 12.0, 2e4, 5e4, who.first, 3),
-                             who.owner(4) == number))
-        return Book(net.PLANS, parse(text.encode(), net.PLANS) if number < 2 else None, held)
+        held.insert(Reservation(Wanted("refit", who.name, "taller", 12.0, 2e4, 5e4, who.first, 3),
+                                who.owner(4) == number))
+        return Entitlements(net.PLANS, parse(text.encode(), net.PLANS) if number < 2 else None, held)
 
     day = net.Net(4, customers, net.link_of(s, 4), 3, book=book)
     day.run(60000.0)
     for c in customers:
-        b = bound(c.plan.rate, c.plan.burst, 3, loss=s.loss, apart_s=15.0, reserve=1.0)
+        b = error_bound(c.plan.rate, c.plan.burst, 3, loss=s.loss, apart_s=15.0, reserve=1.0)
         extra = 12.0 * (2 - 1 / 3) if c is who else 0.0
         assert c.let - c.ideal <= b.over + extra
     assert who.let - who.ideal > 5.0, "reserved units were drawn"
     reserved = day.gateways[who.owner(4)].book.reservations
     assert reserved is not None
     drawn = reserved.by_name["refit"]
-    assert drawn.drawn + sum(drawn.apart.values()) <= 12.0 * (2 - 1 / 3)
+    assert drawn.drawn + sum(drawn.remote_draws.values()) <= 12.0 * (2 - 1 / 3)
 
 
 # Real processes ---------------------------------------------------------------------------
@@ -377,7 +380,7 @@
         assert (await larklb("lab", "quota", "--scenario", "none"))[0] == 2
         status, said = await larklb("quota", "bound", "deploy/operator.toml", "--apart", "15", "--json")
         taller = json.loads(said.splitlines()[0])
-        b = bound(1.4, 7.0, 3, loss=0.02, apart_s=15.0, reserve=1.0)
+        b = error_bound(1.4, 7.0, 3, loss=0.02, apart_s=15.0, reserve=1.0)
         assert status == 0 and (taller["over"], taller["under"]) == (round(b.over, 1), round(b.under, 1))
     asyncio.run(go())
 
