--- a/larklb/admission/quotas.py
+++ b/larklb/admission/quotas.py
@@ -248,7 +248,7 @@
             return Verdict(False, MAX_TIMEOUT_MS, SLICE)
         out.timed_out = True
         self._waiting -= 1
-        self._peer(now, out.owner).breaker.failed(now, self._chance.random())
+        self._peer(now, out.owner).breaker.record_failure(now, self._chance.random())
         return self._alone(now, self._slice(now, out.allowance))
 
     def pending_messages(self, now: float) -> list[tuple[int, dict[str, Any]]]:
