--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -55,7 +55,7 @@
 from larklb.membership.members import Member
 from larklb.quota.ring import digest as ring_digest
 from larklb.quota.ring import ring_owner
-from larklb.registry.messages import Beat, Delta, RowsHeard
+from larklb.registry.messages import Delta, MemberHeartbeat, RowsUpdate
 from larklb.registry.registry import DRAINING, Server
 from larklb.registry.replica import RegistryReplica
 from larklb.registry.subscriber import Subscriber
@@ -254,7 +254,7 @@
     def settle(self, most: float) -> float:
         """Until every limiter has its home's whole table, at most so long; the ms it took."""
         began = self.now
-        while self.now - began < most and not all(n.follower.whole for n in self.of.values()):
+        while self.now - began < most and not all(n.follower.complete for n in self.of.values()):
             self.run(10.0)
         return self.now - began
 
@@ -305,11 +305,11 @@
         for server in servers_of(count, self.zones):
             near = [c for c in self.cores if c.settings.zone == server.zone] or self.cores
             self.servers[server.id] = (server, near[ring_digest(server.id) % len(near)])
-        rows = [(name, server.row()) for name, (server, _) in self.servers.items()]
-        line = messages.encode(messages.addressed(RowsHeard(members=[], servers=rows), "", ""))
+        rows = [(name, server.to_row()) for name, (server, _) in self.servers.items()]
+        line = messages.encode(messages.addressed(RowsUpdate(members=[], servers=rows), "", ""))
         for core in self.cores:
             assert core.core is not None
-            core.core.home.rows_heard(self.now, decoded(line, RowsHeard))
+            core.core.home.handle_rows_update(self.now, decoded(line, RowsUpdate))
         for name in self.servers:
             self.at(PERIOD_MS * ring_digest(name) / 2.0 ** 64, self.beat, name)
 
@@ -323,7 +323,7 @@
         told = calls.heartbeat(body)
         assert hollow.core is not None
         home = hollow.core.home
-        home.heartbeat(self.now, evolve(server, target=told.target), bool)
+        home.server_heartbeat(self.now, evolve(server, target=told.target), bool)
         home.push(self.now, hollow.core.offer)
         hollow.core.flush()
         self.meter.spent["home", "heartbeat"].append(time.process_time() - began)
@@ -553,28 +553,29 @@
 def tables(found: Found, servers: int) -> None:
     """One home and one follower with so many servers, by themselves."""
     told = servers_of(servers, ZONES)
-    rows = [(s.id, s.row()) for s in told]
-    line = messages.encode(messages.addressed(RowsHeard(members=[], servers=rows), "", ""))
-    me = Member("n0", "n0", "a", 1, "d0", number=0, granted=1)
+    rows = [(s.id, s.to_row()) for s in told]
+    line = messages.encode(messages.addressed(RowsUpdate(members=[], servers=rows), "", ""))
+    me = Member("n0", "n0", "a", 1, "d0", ring_number=0, grant=1)
 
     def home_of() -> RegistryReplica:
         home = RegistryReplica(me, PERIOD_MS, 0.0)
         home.ready = True
-        home.rows_heard(0.0, decoded(line, RowsHeard))
+        home.handle_rows_update(0.0, decoded(line, RowsUpdate))
         return home
 
     def tables_of() -> tuple[Subscriber, list[bytes]]:
         source, lines = home_of(), list[bytes]()
         follower = Subscriber(evolve(me, node="n1", ip="n1", disk=""), ["n0"])
-        follower.core(0.0, me)
+        follower.add_core(0.0, me)
         follower.tick(0.0)
         for _ in range(servers // 300 + 3):
-            beat = Beat(sender="n1", address="n1", member=follower.me.row(), have=follower.have, of=("n0", 1))
-            source.beat(0.0, beat, (0, ""))
-            for _, message in source.out:
+            beat = MemberHeartbeat(sender="n1", address="n1", member=follower.local_member.to_row(),
+                                   have=follower.revision, of=("n0", 1))
+            source.handle_heartbeat(0.0, beat, (0, ""))
+            for _, message in source.outbox:
                 lines.append(messages.encode(messages.addressed(message, "n0", "n0")))
-                follower.delta(0.0, decoded(lines[-1], Delta))
-            source.out.clear()
+                follower.handle_delta(0.0, decoded(lines[-1], Delta))
+            source.outbox.clear()
         assert len(follower.servers) == servers
         return follower, lines
 
@@ -587,11 +588,11 @@
 
     def refill() -> Subscriber:
         lean.servers = {}
-        fresh = Subscriber(lean.me, ["n0"])
-        fresh.core(0.0, me)
+        fresh = Subscriber(lean.local_member, ["n0"])
+        fresh.add_core(0.0, me)
         fresh.tick(0.0)
         for raw in lines:
-            fresh.delta(0.0, decoded(raw, Delta))
+            fresh.handle_delta(0.0, decoded(raw, Delta))
         return fresh
 
     add("memory of a follower", "MB", held(refill) / 1e6)
@@ -614,8 +615,8 @@
     lives = itertools.count(1)
 
     def digests() -> None:
-        home.digests = None
-        home._digests()
+        home.range_digests = None
+        home._current_digests()
 
     add("CPU of a home for digests after a change", "ms", spent(digests) * 1e3)
     add("CPU of a home for a turn over leases", "ms", spent(lambda: home.registry.expire(0.0)) * 1e3)
@@ -625,11 +626,12 @@
 
 def chunks(home: RegistryReplica, lives: Iterator[int]) -> list[Delta]:
     """What a new subscriber is sent, piece by piece."""
-    member, deltas, have = Member("n9", "n9", "a", next(lives)).row(), list[Delta](), 0
-    while have < home.table.rev:
-        home.beat(0.0, Beat(sender="n9", address="n9", member=member, have=have, of=("n0", 1)), (0, ""))
-        delta = home.out[-1][1]
-        home.out.clear()
+    member, deltas, have = Member("n9", "n9", "a", next(lives)).to_row(), list[Delta](), 0
+    while have < home.table.revision:
+        home.handle_heartbeat(
+            0.0, MemberHeartbeat(sender="n9", address="n9", member=member, have=have, of=("n0", 1)), (0, ""))
+        delta = home.outbox[-1][1]
+        home.outbox.clear()
         assert isinstance(delta, Delta) and delta.to > have, "one that sends nothing would be asked for ever"
         deltas.append(delta)
         have = delta.to
--- a/larklb/changefeed/table.py
+++ b/larklb/changefeed/table.py
@@ -13,7 +13,7 @@
 
 from attrs import define, field
 
-MOST_EVENTS = 20_000  # removals older than these are forgotten: whoever is further behind starts anew
+MAX_REMOVALS = 20_000  # removals older than these are forgotten: whoever is further behind starts anew
 
 Row = dict[str, Any]
 
@@ -22,7 +22,7 @@
 class Event:
     """One change: the row of a kind and key as it is from this revision on; None where it was removed."""
 
-    rev: int
+    revision: int
     kind: str
     key: str
     row: Row | None
@@ -32,9 +32,9 @@
 class Table:
     """The rows now, in the order of their last change."""
 
-    most: int = MOST_EVENTS
-    rev: int = 0
-    floor: int = 0  # changes after this revision are all known
+    max_removals: int = MAX_REMOVALS
+    revision: int = 0
+    complete_since: int = 0  # changes after this revision are all known
     rows: dict[tuple[str, str], Event] = field(factory=dict)
     removed: deque[Event] = field(factory=deque)
 
@@ -43,15 +43,15 @@
         known = self.rows.get((kind, key))
         if (known.row if known is not None else None) == row:
             return False
-        self.rev += 1
-        event = Event(self.rev, kind, key, row)
+        self.revision += 1
+        event = Event(self.revision, kind, key, row)
         self.rows.pop((kind, key), None)
         if row is not None:
             self.rows[kind, key] = event
             return True
         self.removed.append(event)
-        if len(self.removed) > self.most:
-            self.floor = self.removed.popleft().rev
+        if len(self.removed) > self.max_removals:
+            self.complete_since = self.removed.popleft().revision
         return True
 
     def get(self, kind: str, key: str) -> Row | None:
@@ -59,29 +59,29 @@
         event = self.rows.get((kind, key))
         return event.row if event is not None else None
 
-    def of(self, kind: str) -> Iterator[tuple[str, Row]]:
+    def rows_of(self, kind: str) -> Iterator[tuple[str, Row]]:
         """All rows of a kind with their keys."""
         for (kind_, key), event in self.rows.items():
             if kind_ == kind and event.row is not None:
                 yield key, event.row
 
-    def since(self, rev: int) -> list[Event] | None:
+    def changes_since(self, rev: int) -> list[Event] | None:
         """What has changed after a revision, in order; None where that can't be told any more.
 
         After 0 these are all rows, without removals."""
-        if rev > self.rev or 0 < rev < self.floor:
+        if rev > self.revision or 0 < rev < self.complete_since:
             return None
         found = []
         for event in reversed(self.rows.values()):
-            if event.rev <= rev:
+            if event.revision <= rev:
                 break
             found.append(event)
         if rev:
             for event in reversed(self.removed):
-                if event.rev <= rev:
+                if event.revision <= rev:
                     break
                 if (event.kind, event.key) not in self.rows:
                     found.append(event)
-            found.sort(key=lambda e: -e.rev)
+            found.sort(key=lambda e: -e.revision)
         found.reverse()
         return found
--- a/larklb/gateway/control_plane.py
+++ b/larklb/gateway/control_plane.py
@@ -35,22 +35,22 @@
     ServerCall,
 )
 from larklb.gateway.settings import Settings
-from larklb.membership.members import LEAVING, UP, Member, member_of
+from larklb.membership.members import LEAVING, UP, Member, member_from_row
 from larklb.membership.messages import Rows
 from larklb.registry.messages import (
-    Beat,
     Cores,
     Delta,
-    Has,
+    DeltaAck,
     Hello,
+    MemberHeartbeat,
     NotReady,
-    Ranges,
-    RowsHeard,
-    RowsKnown,
+    RangeRows,
+    RowsAck,
+    RowsUpdate,
     Sync,
-    Synced,
+    SyncAck,
 )
-from larklb.registry.registry import Server, server_of
+from larklb.registry.registry import Server, server_from_row
 from larklb.registry.replica import RegistryReplica
 from larklb.registry.subscriber import Subscriber
 
@@ -89,7 +89,7 @@
         self.core: Core | None = None
         scale = Timing.of(settings.bounds.contact, settings.bounds.convergence).scale
         seeds = [host for host, _ in settings.seeds]
-        self.subscriber = Subscriber(me, seeds, scale=scale, changed=changed)
+        self.subscriber = Subscriber(me, seeds, time_scale=scale, on_change=changed)
         self.forwarding = Forwarding(session, post, after)
         self.fetched_at = self.peeked_at = float("-inf")
 
@@ -98,18 +98,18 @@
     def tick(self, now: float) -> None:
         """Called every 50 ms at a core machine, every 100 ms at others."""
         if self.core is not None:
-            self.core.tick(now, self.subscriber.me)
+            self.core.tick(now, self.subscriber.local_member)
             self.core.flush()
-            for heard in self.core.home.cores(now):  # so that whoever asks here learns of them
-                self.subscriber.core(heard.at, heard.member)
+            for heard in self.core.home.present_cores(now):  # so that whoever asks here learns of them
+                self.subscriber.add_core(heard.last_heard, heard.member)
             self._take_own(now, self.core)
         self.subscriber.tick(now)
         self.flush()
-        if self.subscriber.offered[0] > self.version():
+        if self.subscriber.offered_config[0] > self.version():
             self._fetch(now, self.subscriber.home_ip())
         if now - self.peeked_at >= PEEK_MS:
             self.peeked_at = now
-            if other := self.subscriber.another_core(now, self.rng.random()):
+            if other := self.subscriber.other_core_ip(now, self.rng.random()):
                 self.post(other, Peek())  # a home that is cut off offers nothing new
 
     def _take_own(self, now: float, core: Core) -> None:
@@ -123,14 +123,14 @@
 
     def flush(self) -> None:
         """Sends what the subscriber has to say."""
-        out, self.subscriber.out = self.subscriber.out, []
+        out, self.subscriber.outbox = self.subscriber.outbox, []
         for ip, message in out:
             self.post(ip, message)
 
     def leave(self, now: float) -> None:
         """The process is about to end in order: the others are told, and another machine leads."""
-        self.subscriber.me = evolve(self.subscriber.me, state=LEAVING)
-        self.subscriber.beat(now)
+        self.subscriber.local_member = evolve(self.subscriber.local_member, state=LEAVING)
+        self.subscriber.send_heartbeat(now)
         self.flush()
         if self.core is not None:
             self.core.leave(now)
@@ -141,19 +141,19 @@
         """KeyError, TypeError or ValueError where a row in the message can't be used."""
         match message:
             case Delta():
-                self.subscriber.delta(now, message)
-                if self.subscriber.offered[0] > self.version():
+                self.subscriber.handle_delta(now, message)
+                if self.subscriber.offered_config[0] > self.version():
                     self._fetch(now, message.address)
             case NotReady():
-                self.subscriber.not_ready(now, message)
+                self.subscriber.handle_not_ready(now, message)
             case ConfigurationOffer():
                 if message.offer[0] > self.version():
                     self._fetch(now, message.address)
             case Hello():
-                self.subscriber.hello(now, message)
+                self.subscriber.handle_hello(now, message)
                 self._meet(now, [(message.sender, message.member)])
             case Cores():
-                self.subscriber.told_cores(now, message)
+                self.subscriber.handle_cores(now, message)
                 self._meet(now, message.cores)
             case Configuration():
                 self.take(message.document)
@@ -173,20 +173,20 @@
         match message:
             case Raft():
                 core.step(now, message.disk, message.message)
-            case Beat():
-                home.beat(now, message, core.offer)
-            case Has():
-                home.has(message)
-            case RowsHeard():
-                home.rows_heard(now, message)
-            case RowsKnown():
-                home.rows_known(message)
+            case MemberHeartbeat():
+                home.handle_heartbeat(now, message, core.offer)
+            case DeltaAck():
+                home.handle_delta_ack(message)
+            case RowsUpdate():
+                home.handle_rows_update(now, message)
+            case RowsAck():
+                home.handle_rows_ack(message)
             case Sync():
-                home.sync(now, message)
-            case Synced():
-                home.synced(message)
-            case Ranges():
-                home.ranges(now, message)
+                home.handle_sync(now, message)
+            case SyncAck():
+                home.handle_sync_ack(message)
+            case RangeRows():
+                home.handle_range_rows(now, message)
             case Peek() if core.may_tell(now):
                 self.post(message.address, ConfigurationOffer(offer=core.offer))
             case Fetch() if core.replica.current is not None and core.may_tell(now):
@@ -198,9 +198,9 @@
         if self.core is None:
             return
         for node, row in rows:
-            member = member_of(node, row)
+            member = member_from_row(node, row)
             if member.disk:
-                self.core.home.meet(now, member)
+                self.core.home.add_core(now, member)
 
     def _fetch(self, now: float, ip: str) -> None:
         if now - self.fetched_at < FETCH_MS:
@@ -222,7 +222,7 @@
             done(AWAY)
             return
         if isinstance(call, Server):
-            self._pass_on(home, ServerCall(id=call.id, row=call.row()), done)
+            self._pass_on(home, ServerCall(id=call.id, row=call.to_row()), done)
         else:
             self._pass_on(home, ServerCall(id=call, row=None), done)
 
@@ -233,9 +233,9 @@
             done(CallResult(200, report_to=self._home_of(call)) if known else AWAY)
 
         if isinstance(call, Server):
-            home.heartbeat(now, call, settle)
+            home.server_heartbeat(now, call, settle)
         else:
-            home.leave(now, call, settle)
+            home.server_leave(now, call, settle)
         home.push(now, self.core.offer)
         self.core.flush()
 
@@ -284,7 +284,7 @@
         self.forwarding.ask(ip, call, answered)
 
     def _server_called(self, now: float, call: ServerCall) -> None:
-        server = server_of(call.id, call.row) if call.row is not None else call.id
+        server = server_from_row(call.id, call.row) if call.row is not None else call.id
         self.server_call(now, server, self._answers(call))
 
     def _operator_called(self, now: float, call: OperatorCall) -> None:
--- a/larklb/gateway/core.py
+++ b/larklb/gateway/core.py
@@ -17,7 +17,7 @@
 from larklb.gateway.messages import Message, Raft
 from larklb.gateway.settings import Settings
 from larklb.membership.members import Member
-from larklb.registry.messages import Offer
+from larklb.registry.messages import ConfigVersion
 from larklb.registry.replica import RegistryReplica
 from larklb.schema import configuration as schema
 from larklb.schema.amendments import amend
@@ -67,7 +67,7 @@
         self.settings, self.disk, self.post, self.save = settings, me.disk, post, save
         timing = Timing.of(settings.bounds.contact, settings.bounds.convergence)
         self.home = RegistryReplica(
-            me, settings.period, now, scale=timing.scale, bootstrap=settings.bootstrap
+            me, settings.period, now, time_scale=timing.scale, bootstrap=settings.bootstrap
         )
         self.replica = Replica(
             me.disk,
@@ -83,7 +83,7 @@
         self.seen: tuple[frozenset[str], float] = (frozenset(), now)
         self.waiting: dict[str, Callable[[Answer], object]] = {}
         self.tickets = 0
-        self.offer: Offer = (0, "")
+        self.offer: ConfigVersion = (0, "")
         self.told_version = 0
 
     # Operators' calls ---------------------------------------------------------------------
@@ -108,7 +108,7 @@
         """Called every 50 ms."""
         self.now = now
         members = self.home.members
-        cores = {**members.cores(now, self.home.present_ms), self.disk: self.settings.node}
+        cores = {**members.cores_by_disk(now, self.home.core_present_ms), self.disk: self.settings.node}
         self._found(now, cores)
         self.replica.tick(now, cores, members.leaving_disks())
         self.work(now)
@@ -190,6 +190,6 @@
 
     def flush(self) -> None:
         """Sends what the registry's replica has to say."""
-        out, self.home.out = self.home.out, []
+        out, self.home.outbox = self.home.outbox, []
         for ip, message in out:
             self.post(ip, message)
--- a/larklb/gateway/main.py
+++ b/larklb/gateway/main.py
@@ -121,8 +121,8 @@
             settings.zones,
             self.random.randrange(1 << 30),
             limit=self._limit,
-            estimates=Estimates(life=me.life),
-            in_flight=InFlight(life=me.life),
+            estimates=Estimates(life=me.incarnation),
+            in_flight=InFlight(life=me.incarnation),
         )
         first = settings.bootstrap
         bounds = settings.bounds
@@ -262,7 +262,7 @@
         match message:
             case QuotaMessage():
                 sender = self.follower.members.get(message.sender)
-                self.quota_exchange.heard(now, message, sender.number if sender is not None else -1)
+                self.quota_exchange.heard(now, message, sender.ring_number if sender is not None else -1)
             case InFlightMessage() | CapacityReport():
                 self.near.heard(now, message)
             case _:
@@ -300,11 +300,11 @@
     def _changed(self) -> None:
         """Members or servers are others now."""
         now = self.wheel.now()
-        me = self.follower.me
+        me = self.follower.local_member
         members = self.follower.members.values()
-        numbers = self.follower.numbers()
+        numbers = self.follower.nodes_by_ring_number()
         addresses = {n: self.follower.members[node].ip for n, node in numbers.items()}
-        self.quota_exchange.members(now, numbers, addresses, me.number)
+        self.quota_exchange.members(now, numbers, addresses, me.ring_number)
         self.near.peers([m.ip for m in members if m.zone == me.zone and m.state == UP and m.node != me.node])
         self.choice.peers(me.node, [(m.node, m.zone) for m in members])
         self.choice.update(
@@ -314,7 +314,7 @@
                 s.address,
                 s.zone,
                 s.slots,
-                cold=now + s.cold if s.cold else -1e18,
+                cold=now + s.cold_ms if s.cold_ms else -1e18,
                 draining=s.state != registry.STEADY,
                 silent=s.silent,
             )
@@ -361,7 +361,9 @@
 
     def ready(self) -> bool:
         """Whether clients are to come here."""
-        known = self.follower.ever and (bool(self.choice.of) or self.wheel.now() - self.born > PATIENCE_MS)
+        known = self.follower.ever_complete and (
+            bool(self.choice.of) or self.wheel.now() - self.born > PATIENCE_MS
+        )
         return self.front.now is not None and known and not self.leaving.is_set()
 
     async def _ready(self, head: Any, body: bytes, link: Any) -> Reply:
--- a/larklb/gateway/messages.py
+++ b/larklb/gateway/messages.py
@@ -9,7 +9,7 @@
 from larklb.gateway.errors import MessageError
 from larklb.membership.messages import Message as Message
 from larklb.membership.messages import Row
-from larklb.registry.messages import Offer, RegistryMessage
+from larklb.registry.messages import ConfigVersion, RegistryMessage
 from larklb.schema.errors import PROBLEMS_KEPT
 
 PROTOCOL = 2  # of the messages between limiters; another one is not understood
@@ -31,7 +31,7 @@
 class ConfigurationOffer(Message, frozen=True, kw_only=True, tag="offer"):
     """The newest configuration, in answer to ``Peek``."""
 
-    offer: Offer = msgspec.field(name="cfg")
+    offer: ConfigVersion = msgspec.field(name="cfg")
 
 
 class Fetch(Message, frozen=True, kw_only=True, tag="fetch"):
--- a/larklb/gateway/status.py
+++ b/larklb/gateway/status.py
@@ -53,14 +53,14 @@
 
 def _answerer(limiter: Limiter) -> Document:
     s, version = limiter.settings, limiter.version
-    known = [tuple(limiter.follower.offered)]
+    known = [tuple(limiter.follower.offered_config)]
     if limiter.core is not None:
         known.append(tuple(limiter.core.offer))
     return {
         "node": s.node,
         "ip": s.ip,
         "zone": s.zone,
-        "life": limiter.follower.me.life,
+        "life": limiter.follower.local_member.incarnation,
         "upMs": round(limiter.wheel.now() - limiter.born),
         "version": version,
         "digest": next((digest for told, digest in known if version and told == version), ""),
@@ -89,8 +89,8 @@
                 "ip": m.ip,
                 "control": f"{m.ip}:{control[1]}" if control else "",
                 "zone": m.zone,
-                "life": m.life,
-                "number": m.number,
+                "life": m.incarnation,
+                "number": m.ring_number,
                 "state": m.state,
                 "disk": m.disk,
             }
--- a/larklb/lab/control_breaks.py
+++ b/larklb/lab/control_breaks.py
@@ -156,7 +156,7 @@
     def alone(self: RegistryReplica, now: float, server: Any, done: Callable[[bool], object]) -> None:
         done(True)
 
-    return [(RegistryReplica, "_acknowledge_when_known", alone)]
+    return [(RegistryReplica, "_acknowledge_on_quorum", alone)]
 
 
 def _snapshots_go_back() -> list[Change]:
--- a/larklb/membership/members.py
+++ b/larklb/membership/members.py
@@ -10,12 +10,12 @@
 
 from larklb.quota.ring import digest
 
-BEAT_MS = 500.0  # between two beats of a limiter to its home
+HEARTBEAT_INTERVAL_MS = 500.0  # between two beats of a limiter to its home
 LEASE_MS = 2_600.0  # a limiter not heard of for so long is taken for down: five beats, some lost
-PRESENT_MS = 1_500.0  # a core machine heard of within this is there
+CORE_PRESENT_MS = 1_500.0  # a core machine heard of within this is there
 FORGET_MS = 60_000.0  # ... and its number is free for another after so long
-GRANTS = 1 << 24  # numbers handed out under one epoch: each has a grant of its own
-MOST_MEMBERS = 20_000  # more are refused: the table must not grow with nonsense
+GRANTS_PER_EPOCH = 1 << 24  # numbers handed out under one epoch: each has a grant of its own
+MAX_MEMBERS = 20_000  # more are refused: the table must not grow with nonsense
 
 UP, LEAVING, DOWN = "up", "leaving", "down"
 _RANK: Final = {UP: 0, DOWN: 0, LEAVING: 1}
@@ -28,26 +28,26 @@
     node: str
     ip: str
     zone: str
-    life: int  # its incarnation: a higher one replaces a lower one
+    incarnation: int  # its incarnation: a higher one replaces a lower one
     disk: str = ""  # its disk's id, where it is a core machine
     state: str = UP
-    number: int = -1  # on the ring; -1: none yet
-    granted: int = -1
+    ring_number: int = -1  # on the ring; -1: none yet
+    grant: int = -1
 
-    def row(self) -> dict[str, Any]:
+    def to_row(self) -> dict[str, Any]:
         """As it travels."""
         return {
             "ip": self.ip,
             "z": self.zone,
-            "l": self.life,
+            "l": self.incarnation,
             "d": self.disk,
             "s": self.state,
-            "n": self.number,
-            "g": self.granted,
+            "n": self.ring_number,
+            "g": self.grant,
         }
 
 
-def member_of(node: str, row: Mapping[str, Any]) -> Member:
+def member_from_row(node: str, row: Mapping[str, Any]) -> Member:
     """From a row; KeyError, TypeError or ValueError where it is none."""
     return Member(
         node,
@@ -61,12 +61,12 @@
     )
 
 
-def merged(one: Member, other: Member) -> Member:
+def merge_members(one: Member, other: Member) -> Member:
     """The newer of two records of a node, with the number of the higher epoch; whatever the order, the
     same."""
     newer, older = (one, other) if _age(one) >= _age(other) else (other, one)
-    if older.granted > newer.granted:
-        newer = evolve(newer, number=older.number, granted=older.granted)
+    if older.grant > newer.grant:
+        newer = evolve(newer, ring_number=older.ring_number, grant=older.grant)
     return newer
 
 
@@ -75,17 +75,17 @@
 
 
 def _age(member: Member) -> tuple[int, int, int]:
-    return member.life, _RANK.get(member.state, 0), member.granted
+    return member.incarnation, _RANK.get(member.state, 0), member.grant
 
 
 @define
-class Heard:
+class MemberRecord:
     """A member, and when it was last heard of here or by another core machine."""
 
     member: Member
-    at: float
-    direct: float = -1e18  # when a beat of its own came here
-    old: bool = False  # not heard of for so long that others are not told any more
+    last_heard: float
+    last_direct: float = -1e18  # when a beat of its own came here
+    stale: bool = False  # not heard of for so long that others are not told any more
 
 
 @define
@@ -94,45 +94,50 @@
 
     ``core_machines`` are those of them that have a disk: few, and asked for far more often."""
 
-    of: dict[str, Heard] = field(factory=dict)
-    lease: float = LEASE_MS
-    core_machines: dict[str, Heard] = field(factory=dict)
+    by_node: dict[str, MemberRecord] = field(factory=dict)
+    lease_ms: float = LEASE_MS
+    core_machines: dict[str, MemberRecord] = field(factory=dict)
 
-    def heard(self, now: float, told: Member, direct: bool, fresh: bool = True) -> bool:
+    def update(self, now: float, told: Member, direct: bool, fresh: bool = True) -> bool:
         """A record came, from the limiter itself (``direct``) or from a core machine, ``fresh`` where that
         has just heard it; whether anything changed that others must know."""
-        known = self.of.get(told.node)
+        known = self.by_node.get(told.node)
         if known is None:
-            if len(self.of) >= MOST_MEMBERS:
+            if len(self.by_node) >= MAX_MEMBERS:
                 return False
-            known = Heard(told, now if fresh else now - self.lease / 2, now if direct else -1e18)
-            self.of[told.node] = known
+            known = MemberRecord(told, now if fresh else now - self.lease_ms / 2, now if direct else -1e18)
+            self.by_node[told.node] = known
             self._index(known)
             return True
         before = known.member
         # Who is down is each core machine's own view, by its lease: it travels to limiters alone.
-        merge = merged(_up(told), _up(before))
-        if before.state == DOWN and merge.state == UP and merge.life == before.life and not fresh:
+        merge = merge_members(_up(told), _up(before))
+        if (
+            before.state == DOWN
+            and merge.state == UP
+            and merge.incarnation == before.incarnation
+            and not fresh
+        ):
             merge = evolve(merge, state=DOWN)
-        if fresh and told.life >= before.life:
-            known.at, known.old = now, False
-            known.direct = now if direct else known.direct
+        if fresh and told.incarnation >= before.incarnation:
+            known.last_heard, known.stale = now, False
+            known.last_direct = now if direct else known.last_direct
         changed, known.member = merge != before, merge
         self._index(known)
         return changed
 
-    def _index(self, known: Heard) -> None:
+    def _index(self, known: MemberRecord) -> None:
         if known.member.disk:
             self.core_machines[known.member.node] = known
         else:
             self.core_machines.pop(known.member.node, None)
 
-    def renewed(self, now: float, node: str, life: int) -> bool:
+    def renew(self, now: float, node: str, life: int) -> bool:
         """Another core machine hears it; whether it was taken for down here."""
-        known = self.of.get(node)
-        if known is None or known.member.life != life:
+        known = self.by_node.get(node)
+        if known is None or known.member.incarnation != life:
             return False
-        known.at, known.old = now, False
+        known.last_heard, known.stale = now, False
         if known.member.state != DOWN:
             return False
         known.member = evolve(known.member, state=UP)
@@ -141,45 +146,45 @@
     def expire(self, now: float) -> list[str]:
         """The nodes whose lease has just run out."""
         down = []
-        for node, known in list(self.of.items()):
-            silent = now - known.at
+        for node, known in list(self.by_node.items()):
+            silent = now - known.last_heard
             if silent > FORGET_MS:
-                del self.of[node]
+                del self.by_node[node]
                 self.core_machines.pop(node, None)
                 down.append(node)
-            elif silent > self.lease and known.member.state == UP:
+            elif silent > self.lease_ms and known.member.state == UP:
                 known.member = evolve(known.member, state=DOWN)
                 down.append(node)
-            elif silent > FORGET_MS / 2 and not known.old:
-                known.old = True  # or those who forget it first would be told of it again by the others
+            elif silent > FORGET_MS / 2 and not known.stale:
+                known.stale = True  # or those who forget it first would be told of it again by the others
                 down.append(node)
         return down
 
-    def number(self, epoch: int) -> list[str]:
+    def assign_ring_numbers(self, epoch: int) -> list[str]:
         """The leader's duty: whoever has no number of its own gets one; the nodes that did."""
         taken: dict[int, str] = {}
         without = []
-        for node in sorted(self.of, key=lambda n: (-self.of[n].member.granted, n)):
-            member = self.of[node].member
-            if member.number < 0 or member.number in taken:
+        for node in sorted(self.by_node, key=lambda n: (-self.by_node[n].member.grant, n)):
+            member = self.by_node[node].member
+            if member.ring_number < 0 or member.ring_number in taken:
                 without.append(node)
             else:
-                taken[member.number] = node
-        free, granted = 0, max([epoch * GRANTS, *(h.member.granted for h in self.of.values())])
+                taken[member.ring_number] = node
+        free, granted = 0, max([epoch * GRANTS_PER_EPOCH, *(h.member.grant for h in self.by_node.values())])
         for node in without:
             granted += 1
             while free in taken:
                 free += 1
             taken[free] = node
-            self.of[node].member = evolve(self.of[node].member, number=free, granted=granted)
+            self.by_node[node].member = evolve(self.by_node[node].member, ring_number=free, grant=granted)
         return without
 
-    def cores(self, now: float, within: float) -> dict[str, str]:
+    def cores_by_disk(self, now: float, within: float) -> dict[str, str]:
         """Disk ids and names of the core machines that were heard of within so many ms and aren't down."""
         return {
             heard.member.disk: node
             for node, heard in self.core_machines.items()
-            if now - heard.at <= within and heard.member.state != DOWN
+            if now - heard.last_heard <= within and heard.member.state != DOWN
         }
 
     def leaving_disks(self) -> frozenset[str]:
@@ -196,6 +201,6 @@
         return None
 
 
-def order(me: str, zone: str, cores: Iterable[Member]) -> list[Member]:
+def home_order(me: str, zone: str, cores: Iterable[Member]) -> list[Member]:
     """The agreed order of homes of a limiter: core machines of its zone first, each limiter's own turn."""
     return sorted(cores, key=lambda m: (m.node != me, m.zone != zone, digest(f"{me} {m.node}")))
--- a/larklb/registry/messages.py
+++ b/larklb/registry/messages.py
@@ -10,8 +10,8 @@
 
 from larklb.membership.messages import Message, Row, Rows
 
-Position = tuple[str, int]  # a core machine's node name and life, of whose table a revision is meant
-Offer = tuple[int, str]  # the newest configuration: version and digest
+TableId = tuple[str, int]  # a core machine's node name and life, of whose table a revision is meant
+ConfigVersion = tuple[int, str]  # the newest configuration: version and digest
 
 
 class Hello(Message, frozen=True, kw_only=True, tag="hello"):
@@ -26,19 +26,19 @@
     cores: Rows = msgspec.field(name="c")
 
 
-class Beat(Message, frozen=True, kw_only=True, tag="beat"):
+class MemberHeartbeat(Message, frozen=True, kw_only=True, tag="beat"):
     """A subscriber's heartbeat to its home: its own row, and the revision that it ``have`` of the table
     ``of`` this home."""
 
     member: Row = msgspec.field(name="m")
-    of: Position
+    of: TableId
     have: int
 
 
-class Has(Message, frozen=True, kw_only=True, tag="has"):
+class DeltaAck(Message, frozen=True, kw_only=True, tag="has"):
     """A subscriber has taken all changes up to a revision."""
 
-    of: Position
+    of: TableId
     have: int
 
 
@@ -48,12 +48,12 @@
     ``rows``: kind ('m' member, 's' server), key, and the row, None where it was removed; ``you``: the
     receiver's ring number, the grant of it, and the life of the receiver that this home knows."""
 
-    life: int = msgspec.field(name="l")
-    start: int = msgspec.field(name="from")
+    incarnation: int = msgspec.field(name="l")
+    start_revision: int = msgspec.field(name="from")
     to: int
     head: int
     rows: list[tuple[str, str, Row | None]]
-    offer: Offer = msgspec.field(name="cfg")
+    config: ConfigVersion = msgspec.field(name="cfg")
     you: tuple[int, int, int]
 
 
@@ -61,21 +61,21 @@
     """A home has just started, or is cut off from the majority: another one knows more."""
 
 
-class RowsHeard(Message, frozen=True, kw_only=True, tag="rows"):
+class RowsUpdate(Message, frozen=True, kw_only=True, tag="rows"):
     """Rows that a core machine has just heard. With ``ask``, the number of a pending acknowledgement, the
-    receiver answers ``RowsKnown`` once it has them."""
+    receiver answers ``RowsAck`` once it has them."""
 
     members: Rows = msgspec.field(name="m")
     servers: Rows = msgspec.field(name="v")
     ask: int | None = None
-    life: int = msgspec.field(default=0, name="l")
+    incarnation: int = msgspec.field(default=0, name="l")
 
 
-class RowsKnown(Message, frozen=True, kw_only=True, tag="known"):
+class RowsAck(Message, frozen=True, kw_only=True, tag="known"):
     """The core machine with ``disk`` has the rows that were sent with ``ask``."""
 
     ask: int
-    life: int = msgspec.field(name="l")
+    incarnation: int = msgspec.field(name="l")
     disk: str = msgspec.field(name="d")
 
 
@@ -87,20 +87,20 @@
     me: Row
     ready: bool
     sent_at: float = msgspec.field(name="t")
-    lives: list[tuple[str, int]] = msgspec.field(name="m")
+    incarnations: list[tuple[str, int]] = msgspec.field(name="m")
     sequences: list[tuple[str, int]] = msgspec.field(name="v")
     digests: list[str] = msgspec.field(name="dg")
 
 
-class Synced(Message, frozen=True, kw_only=True, tag="synced"):
+class SyncAck(Message, frozen=True, kw_only=True, tag="synced"):
     """The core machine with ``disk`` echoes when a ``Sync`` of the receiver's was sent."""
 
     disk: str = msgspec.field(name="d")
-    life: int = msgspec.field(name="l")
+    incarnation: int = msgspec.field(name="l")
     sent_at: float = msgspec.field(name="t")
 
 
-class Ranges(Message, frozen=True, kw_only=True, tag="range"):
+class RangeRows(Message, frozen=True, kw_only=True, tag="range"):
     """All rows of some ranges, whose digests differed: those of the receiver were of its life ``compared``;
     ``life``: the sender's; ``ready``: its table may be told; ``again``: the receiver is to send its own
     back."""
@@ -108,12 +108,14 @@
     ranges: list[int] = msgspec.field(name="r")
     members: Rows = msgspec.field(name="m")
     servers: Rows = msgspec.field(name="v")
-    life: int = msgspec.field(name="l")
+    incarnation: int = msgspec.field(name="l")
     compared: int
     ready: bool
     again: bool
 
 
-CoreMessage = Beat | Has | RowsHeard | RowsKnown | Sync | Synced | Ranges  # at a core machine
+CoreMessage = (
+    MemberHeartbeat | DeltaAck | RowsUpdate | RowsAck | Sync | SyncAck | RangeRows
+)  # at a core machine
 SubscriberMessage = Hello | Cores | Delta | NotReady  # at any limiter
 RegistryMessage = CoreMessage | SubscriberMessage
--- a/larklb/registry/registry.py
+++ b/larklb/registry/registry.py
@@ -10,7 +10,7 @@
 
 LEASE_PERIODS = 3.5  # beats missed in a row until a server is taken for silent
 FORGET_MS = 30_000.0  # a server that has left, or is silent, is forgotten after so long
-MOST_SERVERS = 100_000
+MAX_SERVERS = 100_000
 
 STEADY, DRAINING, GONE = "s", "d", "g"
 _RANK: Final = {STEADY: 0, DRAINING: 1, GONE: 2}
@@ -29,10 +29,10 @@
     version: str = ""
     state: str = STEADY
     sequence: int = 0
-    cold: float = 0.0  # ms
+    cold_ms: float = 0.0  # ms
     silent: bool = False
 
-    def row(self) -> dict[str, Any]:
+    def to_row(self) -> dict[str, Any]:
         """As it travels."""
         row = {
             "t": self.target,
@@ -43,14 +43,14 @@
             "s": self.state,
             "q": self.sequence,
         }
-        if self.cold:
-            row["w"] = self.cold
+        if self.cold_ms:
+            row["w"] = self.cold_ms
         if self.silent:
             row["x"] = 1
         return row
 
 
-def server_of(key: str, row: Mapping[str, Any]) -> Server:
+def server_from_row(key: str, row: Mapping[str, Any]) -> Server:
     """From a row; KeyError, TypeError or ValueError where it is none."""
     return Server(
         key,
@@ -66,65 +66,65 @@
     )
 
 
-def merged(one: Server, other: Server) -> Server:
+def merge_servers(one: Server, other: Server) -> Server:
     """Of two records of a life: the further state, else the higher sequence; whatever the order, the same."""
     return max(one, other, key=lambda s: (_RANK.get(s.state, 0), s.sequence))
 
 
 @define
-class Known:
+class ServerRecord:
     """A server, and when it was last heard of here or by another core machine."""
 
     server: Server
-    at: float
-    direct: float = -1e18
-    old: bool = False  # not heard of for so long that others are not told any more
+    last_heard: float
+    last_direct: float = -1e18
+    stale: bool = False  # not heard of for so long that others are not told any more
 
 
 @define
 class Registry:
     """All servers that a core machine knows; ``period``: ms between a server's beats."""
 
-    period: float
-    of: dict[str, Known] = field(factory=dict)
+    period_ms: float
+    by_id: dict[str, ServerRecord] = field(factory=dict)
 
-    def heard(self, now: float, told: Server, direct: bool, fresh: bool = True) -> bool:
+    def update(self, now: float, told: Server, direct: bool, fresh: bool = True) -> bool:
         """A record came, from the server (``direct``) or from a core machine; whether others must know."""
-        known = self.of.get(told.id)
+        known = self.by_id.get(told.id)
         if known is None:
-            if len(self.of) >= MOST_SERVERS:
+            if len(self.by_id) >= MAX_SERVERS:
                 return False
-            self.of[told.id] = Known(
+            self.by_id[told.id] = ServerRecord(
                 evolve(told, silent=told.silent and not fresh),
-                now if fresh else now - self.period,
+                now if fresh else now - self.period_ms,
                 now if direct else -1e18,
             )
             return True
         before = known.server
         if fresh and told.sequence >= before.sequence:
-            known.at, known.old = now, False
-            known.direct = now if direct else known.direct
-        known.server = evolve(merged(told, before), silent=before.silent and not fresh)
+            known.last_heard, known.stale = now, False
+            known.last_direct = now if direct else known.last_direct
+        known.server = evolve(merge_servers(told, before), silent=before.silent and not fresh)
         return _matters(before) != _matters(known.server)
 
-    def gone(self, now: float, name: str) -> bool:
+    def mark_gone(self, now: float, name: str) -> bool:
         """A server has left; whether that is news."""
-        known = self.of.get(name)
-        if known is None and len(self.of) < MOST_SERVERS:  # others may know it, and are to be told
-            self.of[name] = Known(Server(name, "", "", "", 1, state=GONE), now)
+        known = self.by_id.get(name)
+        if known is None and len(self.by_id) < MAX_SERVERS:  # others may know it, and are to be told
+            self.by_id[name] = ServerRecord(Server(name, "", "", "", 1, state=GONE), now)
             return True
         if known is None or known.server.state == GONE:
             return False
-        known.server, known.at, known.old = evolve(known.server, state=GONE), now, False
+        known.server, known.last_heard, known.stale = evolve(known.server, state=GONE), now, False
         return True
 
-    def renewed(self, now: float, name: str, sequence: int) -> bool:
+    def renew(self, now: float, name: str, sequence: int) -> bool:
         """Another core machine hears it; whether it was taken for silent here."""
-        known = self.of.get(name)
+        known = self.by_id.get(name)
         if known is None:
             return False
         if sequence >= known.server.sequence:
-            known.at, known.old = now, False
+            known.last_heard, known.stale = now, False
         if not known.server.silent:
             return False
         known.server = evolve(known.server, silent=False)
@@ -133,16 +133,16 @@
     def expire(self, now: float) -> list[str]:
         """The servers whose lease has just run out, or that are forgotten."""
         over = []
-        for name, known in list(self.of.items()):
-            quiet = now - known.at
+        for name, known in list(self.by_id.items()):
+            quiet = now - known.last_heard
             if quiet > FORGET_MS:
-                del self.of[name]
+                del self.by_id[name]
                 over.append(name)
-            elif quiet > self.period * LEASE_PERIODS and not known.server.silent:
+            elif quiet > self.period_ms * LEASE_PERIODS and not known.server.silent:
                 known.server = evolve(known.server, silent=True)
                 over.append(name)
-            elif quiet > FORGET_MS / 2 and not known.old:
-                known.old = True  # or those who forget it first would be told of it again by the others
+            elif quiet > FORGET_MS / 2 and not known.stale:
+                known.stale = True  # or those who forget it first would be told of it again by the others
                 over.append(name)
         return over
 
@@ -154,6 +154,6 @@
         server.zone,
         server.slots,
         server.state,
-        server.cold > 0,
+        server.cold_ms > 0,
         server.silent,
     )
--- a/tests/test_control_faults.py
+++ b/tests/test_control_faults.py
@@ -147,7 +147,7 @@
         world.start(machine)
     world.run(6_000.0)
     assert "c4" not in world.seeds
-    monkeypatch.setattr(RegistryReplica, "_may_tell", lambda self, now: False)
+    monkeypatch.setattr(RegistryReplica, "_may_serve", lambda self, now: False)
     world.seeds = ["c4"]
     for name in ("c4", "l0"):
         world.kill(world.machines[name])
@@ -176,11 +176,11 @@
 
 @pytest.mark.parametrize("scale", [0.5, 1.0])
 def test_leases_of_limiters_follow_from_the_terms(scale: float) -> None:
-    home = RegistryReplica(Member("a", "a", "z", 1, "da"), 1500.0, 0.0, scale=scale)
-    home.told_of(0.0, Member("n", "n", "z", 1), True)
+    home = RegistryReplica(Member("a", "a", "z", 1, "da"), 1500.0, 0.0, time_scale=scale)
+    home.update_member(0.0, Member("n", "n", "z", 1), True)
     for now, state in ((0.95 * LEASE_MS * scale, UP), (1.05 * LEASE_MS * scale, DOWN)):
         home.members.expire(now)
-        assert home.members.of["n"].member.state == state
+        assert home.members.by_node["n"].member.state == state
 
 
 def test_no_order_is_sent_while_a_day_reads_its_end() -> None:
--- a/tests/test_control_plane.py
+++ b/tests/test_control_plane.py
@@ -15,8 +15,8 @@
 from larklb.gateway.main import HARD_STATE, _open
 from larklb.gateway.messages import PROTOCOL, CallAnswer, CallResult, Message, OperatorCall, Peek, ServerCall
 from larklb.gateway.transport import Transport
-from larklb.membership.members import GRANTS, Member, Members
-from larklb.registry.messages import Beat, NotReady, Ranges, RowsHeard, Synced
+from larklb.membership.members import GRANTS_PER_EPOCH, Member, Members
+from larklb.registry.messages import MemberHeartbeat, NotReady, RangeRows, RowsUpdate, SyncAck
 from larklb.registry.registry import Server
 from larklb.registry.replica import RegistryReplica
 from larklb.storage.store import Store
@@ -113,7 +113,7 @@
 
 
 def echo(home: RegistryReplica, disk: str, at: float, life: int = 1) -> None:
-    home.synced(Synced(disk=disk, life=life, sent_at=at))
+    home.handle_sync_ack(SyncAck(disk=disk, incarnation=life, sent_at=at))
 
 
 def test_a_core_machine_that_no_majority_hears_acknowledges_nothing() -> None:
@@ -121,25 +121,26 @@
     home, told = core_machine(), list[bool]()
     echo(home, "db", 500.0)
     assert not home.fenced(1400.0) and home.fenced(1600.0)
-    home.heartbeat(1400.0, Server("s", "t", "h:1", "z", 2, sequence=1), told.append)
-    home.heartbeat(1600.0, Server("s", "t", "h:1", "z", 2, sequence=2), told.append)
+    home.server_heartbeat(1400.0, Server("s", "t", "h:1", "z", 2, sequence=1), told.append)
+    home.server_heartbeat(1600.0, Server("s", "t", "h:1", "z", 2, sequence=2), told.append)
     assert told == [True, False], "the beat goes to one that others hear"
-    assert home.registry.of["s"].server.sequence == 2, "what it tells counts all the same"
+    assert home.registry.by_id["s"].server.sequence == 2, "what it tells counts all the same"
     echo(home, "db", 5000.0, life=0)
     assert home.fenced(5000.0), "an echo to the process before"
     echo(home, "dc", 5000.0)
     assert not home.fenced(5900.0)
-    home.echoed.clear()
-    home.tick(9000.0, home.me, home.voters, None, (0, ""))
-    home.rows_heard(9000.0, RowsHeard(sender="b", address="b", members=[], servers=[]))
+    home.last_echo.clear()
+    home.tick(9000.0, home.local_member, home.voters, None, (0, ""))
+    home.handle_rows_update(9000.0, RowsUpdate(sender="b", address="b", members=[], servers=[]))
     assert home.fenced(9000.0), "hearing others is not being heard"
 
 
 def test_a_fenced_home_sends_its_subscribers_away() -> None:
     home = core_machine()
-    beat = Beat(sender="n", address="n", member=Member("n", "n", "z", 1).row(), of=("", 0), have=0)
-    home.beat(5000.0, beat, (7, "digest"))
-    assert [message for ip, message in home.out if ip == "n"] == [NotReady()]
+    beat = MemberHeartbeat(sender="n", address="n", member=Member("n", "n", "z", 1).to_row(), of=("", 0),
+                           have=0)
+    home.handle_heartbeat(5000.0, beat, (7, "digest"))
+    assert [message for ip, message in home.outbox if ip == "n"] == [NotReady()]
 
 
 @pytest.mark.parametrize("ready", [True, False])
@@ -148,11 +149,12 @@
     for compared in (0, 1):
         home = core_machine()
         home.ready = False
-        home.ranges(10.0, Ranges(sender="b", address="b", ranges=[1], members=[], servers=[], life=5,
-                                 compared=compared, ready=ready, again=True))
-        assert home.ready == (ready and compared == home.me.life)
-        answer = home.out[-1][1]
-        assert isinstance(answer, Ranges) and answer.compared == 5 and not answer.again
+        home.handle_range_rows(10.0, RangeRows(
+            sender="b", address="b", ranges=[1], members=[], servers=[], incarnation=5,
+            compared=compared, ready=ready, again=True))
+        assert home.ready == (ready and compared == home.local_member.incarnation)
+        answer = home.outbox[-1][1]
+        assert isinstance(answer, RangeRows) and answer.compared == 5 and not answer.again
 
 
 def test_numbers_of_an_older_epoch_lose() -> None:
@@ -160,13 +162,14 @@
     old, new = Members(), Members()
     for members in (old, new):
         for node in "ab":
-            members.heard(0.0, Member(node, node, "z", 1), True)
-    new.number(2)
-    old.number(1)
+            members.update(0.0, Member(node, node, "z", 1), True)
+    new.assign_ring_numbers(2)
+    old.assign_ring_numbers(1)
     for node in "ab":
-        old.heard(0.0, new.of[node].member, False)
-        new.heard(0.0, old.of[node].member, False)
-        assert old.of[node].member == new.of[node].member and new.of[node].member.granted >= 2 * GRANTS
+        old.update(0.0, new.by_node[node].member, False)
+        new.update(0.0, old.by_node[node].member, False)
+        assert (old.by_node[node].member == new.by_node[node].member
+                and new.by_node[node].member.grant >= 2 * GRANTS_PER_EPOCH)
 
 
 def test_a_folder_without_votes_is_a_blank_disk_under_a_new_id(tmp_path: Path) -> None:
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -22,25 +22,25 @@
 from larklb.gateway.errors import MessageError
 from larklb.gateway.messages import CallAnswer, CallResult, ServerCall
 from larklb.membership import members as membership
-from larklb.membership.members import DOWN, LEAVING, UP, Member, Members, member_of
+from larklb.membership.members import DOWN, LEAVING, UP, Member, Members, member_from_row
 from larklb.membership.messages import Message, Row, Rows
 from larklb.registry import registry
 from larklb.registry import subscriber as follower_module
 from larklb.registry.messages import (
-    Beat,
+    ConfigVersion,
     Cores,
     Delta,
-    Has,
+    DeltaAck,
     Hello,
+    MemberHeartbeat,
     NotReady,
-    Offer,
-    Ranges,
-    RowsHeard,
-    RowsKnown,
+    RangeRows,
+    RowsAck,
+    RowsUpdate,
     Sync,
-    Synced,
+    SyncAck,
 )
-from larklb.registry.registry import DRAINING, GONE, STEADY, Server, server_of
+from larklb.registry.registry import DRAINING, GONE, STEADY, Server, server_from_row
 from larklb.registry.replica import RegistryReplica
 from larklb.registry.subscriber import Subscriber
 
@@ -80,7 +80,7 @@
     calls: dict[int, Callable[[CallAnswer | None], None]] = field(factory=dict)
     called: int = 0
     seen: dict[str, int] = field(factory=dict)       # servers in its table, by the furthest state shown
-    offer: Offer = (0, "")
+    offer: ConfigVersion = (0, "")
 
 
 @define(eq=False)
@@ -103,7 +103,7 @@
     """Three core machines, five more limiters, servers, and all words between them."""
 
     def __init__(self, seed: int = 1, *, servers: int = 6, seeds: int = 8, loss: float = 0.0,
-                 repeat: float = 0.0, late: float = 0.0, most_events: int = gauge.MOST_EVENTS,
+                 repeat: float = 0.0, late: float = 0.0, most_events: int = gauge.MAX_REMOVALS,
                  cores: int = 3) -> None:
         self.chance = random.Random(seed)
         self.loss, self.repeat, self.late, self.most_events = loss, repeat, late, most_events
@@ -153,7 +153,7 @@
         node.calls, node.seen = {}, {}
         if node.disk:
             node.home = RegistryReplica(me, PERIOD, self.now)
-            node.home.table.most = self.most_events
+            node.home.table.max_removals = self.most_events
         life = node.life
         self.at(self.chance.uniform(0, 50), lambda: self._turn(node, life))
 
@@ -201,14 +201,14 @@
         home = node.home
         if home is not None:
             epoch = self.term if self.leader == node.name else None
-            home.tick(self.now, node.follower.me, self.voters, epoch, node.offer)
+            home.tick(self.now, node.follower.local_member, self.voters, epoch, node.offer)
         node.follower.tick(self.now)
         self._flush(node)
 
     def _flush(self, node: Node) -> None:
         for speaker in (node.follower, node.home):
             if speaker is not None:
-                out, speaker.out = speaker.out, []
+                out, speaker.outbox = speaker.outbox, []
                 for ip, message in out:
                     self.post(node, ip, message)
 
@@ -252,17 +252,17 @@
         now, home = self.now, node.home
         match message:
             case Delta():
-                node.follower.delta(now, message)
+                node.follower.handle_delta(now, message)
             case NotReady():
-                node.follower.not_ready(now, message)
+                node.follower.handle_not_ready(now, message)
             case Hello():
-                node.follower.hello(now, message)
+                node.follower.handle_hello(now, message)
                 self._meet(home, [(message.sender, message.member)])
             case Cores():
-                node.follower.told_cores(now, message)
+                node.follower.handle_cores(now, message)
                 self._meet(home, message.cores)
             case ServerCall() as asked:
-                call = server_of(asked.id, asked.row) if asked.row is not None else asked.id
+                call = server_from_row(asked.id, asked.row) if asked.row is not None else asked.id
                 self.server_call(node, call, lambda known: self.post(
                     node, asked.address, CallResult(200 if known else 503).answer_to(asked)))
             case CallAnswer():
@@ -276,27 +276,27 @@
     def _heard_at_core(self, node: Node, home: RegistryReplica, message: Message) -> None:
         now = self.now
         match message:
-            case Synced():
-                home.synced(message)
-            case Beat():
-                home.beat(now, message, node.offer)
-            case Has():
-                home.has(message)
-            case RowsKnown():
-                home.rows_known(message)
-            case RowsHeard():
-                home.rows_heard(now, message)
+            case SyncAck():
+                home.handle_sync_ack(message)
+            case MemberHeartbeat():
+                home.handle_heartbeat(now, message, node.offer)
+            case DeltaAck():
+                home.handle_delta_ack(message)
+            case RowsAck():
+                home.handle_rows_ack(message)
+            case RowsUpdate():
+                home.handle_rows_update(now, message)
             case Sync():
-                home.sync(now, message)
-            case Ranges():
-                home.ranges(now, message)
+                home.handle_sync(now, message)
+            case RangeRows():
+                home.handle_range_rows(now, message)
         home.push(now, node.offer)
 
     def _meet(self, home: RegistryReplica | None, rows: Rows) -> None:
         for name, row in rows:
-            member = member_of(str(name), row)
+            member = member_from_row(str(name), row)
             if home is not None and member.disk:
-                home.meet(self.now, member)
+                home.add_core(self.now, member)
 
     # Servers ------------------------------------------------------------------------------
 
@@ -306,9 +306,9 @@
         here = home is not None and (home.ready or not ip or ip == node.ip)
         if home is not None and here and not home.fenced(self.now):
             if isinstance(call, Server):
-                home.heartbeat(self.now, call, lambda known: reply(known))
+                home.server_heartbeat(self.now, call, lambda known: reply(known))
             else:
-                home.leave(self.now, call, lambda known: reply(known))
+                home.server_leave(self.now, call, lambda known: reply(known))
             home.push(self.now, node.offer)
             self._flush(node)
         elif not ip or ip == node.ip:
@@ -322,7 +322,7 @@
                 if node.life == life and (waiting := node.calls.pop(number, None)) is not None:
                     waiting(None)
             self.at(CALL, late)
-            name, row = (call.id, call.row()) if isinstance(call, Server) else (call, None)
+            name, row = (call.id, call.to_row()) if isinstance(call, Server) else (call, None)
             self.post(node, ip, ServerCall(number=number, id=name, row=row))
 
     def serve(self, name: str, target: str, address: str) -> Outfall:
@@ -394,7 +394,7 @@
                 raise BrokenError(f"{self.now:.0f} {node.name}: {server.id} went back to {server.state}")
             node.seen[server.id] = rank
         if node.home is not None:
-            for name, known in node.home.registry.of.items():
+            for name, known in node.home.registry.by_id.items():
                 acked, state = self.servers[name].acked, known.server.state
                 if GONE in acked and self.now - acked[GONE] > DRAIN and state != GONE:
                     raise BrokenError(f"{self.now:.0f} {node.name}: {name} has left and is {state}")
@@ -417,11 +417,12 @@
             told = {n: m for n, m in node.follower.members.items() if m.state == UP}
             if told.keys() != up.keys():
                 return f"{node.name} knows {sorted(told)} as up, of {sorted(up)}"
-            numbers = {m.number for m in told.values()}
+            numbers = {m.ring_number for m in told.values()}
             if len(numbers) < len(told) or -1 in numbers:
-                return f"{node.name} knows numbers {[(m.node, m.number) for m in told.values()]}"
-            if node.follower.me.number != told[node.name].number:
-                return f"{node.name} has number {node.follower.me.number}, others {told[node.name].number}"
+                return f"{node.name} knows numbers {[(m.node, m.ring_number) for m in told.values()]}"
+            if node.follower.local_member.ring_number != told[node.name].ring_number:
+                return (f"{node.name} has number {node.follower.local_member.ring_number}, "
+                        f"others {told[node.name].ring_number}")
             steady = {n: s.slots for n, s in node.follower.servers.items()
                       if s.state == STEADY and not s.silent}
             alive = {n: s.slots for n, s in self.servers.items() if s.alive and s.state == STEADY}
@@ -434,7 +435,7 @@
             raise BrokenError(f"{self.now:.0f} {wrong}")
 
     def numbers(self) -> dict[str, int]:
-        return {n: node.follower.me.number for n, node in self.nodes.items() if node.up}
+        return {n: node.follower.local_member.ring_number for n, node in self.nodes.items() if node.up}
 
 
 # Runs -----------------------------------------------------------------------------------------
@@ -582,8 +583,8 @@
             net.restart("a1")
         for node in net.nodes.values():
             if (member := node.follower.members.get("a1")) is not None and node.name != "a1":
-                assert member.life >= lives.get(node.name, 0), f"{net.now:.0f} {node.name}"
-                lives[node.name] = member.life
+                assert member.incarnation >= lives.get(node.name, 0), f"{net.now:.0f} {node.name}"
+                lives[node.name] = member.incarnation
     net.expect_settled()
 
 
@@ -686,7 +687,7 @@
     net.run(2_500)
     for name in ("a0", "a1", "a2", "a3", "a4"):
         follower = net.nodes[name].follower
-        assert follower.home != "m0" and follower.whole, name
+        assert follower.home != "m0" and follower.complete, name
 
 
 def test_home_that_is_cut_off_is_left() -> None:
@@ -729,11 +730,12 @@
     """Also once its table has been seen, when it tells something else of the server."""
     follower = Subscriber(Member("a0", "10.0.0.1", "z", 1), [])
     for name in ("m0", "m1"):
-        follower.core(0.0, Member(name, f"10.0.0.{name[1]}", "z", 1, f"disk-{name}"))
+        follower.add_core(0.0, Member(name, f"10.0.0.{name[1]}", "z", 1, f"disk-{name}"))
 
     def told(now: float, start: int, server: Server) -> str:
-        follower.delta(now, Delta(sender=follower.home, life=1, start=start, to=start + 1, head=start + 1,
-                                  rows=[("s", "s0", server.row())], offer=(0, ""), you=(0, 1, 1)))
+        follower.handle_delta(now, Delta(
+            sender=follower.home, incarnation=1, start_revision=start, to=start + 1, head=start + 1,
+            rows=[("s", "s0", server.to_row())], config=(0, ""), you=(0, 1, 1)))
         return follower.servers["s0"].state
     old = Server("s0", "t", "10.1.0.0:80", "z", 4, "v1", STEADY, 3)
     follower.tick(0.0)
@@ -835,7 +837,7 @@
     net.restart("a2")
     net.run(1_000)
     net.restart("a2")
-    net.nodes["a2"].follower.me = evolve(net.nodes["a2"].follower.me, life=17)
+    net.nodes["a2"].follower.local_member = evolve(net.nodes["a2"].follower.local_member, incarnation=17)
     net.run(membership.LEASE_MS + 2_000)
     net.expect_settled()
 
@@ -847,14 +849,14 @@
     net.drain("s1")
     net.run(1_500)
     net.leave("s1")
-    net.nodes["a3"].follower.me = evolve(net.nodes["a3"].follower.me, state=LEAVING)
+    net.nodes["a3"].follower.local_member = evolve(net.nodes["a3"].follower.local_member, state=LEAVING)
     net.run(600)
     net.kill("a3")
     net.run(membership.FORGET_MS + 8_000)
     for node in net.nodes.values():
         if node.home is not None:
-            assert not {"s0", "s1"} & node.home.registry.of.keys(), node.name
-            assert "a3" not in node.home.members.of, node.name
+            assert not {"s0", "s1"} & node.home.registry.by_id.keys(), node.name
+            assert "a3" not in node.home.members.by_node, node.name
             assert len(node.home.subscribers) < 8 and not node.home.pending
         if node.up:
             assert not {"s0", "s1"} & node.follower.servers.keys(), node.name
@@ -863,13 +865,13 @@
 def test_limiter_that_has_left_is_settled() -> None:
     """Core machines agree on it, or they would tell each other, and all limiters, of it again and again."""
     net = calm(9)
-    net.nodes["a3"].follower.me = evolve(net.nodes["a3"].follower.me, state=LEAVING)
+    net.nodes["a3"].follower.local_member = evolve(net.nodes["a3"].follower.local_member, state=LEAVING)
     net.run(600)
     net.kill("a3")
     net.run(membership.LEASE_MS + 3_000)
-    before = {n: node.home.table.rev for n, node in net.nodes.items() if node.home is not None}
+    before = {n: node.home.table.revision for n, node in net.nodes.items() if node.home is not None}
     net.run(5_000)
-    assert before == {n: node.home.table.rev for n, node in net.nodes.items() if node.home is not None}
+    assert before == {n: node.home.table.revision for n, node in net.nodes.items() if node.home is not None}
 
 
 def test_core_machine_that_was_forgotten_is_met_again() -> None:
@@ -890,7 +892,7 @@
         net.restart(name)
         for _ in range(30):
             net.run(100)
-            back = [n.name for n in net.nodes.values() if n.follower.ever and n.name[0] == "a"
+            back = [n.name for n in net.nodes.values() if n.follower.ever_complete and n.name[0] == "a"
                     and "s0" in n.follower.servers and not n.follower.servers["s0"].silent]
             assert not back, f"{net.now:.0f} after {name}: {back}"
 
@@ -901,11 +903,11 @@
     other = next(n for n, node in net.nodes.items() if node.follower.home == "m0" and n != "m0")
     assert home is not None
     net.servers["s2"].alive = False            # so that nobody tells it again
-    del home.registry.of["s2"]
-    del home.members.of[other]
-    home.digests = None
+    del home.registry.by_id["s2"]
+    del home.members.by_node[other]
+    home.range_digests = None
     net.run(1_200)
-    assert "s2" in home.registry.of and other in home.members.of
+    assert "s2" in home.registry.by_id and other in home.members.by_node
 
 
 @pytest.mark.parametrize("after", range(13_600, 15_400, 200))
@@ -925,16 +927,17 @@
     follower = Subscriber(Member("a0", "10.0.0.9", "z", 1), [])
     cores = {name: Member(name, f"10.0.0.{name[1]}", "z", 1, f"disk-{name}") for name in ("m0", "m1", "m2")}
     for core in cores.values():
-        follower.core(0.0, core)
+        follower.add_core(0.0, core)
     revision = {name: 0 for name in cores}
 
     def told(now: float, states: dict[str, str]) -> None:
-        home, start = follower.home, follower.have
+        home, start = follower.home, follower.revision
         revision[home] += 1
         rows: list[tuple[str, str, Row | None]] = [
-            ("m", name, evolve(cores[name], state=state).row()) for name, state in states.items()]
-        follower.delta(now, Delta(sender=home, life=1, start=start, to=start + 1, head=start + 1, rows=rows,
-                                  offer=(0, ""), you=(0, 1, 1)))
+            ("m", name, evolve(cores[name], state=state).to_row()) for name, state in states.items()]
+        follower.handle_delta(now, Delta(
+            sender=home, incarnation=1, start_revision=start, to=start + 1, head=start + 1, rows=rows,
+            config=(0, ""), you=(0, 1, 1)))
 
     follower.tick(0.0)
     first = follower.home
@@ -956,16 +959,17 @@
 
 
 def test_tables_are_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(registry, "MOST_SERVERS", 5)
-    monkeypatch.setattr(membership, "MOST_MEMBERS", 5)
+    monkeypatch.setattr(registry, "MAX_SERVERS", 5)
+    monkeypatch.setattr(membership, "MAX_MEMBERS", 5)
     home = RegistryReplica(Member("m", "10.0.0.1", "z", 1, "d"), PERIOD, 0.0, ready=True)
     answers: list[bool] = []
     for i in range(50):
-        home.heartbeat(0.0, Server(f"s{i}", "t", "a:1", "z", 1), answers.append)
-        row = Member(f"n{i}", "10.0.0.9", "z", 1).row()
-        home.beat(0.0, Beat(sender=f"n{i}", address="10.0.0.9", member=row, of=("", 0), have=0), (0, ""))
-    assert answers.count(True) == 5 and len(home.registry.of) == 5
-    assert len(home.members.of) == 5 and len(home.subscribers) <= 5
+        home.server_heartbeat(0.0, Server(f"s{i}", "t", "a:1", "z", 1), answers.append)
+        row = Member(f"n{i}", "10.0.0.9", "z", 1).to_row()
+        home.handle_heartbeat(
+            0.0, MemberHeartbeat(sender=f"n{i}", address="10.0.0.9", member=row, of=("", 0), have=0), (0, ""))
+    assert answers.count(True) == 5 and len(home.registry.by_id) == 5
+    assert len(home.members.by_node) == 5 and len(home.subscribers) <= 5
 
 
 # The journal and the records -------------------------------------------------------------------
@@ -974,7 +978,7 @@
 def journal(seed: int) -> None:
     """Followers that look now and then, beside a plain copy of the table."""
     chance = random.Random(seed)
-    table, plain = Table(most=3), dict[tuple[str, str], Any]()
+    table, plain = Table(max_removals=3), dict[tuple[str, str], Any]()
     views = [(0, dict[tuple[str, str], Any]()) for _ in range(3)]
     for _ in range(120):
         key = (chance.choice("ms"), chance.choice("abcdef"))
@@ -986,17 +990,17 @@
         i = chance.randrange(12)
         if i < len(views):
             rev, view = views[i]
-            events = table.since(rev)
+            events = table.changes_since(rev)
             if events is None:
-                view, events = {}, table.since(0) or []
-            assert [e.rev for e in events] == sorted(e.rev for e in events)
+                view, events = {}, table.changes_since(0) or []
+            assert [e.revision for e in events] == sorted(e.revision for e in events)
             for event in events:
                 view.pop((event.kind, event.key), None)
                 if event.row is not None:
                     view[event.kind, event.key] = event.row
             assert view == plain
-            views[i] = (table.rev, view)
-    assert len(table.removed) <= 3 and table.since(table.rev + 1) is None
+            views[i] = (table.revision, view)
+    assert len(table.removed) <= 3 and table.changes_since(table.revision + 1) is None
 
 
 def test_journal_tells_each_what_it_lacks() -> None:
@@ -1019,7 +1023,7 @@
 def records(order: list[int], members: list[Member], servers: list[Server]) -> None:
     """Records merge to the same in any order, and twice does nothing."""
     both: list[tuple[Callable[[Any, Any], Any], list[Any]]] = [
-        (membership.merged, list(members)), (registry.merged, list(servers))]
+        (membership.merge_members, list(members)), (registry.merge_servers, list(servers))]
     for merge, found in both:
         one, two = found[0], found[order[0]]
         for i in range(4):
@@ -1048,30 +1052,30 @@
     acknowledgement.done(True)
 
 
-_delta = Subscriber.delta
+_delta = Subscriber.handle_delta
 
 
 def _any_revision(self: Subscriber, now: float, message: Delta) -> None:
-    if message.start and message.life == self.life:
-        self.have = message.start
+    if message.start_revision and message.incarnation == self.home_incarnation:
+        self.revision = message.start_revision
     _delta(self, now, message)
 
 
 def _no_floor(self: Table, rev: int) -> Any:
-    floor, self.floor = self.floor, 0
+    floor, self.complete_since = self.complete_since, 0
     try:
         return _since(self, rev)
     finally:
-        self.floor = floor
+        self.complete_since = floor
 
 
-_since = Table.since
+_since = Table.changes_since
 
 
 def _numbers_alike(self: Members, epoch: int) -> list[str]:
-    without = [n for n, h in self.of.items() if h.member.number < 0]
+    without = [n for n, h in self.by_node.items() if h.member.ring_number < 0]
     for i, node in enumerate(without):
-        self.of[node].member = evolve(self.of[node].member, number=i, granted=epoch)
+        self.by_node[node].member = evolve(self.by_node[node].member, ring_number=i, grant=epoch)
     return without
 
 
@@ -1080,23 +1084,23 @@
 
 
 def _forgets_at_once(self: Subscriber, now: float) -> None:
-    self.servers, self.members = self.fresh, self.fresh_members
-    self.fresh, self.fresh_members = {}, {}
-    self.whole = self.ever = True
+    self.servers, self.members = self.loading_servers, self.loading_members
+    self.loading_servers, self.loading_members = {}, {}
+    self.complete = self.ever_complete = True
 
 
 FAULTS: dict[str, tuple[Any, str, Any, Callable[[], object]]] = {
-    "sequence ignored": (registry, "merged", _first_wins, lambda: late_beats(3)),
-    "drain not sticky": (registry, "merged", _by_sequence, lambda: late_beats(3)),
-    "acknowledged before a majority knows": (RegistryReplica, "_settle", _promised,
+    "sequence ignored": (registry, "merge_servers", _first_wins, lambda: late_beats(3)),
+    "drain not sticky": (registry, "merge_servers", _by_sequence, lambda: late_beats(3)),
+    "acknowledged before a majority knows": (RegistryReplica, "_complete_on_quorum", _promised,
                                              lambda: acknowledged_and_killed(1, False)),
-    "delta from a wrong revision": (Subscriber, "delta", _any_revision, repeated_deltas),
-    "removal lost": (Table, "since", _no_floor, test_journal_tells_each_what_it_lacks),
-    "numbers alike": (Members, "number", _numbers_alike, test_ring_numbers_outlast_a_restart),
-    "merge by order": (registry, "merged", _first_wins, records),
-    "members merged by order": (membership, "merged", _first_wins, records),
-    "digests alike": (RegistryReplica, "_digests", _digests_alike, test_digests_mend_a_lost_row),
-    "new home believed at once": (Subscriber, "_seen_whole", _forgets_at_once,
+    "delta from a wrong revision": (Subscriber, "handle_delta", _any_revision, repeated_deltas),
+    "removal lost": (Table, "changes_since", _no_floor, test_journal_tells_each_what_it_lacks),
+    "numbers alike": (Members, "assign_ring_numbers", _numbers_alike, test_ring_numbers_outlast_a_restart),
+    "merge by order": (registry, "merge_servers", _first_wins, records),
+    "members merged by order": (membership, "merge_members", _first_wins, records),
+    "digests alike": (RegistryReplica, "_current_digests", _digests_alike, test_digests_mend_a_lost_row),
+    "new home believed at once": (Subscriber, "_complete_table", _forgets_at_once,
                                   test_turning_to_an_empty_home_loses_no_server_at_once),
 }
 
@@ -1115,11 +1119,11 @@
     """Past the size of one word the rest must follow in others, or servers that beat are taken for silent."""
     me = Member("a", "10.0.0.1", "z", 1, disk="d-a")
     home = RegistryReplica(me, PERIOD, 0.0)
-    home.told_of(0.0, Member("b", "10.0.0.2", "z", 1, disk="d-b"), True)
+    home.update_member(0.0, Member("b", "10.0.0.2", "z", 1, disk="d-b"), True)
     names = {f"i-{n}" for n in range(5_000)}
     for name in names:
-        home.heartbeat(10.0, Server(name, "t", "10.1.0.1:80", "z", 2), lambda known: None)
-    home.out.clear()
+        home.server_heartbeat(10.0, Server(name, "t", "10.1.0.1:80", "z", 2), lambda known: None)
+    home.outbox.clear()
     home.tick(500.0, me, {}, None, (0, ""))
-    told = {name for _, message in home.out if isinstance(message, Sync) for name, _ in message.sequences}
+    told = {name for _, message in home.outbox if isinstance(message, Sync) for name, _ in message.sequences}
     assert told == names
--- a/tests/test_registry_machine.py
+++ b/tests/test_registry_machine.py
@@ -42,46 +42,46 @@
     @rule(core=CORES, name=IDS, state=st.sampled_from((STEADY, DRAINING)))
     def beat(self, core: int, name: str, state: str) -> None:
         if (word := self._say(name, state)) is not None:
-            self.registries[core].heard(self.now, word, True)
+            self.registries[core].update(self.now, word, True)
 
     @rule(core=CORES, name=IDS, back=st.integers(0, 5))
     def late_word(self, core: int, name: str, back: int) -> None:
         words = [w for w in self.said.get(name, ()) if w.state != GONE]
         if words:
-            self.registries[core].heard(self.now, words[max(0, len(words) - 1 - back)], True)
+            self.registries[core].update(self.now, words[max(0, len(words) - 1 - back)], True)
 
     @rule(core=CORES, name=IDS)
     def leave(self, core: int, name: str) -> None:
-        if name in self.registries[core].of and self._say(name, GONE) is not None:
-            self.registries[core].gone(self.now, name)
+        if name in self.registries[core].by_id and self._say(name, GONE) is not None:
+            self.registries[core].mark_gone(self.now, name)
 
     @rule(core=CORES, node=NODES, leaving=st.booleans(), again=st.booleans())
     def limiter(self, core: int, node: str, leaving: bool, again: bool) -> None:
         known = self.lives.get(node)
-        life = 1 if known is None else known.life + again
-        left = known is not None and known.life == life and known.state == LEAVING
+        life = 1 if known is None else known.incarnation + again
+        left = known is not None and known.incarnation == life and known.state == LEAVING
         state = LEAVING if leaving or left else UP
         self.lives[node] = member = Member(node, "10.0.0.2", "north", life, state=state)
-        self.members[core].heard(self.now, member, True)
+        self.members[core].update(self.now, member, True)
 
     @rule(one=CORES, other=CORES)
     def exchange(self, one: int, other: int) -> None:
         for here, there in ((one, other), (other, one)):
-            for known in list(self.registries[here].of.values()):
-                self.registries[there].heard(self.now, known.server, False, False)
-            for heard in list(self.members[here].of.values()):
-                self.members[there].heard(self.now, heard.member, False, False)
-        for name in self.registries[one].of:
-            a, b = self.registries[one].of[name].server, self.registries[other].of[name].server
+            for known in list(self.registries[here].by_id.values()):
+                self.registries[there].update(self.now, known.server, False, False)
+            for heard in list(self.members[here].by_node.values()):
+                self.members[there].update(self.now, heard.member, False, False)
+        for name in self.registries[one].by_id:
+            a, b = self.registries[one].by_id[name].server, self.registries[other].by_id[name].server
             assert (a.state, a.address) == (b.state, b.address), "both have the newer record"
-        for node in self.members[one].of:
-            m, n = self.members[one].of[node].member, self.members[other].of[node].member
-            assert (m.life, m.state == LEAVING) == (n.life, n.state == LEAVING)
+        for node in self.members[one].by_node:
+            m, n = self.members[one].by_node[node].member, self.members[other].by_node[node].member
+            assert (m.incarnation, m.state == LEAVING) == (n.incarnation, n.state == LEAVING)
 
     @rule(core=CORES)
     def number(self, core: int) -> None:
-        self.members[core].number(1 + core)
-        numbers = [h.member.number for h in self.members[core].of.values()]
+        self.members[core].assign_ring_numbers(1 + core)
+        numbers = [h.member.ring_number for h in self.members[core].by_node.values()]
         assert len(set(numbers)) == len(numbers) and min(numbers, default=0) >= 0
 
     @rule(core=CORES)
@@ -99,15 +99,15 @@
     @invariant()
     def nothing_goes_back(self) -> None:
         for registry, shown in zip(getattr(self, "registries", ()), getattr(self, "shown", ()), strict=True):
-            for name, known in registry.of.items():
+            for name, known in registry.by_id.items():
                 rank = RANK[known.server.state]
                 assert rank >= shown.get(name, 0), "a server that leaves never looks steady again"
                 assert rank <= max(RANK[w.state] for w in self.said[name]), "nobody said so"
                 shown[name] = rank
         for members, shown in zip(getattr(self, "members", ()), getattr(self, "shown", ()), strict=True):
-            for node, heard in members.of.items():
-                assert shown.get(node, 0) <= heard.member.life <= self.lives[node].life
-                shown[node] = heard.member.life
+            for node, heard in members.by_node.items():
+                assert shown.get(node, 0) <= heard.member.incarnation <= self.lives[node].incarnation
+                shown[node] = heard.member.incarnation
 
 
 TestExchange = Exchange.TestCase
--- a/tests/test_system_cli.py
+++ b/tests/test_system_cli.py
@@ -336,11 +336,11 @@
     async def answers() -> dict[str, Any]:
         limiter = Limiter(told.read(file))
         limiter._take(CONFIGURATION)
-        me = limiter.follower.me
+        me = limiter.follower.local_member
         for i in range(calls.STATUS_ROWS + 2):
             node = f"limiter-{i}"
-            limiter.follower.members[node] = evolve(me, node=node, number=i) if i else Member(
-                me.node, me.ip, me.zone, me.life, me.disk, number=0)
+            limiter.follower.members[node] = evolve(me, node=node, ring_number=i) if i else Member(
+                me.node, me.ip, me.zone, me.incarnation, me.disk, ring_number=0)
         limiter.follower.servers = {f"s{i}": Server(f"s{i}", f"t{i % 2}", "h:1", "z", 2) for i in range(4)}
         limiter._changed()
         for tenant in ("yard", "skiff"):
@@ -389,7 +389,7 @@
 
     async def refused() -> list[Any]:
         limiter = Limiter(evolve(told.read(file), tolerance=0))
-        core, me, found = limiter.core, limiter.follower.me, []
+        core, me, found = limiter.core, limiter.follower.local_member, []
         assert core is not None
         now = limiter.wheel.now()
         core.replica.found(now, {core.disk: me.node})
