--- a/larklb/cli/fleet.py
+++ b/larklb/cli/fleet.py
@@ -34,7 +34,7 @@
           apart: Annotated[float, typer.Option(help="Seconds for which two sides hear nothing.")] = 15.0,
           as_json: AsJson = False) -> None:
     """Print how old verdicts may be, how soon a lost link is noticed, how far over and under limits go."""
-    from larklb.decide import GIVE_UP_AIM
+    from larklb.decision_constants import GIVE_UP_AIM
     from larklb.fleet import bound as stated
     from larklb.quota.apart import bound as quota
     from larklb.settings import load_operator
--- a/larklb/decide.py
+++ b/larklb/decide.py
@@ -13,6 +13,7 @@
 from collections import defaultdict
 from collections.abc import Callable, Sequence
 
+from larklb import decision_constants as const
 from larklb import interface as io
 from larklb import peerwire as pw
 from larklb.fleet.leases import HASTE_MS, Limits, Share, Want
@@ -31,32 +32,6 @@
 from larklb.records import Held, Lease
 from larklb.servers import LEARN, MEDIAN_AIM, Servers
 
-GIVE_UP_AIM = 0.35         # an unanswered ask is given up after this part: most of the aim is for the work
-REPEAT_GAPS = 60.0         # least time between two, as messages of a full inbox
-GREETED = 8                # gateways, up to which a start is told in messages of its own: else it rides along
-FIRST_GUESS_AIM = 1 / 6    # latency taken for a class before any answer (part of its aim)
-JUDGE = 0.25               # weight of one answer in the judgement of its server
-IDLE_PART = 0.9            # of the room of all servers: with less out, jobs beyond a quota may go on
-SPOILT = 4.0               # slowness that a reset or an answer of no use counts as: the server is there
-FORGIVE_MS = 4000.0        # half-life of a judgement with no new answers: a server is then tried again ...
-FORGIVE_AIM = 2.5          # ... or so many aims, if they are long: it must outlast the answers it comes from
-SUSPECT = 3.0              # so many times slower than the median: work there may be moved elsewhere
-LOOKS = 2                  # servers are looked at for a request at the least, where others' work is not seen
-DRAWS = 4                  # times so many, before all are looked at: those drawn may be suspect, cold or full
-PATIENCE_AIM = 0.25        # attempts are reviewed after this part of the aim
-ROOM_START = 6.0           # attempts out, of all gateways, that a server of mean size may have at first
-ROOM_LEAST = 4.0           # ... and at the least, so that the learning never starves a server
-ROOM_GROW = 0.05           # added for an answer well within the aim while servers are full
-ROOM_FAST = 0.5            # ... of its aim or less: the answer was quick
-ROOM_SLOW = 0.8            # ... or more: the answer used up most of its aim, and the room shrinks ...
-ROOM_SHRINK = 0.9          # ... by this factor
-SLACK = 2.0                # times the usual latency that must be left of the aim for a start to be in time
-
-
-def half_life(settings: io.Settings) -> float:
-    """Ms, of judgements."""
-    return max(FORGIVE_MS, FORGIVE_AIM * min(c.aim for c in settings.classes))
-
 
 class Gateway:
     """One gateway: ``handle(now, event)`` returns the actions to carry out."""
@@ -66,7 +41,7 @@
         self.book = book or Book(settings.plans)
         self.alone = Alone(settings, self.book, now)              # what is decided without the owner
         self.random = random.Random(seed)
-        self.verdicts = Verdicts(settings.number, settings.gateways, half_life(settings))
+        self.verdicts = Verdicts(settings.number, settings.gateways, const.half_life(settings))
         self.view = Servers(settings, self.random, self.verdicts)       # of all servers
         self.zones = self.view.zones
         self.usual: dict[str, float] = {}                         # by class, those that have vanished too
@@ -82,7 +57,7 @@
         self.look_at = -math.inf                                 # when it is looked at next, if nothing else
         self.servers = self.view.of
         self.repeat = REPEAT_MS                                   # between looks at who is to be told again
-        self.room = ROOM_START
+        self.room = const.ROOM_START
         self.steady = False                                       # the zones are looked at by a timer
         self.pressed = -math.inf                                  # when a job last had to wait for room
         self.timers: dict[int, Callable[[float], object]] = {}
@@ -104,7 +79,8 @@
             self._after(HASTE_MS, self._lease)
         if self.alone.on:
             # Words that nobody asked for leave nearly all of an inbox to those that somebody waits for.
-            self.repeat = max(REPEAT_MS, REPEAT_GAPS * 1000.0 / max(1e-3, self.s.inbox_per_s * INBOX_SHARE))
+            self.repeat = max(REPEAT_MS,
+                              const.REPEAT_GAPS * 1000.0 / max(1e-3, self.s.inbox_per_s * INBOX_SHARE))
             self._after(REPEAT_MS, self._repeat)
             self._greet(now)
         return self.actions
@@ -114,11 +90,11 @@
         self.classes = {c.name: c for c in settings.classes}
         self.plans = {p.name: (i, p) for i, p in enumerate(settings.plans)}
         for c in settings.classes:                # a class keeps its topic, here and at peers, for good
-            self.usual.setdefault(c.name, c.aim * FIRST_GUESS_AIM)
+            self.usual.setdefault(c.name, c.aim * const.FIRST_GUESS_AIM)
             self.topics.setdefault(c.name, 1 + len(self.topics))
         self.aim = min(c.aim for c in settings.classes)
         self.most_due = max(c.deadline for c in settings.classes)
-        self.forgive = half_life(settings)
+        self.forgive = const.half_life(settings)
 
     def renew(self, now: float, settings: io.Settings) -> None:
         """Other settings count from now on, of the same limiter among as many, the plans in their places.
@@ -309,7 +285,7 @@
             for item in owed:
                 self._tell(h.owner, item)
         self._tell(h.owner, ask)
-        most = min(h.cls.aim * GIVE_UP_AIM, (h.due - now) / 3)
+        most = min(h.cls.aim * const.GIVE_UP_AIM, (h.due - now) / 3)
         again = self.pace.asked(now, number, h.owner, most)
 
         def unheard(t: float) -> None:
@@ -355,7 +331,7 @@
     def _beyond(self, now: float, h: Held, wait: float) -> None:
         """Turned down by the quota: goes on all the same where the plan earns by it and servers are idle."""
         plan, load = h.plan, sum(s.out() for s in self.view.used()) / self.view.seen(now)
-        idle = load < len(self.view.able) * self.room * IDLE_PART and now - self.pressed > self.aim
+        idle = load < len(self.view.able) * self.room * const.IDLE_PART and now - self.pressed > self.aim
         earns = plan.beyond_earns > plan.excess_cost and not plan.ceiling_rate and not plan.most_open
         server = self._choose(now, h) if idle and earns and not h.question else None
         if server is None:
@@ -369,7 +345,7 @@
 
     def _greet(self, now: float) -> None:
         """In its first second a start is told again and again: messages are lost, owners need copies."""
-        if self.s.gateways <= GREETED and self.alone.is_new(now):
+        if self.s.gateways <= const.GREETED and self.alone.is_new(now):
             for peer in range(self.s.gateways):
                 if peer != self.s.number:
                     self._wake(peer)
@@ -447,7 +423,7 @@
     def _judge(self, now: float, server: Server, sample: float, *topics: int) -> None:
         for topic in topics:
             faded = server.faded(now, topic)
-            slow = faded + JUDGE * (min(WORST, sample) - faded)
+            slow = faded + const.JUDGE * (min(WORST, sample) - faded)
             server.marks[topic] = (slow, now)
             self.verdicts.found(now, server.short, topic, slow)
 
@@ -568,8 +544,8 @@
         if (any(s.attempts for s in busy)
                 and sum(min(s.out() / self.room, 1) for s in busy) >= len(view.able) * seen):
             return None
-        looks = max(LOOKS, math.ceil(len(view.near) * seen))
-        for _ in range(DRAWS if looks < len(view.near) else 0):
+        looks = max(const.LOOKS, math.ceil(len(view.near) * seen))
+        for _ in range(const.DRAWS if looks < len(view.near) else 0):
             best = self._best(now, h, self.random.choices(view.near, cum_weights=view.near_weights, k=looks))
             if best is not None:
                 return best
@@ -603,7 +579,7 @@
                     or warmth < 1 and not self.view.cold_room(s, now, warmth, ordinary)):
                 continue
             # A server that refuses or swallows work looks empty: without this it would draw all that waits.
-            if slow >= SUSPECT and (s.attempts or now - s.judged(topics) < s.forgive * TRIAL_PART):
+            if slow >= const.SUSPECT and (s.attempts or now - s.judged(topics) < s.forgive * TRIAL_PART):
                 continue
             if not self.limits.room(now, s.short, len(s.attempts)):
                 continue
@@ -644,7 +620,7 @@
             self.pressed = now
             self.waiting.append(h)
             last = h.due if h.cls.late_worth else h.came + h.cls.aim
-            self._after(last - SLACK * self.usual[h.cls.name] - now, self._pump)
+            self._after(last - const.SLACK * self.usual[h.cls.name] - now, self._pump)
             self._look_again(now)
 
     def _look_again(self, now: float) -> None:
@@ -656,7 +632,7 @@
     def _value(self, now: float, h: Held) -> float:
         """Worth for its work if it starts now."""
         usual = self.usual[h.cls.name]
-        earned = h.cls.late_worth if now + SLACK * usual > h.came + h.cls.aim else 1.0
+        earned = h.cls.late_worth if now + const.SLACK * usual > h.came + h.cls.aim else 1.0
         return h.cls.worth * h.plan.price * h.units / usual * earned
 
     def _pump(self, now: float) -> None:
@@ -685,10 +661,10 @@
         self.view.sent(now, server)
         self.limits.began(now, server.short, len(server.attempts), index == 0)
         patient = self.s.can_cancel or self.s.can_copy or h.cls.repeat is io.Repeat.NEVER
-        wait = 0.0 if patient else max(h.cls.aim * 2 * PATIENCE_AIM, 2 * self.usual[h.cls.name])
+        wait = 0.0 if patient else max(h.cls.aim * 2 * const.PATIENCE_AIM, 2 * self.usual[h.cls.name])
         self.actions.append(io.Send(h.request, server.entry.server, wait, h.stamp()))
         if h.cls.repeat is not io.Repeat.NEVER:
-            self._after(h.cls.aim * PATIENCE_AIM, lambda t: self._review(t, h, index))
+            self._after(h.cls.aim * const.PATIENCE_AIM, lambda t: self._review(t, h, index))
 
     def _review(self, now: float, h: Held, index: int, again: bool = True) -> None:
         """An attempt at a server that looks silent or slow is moved (or copied) while there is time."""
@@ -700,7 +676,7 @@
             return
         topics = self._topics(h)
         median = self.view.median(now, topics, usual, h.cls.aim)
-        slow = attempt.server.slowness(now, usual, topics) >= SUSPECT * median
+        slow = attempt.server.slowness(now, usual, topics) >= const.SUSPECT * median
         suspect = slow or not self.zones.part(attempt.server.entry.zone)
         server = self._choose(now, h) if suspect else None
         if server is not None and server is not attempt.server:
@@ -714,7 +690,7 @@
                 self._ended(now, attempt.server, None)
             return
         if again:
-            self._after(h.cls.aim * PATIENCE_AIM / 2, lambda t: self._review(t, h, index))
+            self._after(h.cls.aim * const.PATIENCE_AIM / 2, lambda t: self._review(t, h, index))
 
     def _started(self, now: float, h: Held) -> None:
         """Its answer flows: nothing follows it, and its server, whose work is done, has room for another."""
@@ -748,18 +724,18 @@
             self._judge(now, server, e.took / usual, ALL_WORK, *self._topics(h))
             server.heard = now
             self.usual[h.cls.name] += LEARN * (e.took - usual)
-            if self.waiting and e.took < h.cls.aim * ROOM_FAST:
-                self.room += ROOM_GROW / self.view.seen(now)
+            if self.waiting and e.took < h.cls.aim * const.ROOM_FAST:
+                self.room += const.ROOM_GROW / self.view.seen(now)
         elif e.result is io.Result.FULL:
             self._judge(now, server, WORST, self._topics(h)[1])
         elif e.stale:
             pass
         elif e.spoilt or e.result is io.Result.RESET:       # it is there: any node fails so now and then
-            self._judge(now, server, max(SPOILT, e.took / usual), ALL_WORK, self.topics[h.cls.name])
+            self._judge(now, server, max(const.SPOILT, e.took / usual), ALL_WORK, self.topics[h.cls.name])
         elif e.result not in (io.Result.MOOT, io.Result.CANCELLED):
             self._judge(now, server, WORST, ALL_WORK, self.topics[h.cls.name])
-        if e.result is io.Result.FULL or (e.result is io.Result.OK and e.took > h.cls.aim * ROOM_SLOW):
-            self.room = max(ROOM_LEAST, self.room * ROOM_SHRINK)
+        if e.result is io.Result.FULL or (e.result is io.Result.OK and e.took > h.cls.aim * const.ROOM_SLOW):
+            self.room = max(const.ROOM_LEAST, self.room * const.ROOM_SHRINK)
         there = e.spoilt or e.result in (io.Result.OK, io.Result.FULL)
         if not e.stale and e.result not in (io.Result.MOOT, io.Result.CANCELLED):
             self._ended(now, server, there)
--- a/larklb/figures.py
+++ b/larklb/figures.py
@@ -10,7 +10,8 @@
 
 from larklb import interface as io
 from larklb.core import Core
-from larklb.decide import SUSPECT, Gateway
+from larklb.decide import Gateway
+from larklb.decision_constants import SUSPECT
 
 _WORDS = {"ok": "served", "shed": "refused", "errors": "failed"}
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -6,7 +6,7 @@
 
 from larklb import interface as io
 from larklb import peerwire as pw
-from larklb.decide import SUSPECT
+from larklb.decision_constants import SUSPECT
 from larklb.health import ALL_WORK
 from larklb.quota.ring import digest, ring_owner
 from tests.conftest import Bed
