--- a/benchmarks/ability.py
+++ b/benchmarks/ability.py
@@ -23,7 +23,7 @@
 from attrs import evolve
 
 from larklb.admission.choice import ServerSelector, ServerState
-from larklb.balancing.choice import CapacityAwareChoice
+from larklb.balancing.choice import CapacityAwareSelector
 from larklb.lab.emulator import play
 from larklb.lab.emulator_deployment import Deployment, Trouble, flags, shop
 from larklb.lab.emulator_figures import Figures
@@ -36,7 +36,7 @@
 WEAKEST = 0.1              # of traffic in keeping with its ability that the weakest has at the least
 
 
-class Alone(CapacityAwareChoice):
+class Alone(CapacityAwareSelector):
     """Hears nothing."""
 
     def apply_estimates(self, now: float, observer: str, message: Mapping[str, Any]) -> None:
@@ -46,7 +46,7 @@
         return
 
 
-class Sums(CapacityAwareChoice):
+class Sums(CapacityAwareSelector):
     """Hears estimates only."""
 
     def apply_in_flight(self, now: float, observer: str, message: Mapping[str, Any]) -> None:
@@ -55,7 +55,7 @@
 
 CHOICES: dict[str, type[ServerSelector]] = {
     **RIVALS, "able, alone": Alone, "able, sums": Sums,
-                                   "able": CapacityAwareChoice}
+                                   "able": CapacityAwareSelector}
 MAKERS: dict[str, Callable[..., Deployment]] = {"A": shop, "B": flags}
 
 
@@ -100,7 +100,7 @@
 
 def cost_us() -> float:
     """Processor time of one choice among SERVERS, with what goes with it, in µs: the least of some runs."""
-    choice, rng = CapacityAwareChoice("a", dict.fromkeys("abc", "region"), 1), random.Random(2)
+    choice, rng = CapacityAwareSelector("a", dict.fromkeys("abc", "region"), 1), random.Random(2)
     choice.set_limiters("m0", [(f"m{i}", "abc"[i % 3]) for i in range(14)])
     choice.update([ServerState(f"s{i}", "live", "", "abc"[i % 3], 2) for i in range(SERVERS)])
     best, now = float("inf"), 0.0
--- a/larklb/balancing/__init__.py
+++ b/larklb/balancing/__init__.py
@@ -1,5 +1,6 @@
-"""Capacity estimation and load balancing: what each server is seen to handle, and what it gets for that.
+"""Capacity estimation and load balancing: estimates each server's capacity and chooses servers by it.
 
-Owns the estimates, their exchange between limiters and the choice that follows from them; never reads a
-clock, a socket or a file, and never takes a server's own word for more than it is seen to be worth.
+The package owns the capacity estimates, their exchange between limiters and the choice of a server that
+follows from them.  It never reads a clock, a socket or a file, and never trusts a server's own report of
+its load beyond what the observed answers support.
 """
--- a/larklb/balancing/choice.py
+++ b/larklb/balancing/choice.py
@@ -1,7 +1,6 @@
-"""The choice of server by expected end of a request, from what each server is seen to handle.
+"""Chooses the server with the least expected cost of a request, by the estimated capacity of each server.
 
-Takes the place of ``larklb.admission.choice.ServerSelector``: the same calls, with the exchange between
-limiters besides.
+Has the interface of ``larklb.admission.choice.ServerSelector``, and adds the exchange between limiters.
 """
 
 from __future__ import annotations
@@ -14,207 +13,265 @@
 
 from larklb.admission import choice as admission
 from larklb.admission.choice import ServerSelector, ServerState
-from larklb.balancing.estimates import Ability, Estimates, Sums
-from larklb.balancing.load import TRUST_LEAST, InFlight, Others, bearable, waiting
+from larklb.balancing.estimates import Estimate, Estimates, Evidence
+from larklb.balancing.load import MIN_TRUST, InFlight, LoadOfOthers, expected_queue, max_in_flight
 from larklb.quota.ring import digest
 
-FRESH_MS = 250.0  # an ability is judged anew after so long, or after news
-NEW_MS = 4_000.0  # a server that is new, warm or back for less is expected to have what others
-# have: all limiters see it idle at the same moment
-HAND_MS = 3_000.0  # requests in hand are averaged over this, for the others
-CROWD = 0.5  # of the work that a server with all slots in use costs beside its waiting: it
-# makes others wait
-NEAR_PART = 0.12  # of the aim that another zone of the region costs ...
-FAR_PART = 0.5  # ... and another region
-TAIL = 0.5  # of the aim that a certain miss of it costs
-OWN = 0.12  # of the work that a server costs less which falls to this limiter among its peers
-DOUBT = 0.25  # of its error by which a server's slowness counts less: the unknown is tried
-LATE_TIMES = 1.5  # of that again, for its slowness isn't certain
-LATE_OTHERS = 1  # more other limiters than this with a request overdue condemn alike
-LATE_SPREADS = 2.3  # standard deviations beyond the usual from which an answer is overdue
-OVERDUE = 4.0  # times that a server costs at which a request is overdue
-FAILED = 4.0  # times that a server costs that has just failed ...
-FAILED_PART = 0.2  # ... but for this part of requests
-ROUTE_WEIGHT = 0.03  # of one answer in what is usual for a route
-SPREAD_FIRST = 0.7  # standard deviation of a route's logarithms before many answers
-QUEUED_WEIGHT = 0.3  # of a sample that had to wait, or came from a cold server
-CHANCE = 0.04  # of the cost, by chance
-TRY_MS = 1_000.0  # where all are said to be full, one whose word is older is tried: it may be false
-PENDING = 4_096  # requests in hand whose start is kept
+# The estimate of a server is computed again after this time.
+ESTIMATE_MAX_AGE_MS = 250.0
+# A server that is new, warm or back for less than this is expected to have as much load as the others have,
+# because all limiters see it idle at the same moment.
+NEW_SERVER_MS = 4_000.0
+# Time constant of the mean number of requests in flight that is reported to the other limiters.
+IN_FLIGHT_MEAN_MS = 3_000.0
+# Part of the service time that a server with all slots in use costs beside its queue: one more request there
+# makes others wait.
+CONTENTION_COST = 0.5
+# Parts of the response time target that a server in another zone of the region, or in another region, costs.
+SAME_REGION_PENALTY = 0.12
+OTHER_REGION_PENALTY = 0.5
+# Part of the response time target that it costs to miss the target for certain.
+MISS_PENALTY = 0.5
+# Part of the service time by which a server costs less that this limiter prefers to its peers.
+PREFERRED_DISCOUNT = 0.12
+# Part of its standard error by which the logarithm of a slowdown is reduced, so that servers with little
+# evidence are tried.
+UNCERTAINTY_DISCOUNT = 0.25
+# Factor on the time after which a request is overdue, since the slowdown of the server is uncertain.
+OVERDUE_MARGIN = 1.5
+# A server counts as overdue too if more other limiters than this have an overdue request there.
+MAX_OVERDUE_OBSERVERS = 1
+# Standard deviations (of the logarithm) above the usual service time from which a request is overdue.
+OVERDUE_DEVIATIONS = 2.3
+# Factors on the cost of a server with an overdue request, and of one that has just failed.
+OVERDUE_COST_FACTOR = 4.0
+FAILED_COST_FACTOR = 4.0
+# Part of the requests for which a recent failure doesn't count.
+FAILED_EXEMPT_SHARE = 0.2
+# Weight of one answer in the usual service time of a route.
+ROUTE_SAMPLE_WEIGHT = 0.03
+# Standard deviation of the logarithm of a route's service times that is assumed before many answers.
+INITIAL_LOG_DEVIATION = 0.7
+# Weight of a sample that waited in a queue or came from a cold server.
+QUEUED_SAMPLE_WEIGHT = 0.3
+# Part of the cost that is random.
+COST_JITTER = 0.04
+# Where all servers report that they are full, one whose report is older than this is tried: it may be wrong.
+FULL_RETRY_MS = 1_000.0
+# Requests in flight per server whose start is recorded.
+MAX_PENDING = 4_096
 
 
 @define
-class Norm:
-    """What is usual for a route at speed 1: mean and spread of the logarithm of the service time."""
-
-    mean: float = math.log(admission.INITIAL_LATENCY_MS)
-    variance: float = SPREAD_FIRST**2
-    seen: int = 0
-
-    def add(self, x: float, weight: float) -> None:
-        """The logarithm of one service time, freed of waiting and the server's slowness."""
-        self.seen += 1
-        step = weight * max(ROUTE_WEIGHT, 1.0 / self.seen)
-        apart = x - self.mean
-        self.mean += step * apart
-        self.variance += (
-            weight * max(ROUTE_WEIGHT / 2, 1.0 / (8 + self.seen)) * (min(apart * apart, 4.0) - self.variance)
+class RouteServiceTime:
+    """Mean and variance of the logarithm of a route's service time (ms), at a server with no slowdown."""
+
+    log_mean: float = math.log(admission.INITIAL_LATENCY_MS)
+    log_variance: float = INITIAL_LOG_DEVIATION**2
+    count: int = 0
+
+    def add(self, log_ms: float, weight: float) -> None:
+        """Adds the logarithm of one service time, without the time in the queue and the server's slowdown."""
+        self.count += 1
+        step = weight * max(ROUTE_SAMPLE_WEIGHT, 1.0 / self.count)
+        deviation = log_ms - self.log_mean
+        self.log_mean += step * deviation
+        self.log_variance += (
+            weight
+            * max(ROUTE_SAMPLE_WEIGHT / 2, 1.0 / (8 + self.count))
+            * (min(deviation * deviation, 4.0) - self.log_variance)
         )
 
-    def work(self) -> float:
-        """The mean service time, ms."""
-        return math.exp(self.mean + self.variance / 2.0)
+    def mean_ms(self) -> float:
+        """Returns the mean service time in ms."""
+        return math.exp(self.log_mean + self.log_variance / 2.0)
 
 
 @define
-class Seen:
-    """What this limiter keeps of one server besides its place."""
-
-    sums: Sums
-    others: Others = field(factory=Others)
-    ability: Ability = field(factory=Ability)
-    factor: float = 1.0
-    shared: float | None = None
-    mean: float = 0.0  # requests of others whose word on what is in hand doesn't hold
-    late: int = 0  # other limiters with a request overdue there
-    since: float = -math.inf  # when it was new, warm or back; all that are there at the start are old
-    judged: float = -math.inf
-    hand_at: float = -math.inf
-    mine: bool = False
-    price: float = 0.0  # of its zone, in parts of the aim
-    begun: list[tuple[float, str]] = field(factory=list)
-    due: float = math.inf  # when the first one in hand is overdue that nothing later overtook
-    lost: int = 0  # requests in hand that were overtaken and are overdue: no load any more
-    passed: float = -math.inf  # when the latest one that was answered had begun
+class ServerStatistics:
+    """What this limiter records about one server, in addition to its ``ServerState``."""
+
+    evidence: Evidence
+    reported_load: LoadOfOthers = field(factory=LoadOfOthers)
+    estimate: Estimate = field(factory=Estimate)
+    slowdown: float = 1.0  # of the estimate, reduced by its uncertainty
+    shared_mean: float | None = None  # requests of the others by their reports, None without recent reports
+    mean_load: float = 0.0  # requests of the limiters whose requests in flight aren't known just now
+    overdue_observers: int = 0  # other limiters with an overdue request at the server
+    # When the server was last new, warm or back; -inf for those that are there at the start.
+    ready_since: float = -math.inf
+    estimated_at: float = -math.inf
+    in_flight_at: float = -math.inf
+    preferred: bool = False  # by this limiter, see ``_assign_preferred``
+    zone_penalty: float = 0.0  # part of the response time target
+    pending: list[tuple[float, str]] = field(factory=list)  # start and route of the requests in flight
+    # When the first pending request is overdue that started after all answered ones.
+    overdue_at: float = math.inf
+    # Pending requests that are overdue while later ones were answered; they no longer count as load.
+    dropped: int = 0
+    last_answered_start: float = -math.inf  # the latest start of an answered request
 
 
 @define
-class CapacityAwareChoice(ServerSelector):
-    """All servers as one limiter sees them, with what the others tell."""
+class CapacityAwareSelector(ServerSelector):
+    """All servers as one limiter sees them, with what the other limiters report.
 
-    me: str = ""
-    exchange_enabled: bool = True  # near peers tell what they have in hand
-    names: tuple[tuple[str, str], ...] = ()
+    ``exchange_enabled``: whether near peers report their requests in flight.
+    """
+
+    own_name: str = ""
+    exchange_enabled: bool = True
+    limiters: tuple[tuple[str, str], ...] = ()  # name and zone
     estimates: Estimates = field(factory=Estimates)
     in_flight: InFlight = field(factory=InFlight)
-    crowds: dict[str, float] = field(factory=dict)  # by target: others' requests for each slot
-    norms: dict[str, Norm] = field(factory=dict)
-    seen: dict[str, Seen] = field(factory=dict)
-    works: dict[str, float] = field(factory=dict)  # by target: mean work at speed 1, ms
-    aims: dict[str, float] = field(factory=dict)  # by target: the longest
-    clock: float = 0.0
-    route: str = ""
-    ended: tuple[ServerState, str, float] | None = None  # an answer whose load may yet be told
-
-    # Who there is ---------------------------------------------------------------------------
-
-    def set_limiters(self, me: str, names: Sequence[tuple[str, str]]) -> None:
-        """All limiters, each with its zone; this one is ``me``."""
-        self.me, self.names = me, tuple(sorted(names))
-        self.in_flight.keep({name for name, _ in names})
-        self._divide()
+    mean_loads: dict[str, float] = field(factory=dict)  # by target: requests of others per slot
+    route_service_times: dict[str, RouteServiceTime] = field(factory=dict)
+    statistics: dict[str, ServerStatistics] = field(factory=dict)
+    service_ms: dict[str, float] = field(factory=dict)  # by target: mean service time with no slowdown
+    longest_aims: dict[str, float] = field(factory=dict)  # by target
+    last_call_at: float = 0.0
+    last_route: str = ""
+    pending_answer: tuple[ServerState, str, float] | None = None  # an answer whose load report may yet follow
+
+    # Servers and limiters -------------------------------------------------------------------
+
+    def set_limiters(self, own_name: str, limiters: Sequence[tuple[str, str]]) -> None:
+        """Sets the names and zones of all limiters, this one (``own_name``) included."""
+        self.own_name, self.limiters = own_name, tuple(sorted(limiters))
+        self.in_flight.retain({name for name, _ in limiters})
+        self._assign_preferred()
 
     def update(self, servers: Iterable[ServerState]) -> None:
-        """Takes the servers that there are now; what was seen of those that stay is kept."""
-        silent = [name for name, place in self.servers.items() if place.silent]
+        """Sets the current servers; the state of those that stay is retained."""
+        silent = [name for name, server in self.servers.items() if server.silent]
         ServerSelector.update(self, servers)
-        since = self.clock if self.seen else -math.inf
-        self.seen = {
-            name: self.seen.get(name) or Seen(self.estimates.of(self.clock, name), since=since)
+        ready_since = self.last_call_at if self.statistics else -math.inf
+        self.statistics = {
+            name: self.statistics.get(name)
+            or ServerStatistics(self.estimates.evidence(self.last_call_at, name), ready_since=ready_since)
             for name in self.servers
         }
-        self.estimates.keep(self.servers)
-        for name, place in self.servers.items():
-            self.seen[name].price = self._price(place)
-            if place.cold_until > self.clock:
-                self.seen[name].since = place.cold_until
+        self.estimates.retain(self.servers)
+        for name, server in self.servers.items():
+            self.statistics[name].zone_penalty = self._zone_penalty(server)
+            if server.cold_until > self.last_call_at:
+                self.statistics[name].ready_since = server.cold_until
         for name in silent:
             if name in self.servers and not self.servers[name].silent:
-                self.seen[name].since = self.clock
-        self._divide()
+                self.statistics[name].ready_since = self.last_call_at
+        self._assign_preferred()
 
-    def _price(self, place: ServerState) -> float:
-        if place.zone == self.zone:
+    def _zone_penalty(self, server: ServerState) -> float:
+        if server.zone == self.zone:
             return 0.0
-        return NEAR_PART if self.regions.get(place.zone) == self.regions.get(self.zone) else FAR_PART
+        return (
+            SAME_REGION_PENALTY
+            if self.regions.get(server.zone) == self.regions.get(self.zone)
+            else OTHER_REGION_PENALTY
+        )
+
+    def _assign_preferred(self) -> None:
+        """Assigns each server to one or more limiters of its zone, which prefer it.
 
-    def _divide(self) -> None:
-        """Each server falls to one limiter of its zone or more, so that not all take the same idle one:
-        what is in hand there is then mostly known here.  A preference: any limiter may use any server."""
-        mine = sorted(name for name, zone in self.names if zone == self.zone) or [self.me]
-        if self.me not in mine:
+        This keeps the limiters from all choosing the same idle server, and makes most of the requests in
+        flight there known here.  It is only a preference: any limiter may use any server.
+        """
+        zone_limiters = sorted(name for name, zone in self.limiters if zone == self.zone) or [self.own_name]
+        if self.own_name not in zone_limiters:
             return
-        rank, count = mine.index(self.me), len(mine)
-        for places in self.by_target.values():
-            near = sorted((p for p in places if p.zone == self.zone), key=lambda p: digest(p.id))
-            for place in places:
-                self.seen[place.id].mine = False
-            each = len(near) / count
-            for i, place in enumerate(near):
-                self.seen[place.id].mine = i < (rank + 1) * each and i + 1 > rank * each
-
-    # What is seen ---------------------------------------------------------------------------
-
-    def norm(self, route: str) -> Norm:
-        """What is usual for a route at speed 1."""
-        norm = self.norms.get(route)
-        if norm is None:
-            norm = self.norms[route] = Norm()
-        return norm
-
-    def _judge(self, now: float, place: ServerState, seen: Seen) -> None:
-        seen.judged = now
-        seen.ability = self.estimates.ability(now, place.id)
-        seen.factor = math.exp(seen.ability.slowness - DOUBT * seen.ability.error)
+        rank, count = zone_limiters.index(self.own_name), len(zone_limiters)
+        for servers in self.by_target.values():
+            near = sorted((p for p in servers if p.zone == self.zone), key=lambda p: digest(p.id))
+            for server in servers:
+                self.statistics[server.id].preferred = False
+            servers_each = len(near) / count
+            for i, server in enumerate(near):
+                self.statistics[server.id].preferred = (
+                    i < (rank + 1) * servers_each and i + 1 > rank * servers_each
+                )
+
+    # Estimates and load ---------------------------------------------------------------------
+
+    def route_service_time(self, route: str) -> RouteServiceTime:
+        """Returns the usual service time of a route."""
+        service_time = self.route_service_times.get(route)
+        if service_time is None:
+            service_time = self.route_service_times[route] = RouteServiceTime()
+        return service_time
+
+    def _update_estimate(self, now: float, server: ServerState, stats: ServerStatistics) -> None:
+        stats.estimated_at = now
+        stats.estimate = self.estimates.estimate(now, server.id)
+        stats.slowdown = math.exp(
+            stats.estimate.log_slowdown - UNCERTAINTY_DISCOUNT * stats.estimate.standard_error
+        )
         self.in_flight.expire(now)
-        seen.shared = self.estimates.others(now, place.id, self.in_flight.live(now))
-        seen.late = self.estimates.overdue(now, place.id)
-        self._pending(now, seen)
-        seen.mean = self._mean(now, place, seen)
-        if now - seen.since > NEW_MS and not place.draining and not place.silent:
-            crowd, mean = seen.mean / max(1, place.slots), self.crowds.get(place.target, 0.0)
-            self.crowds[place.target] = mean + 0.05 * (crowd - mean)
-
-    def _hand(self, now: float, place: ServerState, seen: Seen) -> None:
-        """Brings the mean of requests in hand to ``now``; before ``out`` changes."""
-        part = 1.0 - math.exp(min(0.0, seen.hand_at - now) / HAND_MS)
-        seen.sums.in_hand += part * (max(0, place.in_flight - seen.lost) - seen.sums.in_hand)
-        seen.hand_at = now
-
-    def _factor(self, now: float, place: ServerState, seen: Seen) -> float:
-        return seen.factor * (admission.COLD_FACTOR if now < place.cold_until else 1.0)
-
-    def _mean(self, now: float, place: ServerState, seen: Seen) -> float:
-        """Requests of others whose word on what is in hand doesn't hold just now."""
-        crowd, told = self.crowds.get(place.target, 0.0) * place.slots, seen.others
-        if seen.shared is not None and (self.in_flight.sums or not told.trusted()):
-            mean = seen.shared
-        elif told.trusted():
-            # Means lag by seconds: without peers' words on what is in hand the server's own is better.
-            # Who gets nothing tells nothing: what it told fades towards what the others have.
-            mean = crowd + (told.mean - crowd) * math.exp(min(0.0, told.at - now) / NEW_MS)
+        stats.shared_mean = self.estimates.mean_in_flight_of_others(
+            now, server.id, self.in_flight.current_observers(now)
+        )
+        stats.overdue_observers = self.estimates.overdue_observers(now, server.id)
+        self._update_overdue(now, stats)
+        stats.mean_load = self._mean_load(now, server, stats)
+        if now - stats.ready_since > NEW_SERVER_MS and not server.draining and not server.silent:
+            load, mean = stats.mean_load / max(1, server.slots), self.mean_loads.get(server.target, 0.0)
+            self.mean_loads[server.target] = mean + 0.05 * (load - mean)
+
+    def _update_mean_in_flight(self, now: float, server: ServerState, stats: ServerStatistics) -> None:
+        """Brings the mean number of requests in flight to ``now``; called before ``in_flight`` changes."""
+        weight = 1.0 - math.exp(min(0.0, stats.in_flight_at - now) / IN_FLIGHT_MEAN_MS)
+        stats.evidence.mean_in_flight += weight * (
+            max(0, server.in_flight - stats.dropped) - stats.evidence.mean_in_flight
+        )
+        stats.in_flight_at = now
+
+    def _slowdown(self, now: float, server: ServerState, stats: ServerStatistics) -> float:
+        return stats.slowdown * (admission.COLD_FACTOR if now < server.cold_until else 1.0)
+
+    def _mean_load(self, now: float, server: ServerState, stats: ServerStatistics) -> float:
+        """Returns the mean requests of the limiters whose requests in flight aren't known just now."""
+        usual, reported = self.mean_loads.get(server.target, 0.0) * server.slots, stats.reported_load
+        if stats.shared_mean is not None and (self.in_flight.totals or not reported.trusted()):
+            mean = stats.shared_mean
+        elif reported.trusted():
+            # The reports of other limiters lag by seconds: without their requests in flight the server's own
+            # report is better.  A server that gets no requests reports nothing: its last report decays
+            # towards the usual load.
+            mean = usual + (reported.mean - usual) * math.exp(
+                min(0.0, reported.updated_at - now) / NEW_SERVER_MS
+            )
         else:
-            mean = seen.sums.in_hand * max(0, len(self.names) - 1)
-        if now - seen.since < 4.0 * NEW_MS:
-            mean = max(mean, crowd * math.exp(min(0.0, seen.since + NEW_MS - now) / NEW_MS))
+            mean = stats.evidence.mean_in_flight * max(0, len(self.limiters) - 1)
+        if now - stats.ready_since < 4.0 * NEW_SERVER_MS:
+            mean = max(
+                mean,
+                usual * math.exp(min(0.0, stats.ready_since + NEW_SERVER_MS - now) / NEW_SERVER_MS),
+            )
         return mean
 
-    def crowd(self, now: float, place: ServerState, seen: Seen, work: float) -> tuple[int, float]:
-        """Requests of others at a server: those that near peers tell, and the rest's mean, which is nearer
-        to what the server itself told for as long as that lasts."""
-        told, known, mean = seen.others, self.in_flight.sums.get(place.id, 0), seen.mean
-        age = now - told.at
-        if age < 4.0 * work and told.trust >= TRUST_LEAST:
-            mean += (told.last - known - mean) * math.exp(-max(0.0, age) / work)
+    def load_of_others(
+        self, now: float, server: ServerState, stats: ServerStatistics, service_ms: float
+    ) -> tuple[int, float]:
+        """Returns the requests of others at a server: those that near peers report, and the mean of the rest.
+
+        For about one service time after a server's report, the mean is adjusted towards that report.
+        """
+        reported, known, mean = (
+            stats.reported_load,
+            self.in_flight.totals.get(server.id, 0),
+            stats.mean_load,
+        )
+        age = now - reported.updated_at
+        if age < 4.0 * service_ms and reported.trust >= MIN_TRUST:
+            mean += (reported.last - known - mean) * math.exp(-max(0.0, age) / service_ms)
         return known, mean if mean > 0.0 else 0.0
 
-    def load(self, now: float, place: ServerState) -> float:
-        """What the server has in hand, here and as far as others tell, in requests."""
+    def load(self, now: float, server: ServerState) -> float:
+        """Returns the requests in flight at the server, from here and, as far as known, from others."""
         if not self.exchange_enabled:
-            return ServerSelector.load(self, now, place)
-        seen = self.seen[place.id]
-        work = self.works.get(place.target, admission.INITIAL_LATENCY_MS) * seen.factor
-        return place.in_flight + sum(self.crowd(now, place, seen, work))
+            return ServerSelector.load(self, now, server)
+        stats = self.statistics[server.id]
+        service_ms = self.service_ms.get(server.target, admission.INITIAL_LATENCY_MS) * stats.slowdown
+        return server.in_flight + sum(self.load_of_others(now, server, stats, service_ms))
 
     # Choice ---------------------------------------------------------------------------------
 
@@ -227,240 +284,293 @@
         exclude: Collection[str] = (),
         caller: int | None = None,
     ) -> ServerState | None:
-        """The server for a request, None where there is none that may get it."""
-        self._settle()
-        self.clock, self.route = now, route
-        if not self.exchange_enabled:  # by itself it is no better than what it takes the place of
+        """Returns the server with the least expected cost for a request, None if no server can take it.
+
+        ``aim``: the response time target of the route in ms; ``beside``: ids of servers that are excluded.
+        """
+        self._flush_pending_answer()
+        self.last_call_at, self.last_route = now, route
+        if not self.exchange_enabled:  # without the reports of other limiters it is no better than the base
             return ServerSelector.pick(self, now, target, route, aim, exclude, caller)
         if caller is not None and target in self.assignments:
             self.callers.record_request(now, caller, self.route_latency(route).mean)
-            if (place := self._sticky_server(now, target, caller, exclude)) is not None:
-                return place
-        if aim > self.aims.get(target, 0.0):
-            self.aims[target] = aim
-        norm, usual = self.norm(route), self.works.get(target, admission.INITIAL_LATENCY_MS)
-        work, longest = norm.work(), self.aims[target]
-        middle, steep = norm.mean, 1.702 / math.sqrt(max(norm.variance, 0.01))
-        best, least, most = None, math.inf, self.in_flight_limit(target)
-        rest: list[ServerState] = []
-        packed: list[tuple[int, float, ServerState]] = []
-        chance, log, exp, all_seen = self.random.random, math.log, math.exp, self.seen
-        for place in self.by_target.get(target, ()):
-            if place.draining or place.in_flight >= most or place.id in exclude:
+            if (server := self._sticky_server(now, target, caller, exclude)) is not None:
+                return server
+        if aim > self.longest_aims.get(target, 0.0):
+            self.longest_aims[target] = aim
+        service_time, usual = (
+            self.route_service_time(route),
+            self.service_ms.get(target, admission.INITIAL_LATENCY_MS),
+        )
+        route_ms, longest_aim = service_time.mean_ms(), self.longest_aims[target]
+        log_mean, steepness = service_time.log_mean, 1.702 / math.sqrt(max(service_time.log_variance, 0.01))
+        best, least, limit = None, math.inf, self.in_flight_limit(target)
+        resting: list[ServerState] = []
+        reported_full: list[tuple[int, float, ServerState]] = []
+        random, log, exp, statistics = self.random.random, math.log, math.exp, self.statistics
+        for server in self.by_target.get(target, ()):
+            if server.draining or server.in_flight >= limit or server.id in exclude:
                 continue
-            seen = all_seen[place.id]
-            if now - seen.judged > FRESH_MS:
-                self._judge(now, place, seen)
-            factor = seen.factor if now >= place.cold_until else seen.factor * admission.COLD_FACTOR
-            each = usual * factor
-            known, others = self.crowd(now, place, seen, each)
-            slots, known = place.slots or 1, known + place.in_flight - seen.lost
+            stats = statistics[server.id]
+            if now - stats.estimated_at > ESTIMATE_MAX_AGE_MS:
+                self._update_estimate(now, server, stats)
+            slowdown = stats.slowdown if now >= server.cold_until else stats.slowdown * admission.COLD_FACTOR
+            service_ms = usual * slowdown
+            known, others = self.load_of_others(now, server, stats, service_ms)
+            slots, known = server.slots or 1, known + server.in_flight - stats.dropped
             load = known + others
-            if load >= slots and load >= bearable(slots, usual, factor, longest):
-                if known < slots and now - seen.others.at > TRY_MS and not place.silent:
-                    packed.append((known, seen.others.at, place))
+            if load >= slots and load >= max_in_flight(slots, usual, slowdown, longest_aim):
+                if (
+                    known < slots
+                    and now - stats.reported_load.updated_at > FULL_RETRY_MS
+                    and not server.silent
+                ):
+                    reported_full.append((known, stats.reported_load.updated_at, server))
                 continue
-            if place.silent or place.probing or now < place.ejected_until:
-                rest.append(place)
+            if server.silent or server.probing or now < server.ejected_until:
+                resting.append(server)
                 continue
-            wait = waiting(known + (known >= slots), others, slots) * each
+            wait = expected_queue(known + (known >= slots), others, slots) * service_ms
             left = aim - wait
-            # The probability of a miss, from the logistic curve nearest the normal.
-            late = 1.0 / (1.0 + exp(min(50.0, steep * (log(left / factor) - middle)))) if left > 1.0 else 1.0
+            # The probability of missing the target, by the logistic curve closest to the normal distribution.
+            miss = (
+                1.0 / (1.0 + exp(min(50.0, steepness * (log(left / slowdown) - log_mean))))
+                if left > 1.0
+                else 1.0
+            )
             cost = (
                 wait
-                + factor * work * (1.0 + CROWD * load / slots - (OWN if seen.mine else 0.0))
-                + aim * (seen.price + TAIL * late)
-            ) * (1.0 + CHANCE * chance())
-            if now > seen.due or seen.late > LATE_OTHERS:
-                cost *= OVERDUE
-            if place.consecutive_failures and chance() > FAILED_PART:
-                cost *= FAILED
+                + slowdown
+                * route_ms
+                * (1.0 + CONTENTION_COST * load / slots - (PREFERRED_DISCOUNT if stats.preferred else 0.0))
+                + aim * (stats.zone_penalty + MISS_PENALTY * miss)
+            ) * (1.0 + COST_JITTER * random())
+            if now > stats.overdue_at or stats.overdue_observers > MAX_OVERDUE_OBSERVERS:
+                cost *= OVERDUE_COST_FACTOR
+            if server.consecutive_failures and random() > FAILED_EXEMPT_SHARE:
+                cost *= FAILED_COST_FACTOR
             if cost < least:
-                best, least = place, cost
-        if best is None and rest:
-            best = min(rest, key=lambda p: (p.silent, p.ejected_until, chance()))
-        if best is None and packed:
-            best = min(packed, key=lambda p: p[:2])[2]
+                best, least = server, cost
+        if best is None and resting:
+            best = min(resting, key=lambda p: (p.silent, p.ejected_until, random()))
+        if best is None and reported_full:
+            best = min(reported_full, key=lambda p: p[:2])[2]
         return best
 
     def has_room(self, now: float, target: str) -> bool:
-        """Whether some server of the service has a free slot."""
-        usual, aim = self.works.get(target, admission.INITIAL_LATENCY_MS), self.aims.get(target, math.inf)
+        """Returns whether some server of the service can take one more request."""
+        usual, longest_aim = (
+            self.service_ms.get(target, admission.INITIAL_LATENCY_MS),
+            self.longest_aims.get(target, math.inf),
+        )
         return any(
             not p.draining
-            and self.load(now, p) < bearable(max(1, p.slots), usual, self.seen[p.id].factor, aim)
+            and self.load(now, p)
+            < max_in_flight(max(1, p.slots), usual, self.statistics[p.id].slowdown, longest_aim)
             for p in self.by_target.get(target, ())
         )
 
-    # What happens ---------------------------------------------------------------------------
-
-    def record_start(self, place: ServerState) -> None:
-        """An attempt at the server begins."""
-        now, seen = self.clock, self.seen.get(place.id)
-        if seen is not None:
-            self._hand(now, place, seen)
-            if len(seen.begun) < PENDING:
-                seen.begun.append((now, self.route))
-                seen.due = min(seen.due, self._overdue_at(seen, now, self.route))
-        ServerSelector.record_start(self, place)
-
-    def _overdue_at(self, seen: Seen, start: float, route: str) -> float:
-        norm = self.norm(route)
-        spread = math.sqrt(max(norm.variance, 0.01))
-        late = math.exp(min(12.0, norm.mean + LATE_SPREADS * spread))
-        return start + late * max(0.5, seen.factor) * LATE_TIMES
-
-    def _pending(self, now: float, seen: Seen) -> None:
-        """A server that answers later requests lives: what it never answers it has dropped, being full."""
-        seen.due, seen.lost = math.inf, 0
-        for start, route in seen.begun:
-            due = self._overdue_at(seen, start, route)
-            if start >= seen.passed:
-                seen.due = min(seen.due, due)
-            elif now > due:
-                seen.lost += 1
-
-    def _over(self, now: float, place: ServerState, started: float, answered: bool = False) -> None:
-        self._settle()
-        self.clock = now
-        seen = self.seen.get(place.id)
-        if seen is None:
+    # Events ---------------------------------------------------------------------------------
+
+    def record_start(self, server: ServerState) -> None:
+        """Records the start of an attempt at the server, for the route of the last ``pick``."""
+        now, stats = self.last_call_at, self.statistics.get(server.id)
+        if stats is not None:
+            self._update_mean_in_flight(now, server, stats)
+            if len(stats.pending) < MAX_PENDING:
+                stats.pending.append((now, self.last_route))
+                stats.overdue_at = min(stats.overdue_at, self._time_overdue(stats, now, self.last_route))
+        ServerSelector.record_start(self, server)
+
+    def _time_overdue(self, stats: ServerStatistics, start: float, route: str) -> float:
+        """Returns when a request is overdue that went to the server at ``start``."""
+        service_time = self.route_service_time(route)
+        deviation = math.sqrt(max(service_time.log_variance, 0.01))
+        late_ms = math.exp(min(12.0, service_time.log_mean + OVERDUE_DEVIATIONS * deviation))
+        return start + late_ms * max(0.5, stats.slowdown) * OVERDUE_MARGIN
+
+    def _update_overdue(self, now: float, stats: ServerStatistics) -> None:
+        """Updates ``overdue_at`` and ``dropped`` of a server.
+
+        A server that answers later requests is alive: an earlier one that is overdue was dropped by it when
+        it was full.
+        """
+        stats.overdue_at, stats.dropped = math.inf, 0
+        for start, route in stats.pending:
+            overdue_at = self._time_overdue(stats, start, route)
+            if start >= stats.last_answered_start:
+                stats.overdue_at = min(stats.overdue_at, overdue_at)
+            elif now > overdue_at:
+                stats.dropped += 1
+
+    def _end_attempt(self, now: float, server: ServerState, started: float, answered: bool = False) -> None:
+        """Removes the pending request whose start is closest to ``started``."""
+        self._flush_pending_answer()
+        self.last_call_at = now
+        stats = self.statistics.get(server.id)
+        if stats is None:
             return
-        self._hand(now, place, seen)
-        if seen.begun:
-            at = min(range(len(seen.begun)), key=lambda i: abs(seen.begun[i][0] - started))
-            del seen.begun[at]
+        self._update_mean_in_flight(now, server, stats)
+        if stats.pending:
+            closest = min(range(len(stats.pending)), key=lambda i: abs(stats.pending[i][0] - started))
+            del stats.pending[closest]
         if answered:
-            seen.passed = max(seen.passed, started)
-        self._pending(now, seen)
-
-    def record_answer(self, now: float, place: ServerState, route: str, took: float, worked: bool) -> None:
-        """The server answered after ``took`` ms; ``worked``: with no failure of its own."""
-        self._over(now, place, now - took, answered=True)
-        back = place.probing
-        ServerSelector.record_answer(self, now, place, route, took, worked)
-        if back and place.id in self.seen:
-            self.seen[place.id].since = now
+            stats.last_answered_start = max(stats.last_answered_start, started)
+        self._update_overdue(now, stats)
+
+    def record_answer(self, now: float, server: ServerState, route: str, took: float, worked: bool) -> None:
+        """Records an answer after ``took`` ms; ``worked``: whether it was no failure of the server."""
+        self._end_attempt(now, server, now - took, answered=True)
+        recovered = server.probing
+        ServerSelector.record_answer(self, now, server, route, took, worked)
+        if recovered and server.id in self.statistics:
+            self.statistics[server.id].ready_since = now
         if worked:
-            self.ended = place, route, took
-
-    def record_load(self, now: float, place: ServerState, running: int, waiting: int) -> None:
-        """The server told its load."""
-        ServerSelector.record_load(self, now, place, running, waiting)
-        seen = self.seen.get(place.id)
-        if seen is None:
-            self._settle()
+            self.pending_answer = server, route, took
+
+    def record_load(self, now: float, server: ServerState, running: int, waiting: int) -> None:
+        """Records the load that the server reported with the answer recorded before."""
+        ServerSelector.record_load(self, now, server, running, waiting)
+        stats = self.statistics.get(server.id)
+        if stats is None:
+            self._flush_pending_answer()
             return
-        ended, self.ended, self.clock = self.ended, None, now
+        answer, self.pending_answer, self.last_call_at = self.pending_answer, None, now
         usual = max(
-            1.0, self.works.get(place.target, admission.INITIAL_LATENCY_MS) * self._factor(now, place, seen)
+            1.0,
+            self.service_ms.get(server.target, admission.INITIAL_LATENCY_MS)
+            * self._slowdown(now, server, stats),
         )
-        took = ended[2] if ended is not None and ended[0] is place else usual
-        seen.others.told(now, running, waiting, place.slots, place.in_flight, took / usual)
-        if ended is None or ended[0] is not place:
+        took = answer[2] if answer is not None and answer[0] is server else usual
+        stats.reported_load.record(now, running, waiting, server.slots, server.in_flight, took / usual)
+        if answer is None or answer[0] is not server:
             return
-        if not seen.others.trusted():
-            self._sample(now, place, seen, ended[1], took, None)
+        if not stats.reported_load.trusted():
+            self._add_sample(now, server, stats, answer[1], took, None)
         else:
-            free = running < place.slots and not waiting
-            before = 0.0 if free else (waiting + 0.5) / max(1, place.slots)
-            self._sample(now, place, seen, ended[1], took, before)
-
-    def _settle(self) -> None:
-        """An answer that came without its load."""
-        if self.ended is not None:
-            (place, route, took), self.ended = self.ended, None
-            seen = self.seen.get(place.id)
-            if seen is not None:
-                self._sample(self.clock, place, seen, route, took, None)
-
-    def _sample(
-        self, now: float, place: ServerState, seen: Seen, route: str, took: float, before: float | None
+            free = running < server.slots and not waiting
+            queue = 0.0 if free else (waiting + 0.5) / max(1, server.slots)
+            self._add_sample(now, server, stats, answer[1], took, queue)
+
+    def _flush_pending_answer(self) -> None:
+        """Adds the sample of an answer that came without a load report."""
+        if self.pending_answer is not None:
+            (server, route, took), self.pending_answer = self.pending_answer, None
+            stats = self.statistics.get(server.id)
+            if stats is not None:
+                self._add_sample(self.last_call_at, server, stats, route, took, None)
+
+    def _add_sample(
+        self,
+        now: float,
+        server: ServerState,
+        stats: ServerStatistics,
+        route: str,
+        took: float,
+        queue: float | None,
     ) -> None:
-        """One service time; ``before``: requests for each slot that were before it, None where not told."""
-        usual = self.works.get(place.target, admission.INITIAL_LATENCY_MS)
-        factor, weight = self._factor(now, place, seen), 1.0
-        if before is None:
-            known, others = self.crowd(now, place, seen, usual * factor)
-            before = waiting(place.in_flight + known, others, max(1, place.slots))
-            weight = 1.0 - 0.5 * min(1.0, before)
-        elif before > 0.0:
-            weight = QUEUED_WEIGHT
-        if now - took < place.cold_until:
-            weight = QUEUED_WEIGHT
-        worked = max(0.2 * took, took - before * usual * factor, 0.5)
-        cold = math.log(admission.COLD_FACTOR) if now - took < place.cold_until else 0.0
-        norm, x = self.norm(route), math.log(worked) - cold
-        if norm.seen >= 8:
-            variance = max(0.2, norm.variance)
-            seen.sums.add(now, x - norm.mean, weight / variance)
-        norm.add(x - seen.ability.slowness, weight)
-        worked /= factor
-        self.works[place.target] = usual + 0.03 * (worked - usual) if place.target in self.works else worked
-
-    def record_rejection(self, now: float, place: ServerState) -> None:
-        """The server turned a request away."""
-        self._over(now, place, now)
-        ServerSelector.record_rejection(self, now, place)
-        seen = self.seen.get(place.id)
-        if seen is not None:
-            seen.others.last = max(seen.others.mean, place.slots * (1.0 + admission.MAX_QUEUE_PER_SLOT))
-            seen.others.mean, seen.others.at = max(seen.others.mean, 0.0), now
-
-    def record_failure(self, now: float, place: ServerState, silent: bool) -> None:
-        """An attempt failed; ``silent``: the server said nothing."""
-        seen = self.seen.get(place.id)
-        dropped = silent and seen is not None and bool(seen.begun) and seen.begun[0][0] < seen.passed
-        self._over(now, place, -math.inf)
+        """Adds one response time to the evidence.
+
+        ``queue``: requests per slot that were ahead of it in the server's queue, None if not reported.
+        """
+        usual = self.service_ms.get(server.target, admission.INITIAL_LATENCY_MS)
+        slowdown, weight = self._slowdown(now, server, stats), 1.0
+        if queue is None:
+            known, others = self.load_of_others(now, server, stats, usual * slowdown)
+            queue = expected_queue(server.in_flight + known, others, max(1, server.slots))
+            weight = 1.0 - 0.5 * min(1.0, queue)
+        elif queue > 0.0:
+            weight = QUEUED_SAMPLE_WEIGHT
+        if now - took < server.cold_until:
+            weight = QUEUED_SAMPLE_WEIGHT
+        service_ms = max(0.2 * took, took - queue * usual * slowdown, 0.5)
+        log_cold = math.log(admission.COLD_FACTOR) if now - took < server.cold_until else 0.0
+        service_time, log_ms = self.route_service_time(route), math.log(service_ms) - log_cold
+        if service_time.count >= 8:
+            variance = max(0.2, service_time.log_variance)
+            stats.evidence.add(now, log_ms - service_time.log_mean, weight / variance)
+        service_time.add(log_ms - stats.estimate.log_slowdown, weight)
+        service_ms /= slowdown
+        self.service_ms[server.target] = (
+            usual + 0.03 * (service_ms - usual) if server.target in self.service_ms else service_ms
+        )
+
+    def record_rejection(self, now: float, server: ServerState) -> None:
+        """Records that the server rejected a request because it is full."""
+        self._end_attempt(now, server, now)
+        ServerSelector.record_rejection(self, now, server)
+        stats = self.statistics.get(server.id)
+        if stats is not None:
+            stats.reported_load.last = max(
+                stats.reported_load.mean, server.slots * (1.0 + admission.MAX_QUEUE_PER_SLOT)
+            )
+            stats.reported_load.mean, stats.reported_load.updated_at = (
+                max(stats.reported_load.mean, 0.0),
+                now,
+            )
+
+    def record_failure(self, now: float, server: ServerState, silent: bool) -> None:
+        """Records that an attempt failed; ``silent``: the server sent nothing."""
+        stats = self.statistics.get(server.id)
+        dropped = (
+            silent
+            and stats is not None
+            and bool(stats.pending)
+            and stats.pending[0][0] < stats.last_answered_start
+        )
+        self._end_attempt(now, server, -math.inf)
         if dropped:
-            # It was full then and has answered since: at rest it would be missed where all are nearly full.
-            ServerSelector.release(self, place)
+            # The server was full then and has answered since.  Excluding it for a while would cost capacity
+            # where all servers are nearly full.
+            ServerSelector.release(self, server)
         else:
-            ServerSelector.record_failure(self, now, place, silent)
+            ServerSelector.record_failure(self, now, server, silent)
 
-    def record_abandonment(self, now: float, place: ServerState, route: str, waited: float) -> None:
-        """An attempt was broken off from here after ``waited`` ms: its service time is no less than that."""
-        seen, started = self.seen.get(place.id), now - waited
-        if seen is None:
-            ServerSelector.release(self, place)
+    def record_abandonment(self, now: float, server: ServerState, route: str, waited: float) -> None:
+        """Records an attempt that was cancelled here; it would have taken at least ``waited`` ms."""
+        stats, started = self.statistics.get(server.id), now - waited
+        if stats is None:
+            ServerSelector.release(self, server)
             return
-        overdue = now > self._overdue_at(seen, started, route) and started >= seen.passed
-        self._over(now, place, started)
+        overdue = now > self._time_overdue(stats, started, route) and started >= stats.last_answered_start
+        self._end_attempt(now, server, started)
         if overdue:
-            ServerSelector.record_failure(self, now, place, True)
+            ServerSelector.record_failure(self, now, server, True)
             return
-        ServerSelector.release(self, place)
-        if waited > self.norm(route).work() * self._factor(now, place, seen):
-            self._sample(now, place, seen, route, waited, None)
+        ServerSelector.release(self, server)
+        if waited > self.route_service_time(route).mean_ms() * self._slowdown(now, server, stats):
+            self._add_sample(now, server, stats, route, waited, None)
 
-    def release(self, place: ServerState) -> None:
-        """An attempt ended that says nothing of the server."""
-        self._over(self.clock, place, self.clock)
-        ServerSelector.release(self, place)
+    def release(self, server: ServerState) -> None:
+        """Records the end of an attempt that says nothing about the server."""
+        self._end_attempt(self.last_call_at, server, self.last_call_at)
+        ServerSelector.release(self, server)
 
     # Exchange -------------------------------------------------------------------------------
 
     def estimates_message(self, now: float) -> dict[str, Any]:
-        """What this limiter tells the others, JSON."""
-        self._settle()
-        for name, seen in self.seen.items():
-            self._hand(now, self.servers[name], seen)
-            seen.sums.overdue = int(now > seen.due)
+        """Returns this limiter's evidence on all servers for the other limiters, as a JSON object."""
+        self._flush_pending_answer()
+        for name, stats in self.statistics.items():
+            self._update_mean_in_flight(now, self.servers[name], stats)
+            stats.evidence.overdue = int(now > stats.overdue_at)
         return self.estimates.message(now)
 
     def apply_estimates(self, now: float, observer: str, message: Mapping[str, Any]) -> None:
-        """Takes what another limiter tells."""
-        if observer != self.me:
-            self.estimates.take(now, observer, message)
+        """Applies another limiter's evidence.  Raises UnreadableError if the message is malformed."""
+        if observer != self.own_name:
+            self.estimates.apply(now, observer, message)
 
     def in_flight_message(self, now: float) -> dict[str, Any] | None:
-        """What this limiter has in hand, for its near peers, JSON; None where that is no news."""
+        """Returns this limiter's requests in flight for its near peers, as a JSON object.
+
+        None if they were reported recently and haven't changed since.
+        """
         return self.in_flight.message(
-            now, {n: place.in_flight - self.seen[n].lost for n, place in self.servers.items()}
+            now, {n: server.in_flight - self.statistics[n].dropped for n, server in self.servers.items()}
         )
 
     def apply_in_flight(self, now: float, observer: str, message: Mapping[str, Any]) -> None:
-        """Takes what a near peer has in hand."""
-        if observer != self.me:
-            self.in_flight.take(now, observer, message)
+        """Applies a near peer's requests in flight.  Raises UnreadableError if the message is malformed."""
+        if observer != self.own_name:
+            self.in_flight.apply(now, observer, message)
--- a/larklb/balancing/errors.py
+++ b/larklb/balancing/errors.py
@@ -1,11 +1,11 @@
-"""What can go wrong in this package; errors from below leave it as one of these."""
+"""Exceptions of the balancing package; errors raised by lower layers are wrapped in one of these."""
 
 from __future__ import annotations
 
 
 class BalancingError(Exception):
-    """The base of all errors of the package."""
+    """Base class of all exceptions of this package."""
 
 
 class UnreadableError(BalancingError):
-    """Words of another limiter that make no sense."""
+    """A message of another limiter is malformed or holds impossible values."""
--- a/larklb/balancing/estimates.py
+++ b/larklb/balancing/estimates.py
@@ -1,9 +1,10 @@
-"""How much slower or faster each server is than its service: sums of evidence by observer, and what they say.
+"""Estimates how much slower or faster each server is than the other servers of its service.
 
-Evidence is the logarithm of (service time / what is usual for the route at this observer), so that dear
-routes blame no server and a slow link blames none either: it is in all of that observer's times.  Sums
-fade with time.  Each observer tells its sums whole and counted; the newest replaces the older, so loss,
-repeats and order do no harm, and what is added up is added once.  No I/O; time is an argument in ms.
+The evidence is the logarithm of (service time / usual service time of the route at this observer).  An
+expensive route therefore counts against no server, and neither does a slow link, which is part of all
+service times of that observer.  Evidence decays with time.  Each observer reports its complete sums with
+a sequence number, and a newer report replaces the older one, so that lost, repeated or reordered messages
+do no harm and no sample is counted twice.  No I/O; times are arguments in ms.
 """
 
 from __future__ import annotations
@@ -16,229 +17,296 @@
 
 from larklb.balancing.errors import UnreadableError
 
-LONG_MS = 20_000.0  # evidence fades with this time constant ...
-SHORT_MS = 2_000.0  # ... and that for sudden changes with this one
-PRIOR = 8.0  # precision of 'like the others': servers' logarithms differ by 0.35
-MOST_WEIGHT = 2.5  # precision of one sample at the most: three at least make a change
-FALL_ERRORS = 3.0  # standard errors by which recent evidence must be slower to be believed alone ...
-FALL_LEAST = 6.0  # ... and its precision
-FALL_KEEP = 3.0  # precision of what was known before, where a change is believed
-FALL_HOLD_MS = 8_000.0  # a fall is forgotten with this time constant: who gets little gives little
-# evidence
-RISE_ERRORS = 4.0  # the same for faster: whoever is trusted too early is flooded
-RISE_LEAST = 12.0
-RISE_KEEP = 12.0
-CLIP = 2.5  # of one sample: e^2.5 = 12 times the usual or a twelfth
-OBSERVER_PART = 0.4  # of all evidence on a server that one observer may bring, where there are others
-STALE_MS = 6_000.0  # an observer not heard for so long no longer counts
-OBSERVERS, SERVERS = 512, 4_096
+# Time constants with which evidence decays: all of it, and that on sudden changes.
+EVIDENCE_DECAY_MS = 20_000.0
+RECENT_DECAY_MS = 2_000.0
+# Precision of the prior that a server is like the others: their logarithms differ by about 0.35.
+PRIOR_PRECISION = 8.0
+# Of one sample, so that it takes at least three samples to establish a sudden change.
+MAX_SAMPLE_PRECISION = 2.5
+# A sudden slowdown is accepted on recent evidence alone if that differs from the older evidence by this many
+# standard errors and has at least this precision; the older evidence then keeps the last of the three as its
+# precision.
+SLOWDOWN_MIN_ERRORS = 3.0
+SLOWDOWN_MIN_PRECISION = 6.0
+SLOWDOWN_OLD_PRECISION = 3.0
+# Time constant with which an accepted slowdown is forgotten.  A slow server gets few requests and so yields
+# little evidence of its recovery.
+SLOWDOWN_DECAY_MS = 8_000.0
+# The same for a sudden speedup, with higher thresholds: a server that is trusted too early is flooded.
+SPEEDUP_MIN_ERRORS = 4.0
+SPEEDUP_MIN_PRECISION = 12.0
+SPEEDUP_OLD_PRECISION = 12.0
+# Of one sample: e^2.5 = 12 times the usual service time, or a twelfth of it.
+MAX_LOG_RATIO = 2.5
+# Part of all evidence on a server that one observer may contribute where there are others.
+MAX_OBSERVER_SHARE = 0.4
+# Reports that were received longer ago than this are ignored.
+REPORT_MAX_AGE_MS = 6_000.0
+MAX_OBSERVERS, MAX_SERVERS = 512, 4_096
 
 
 @define
-class Sums:
-    """Evidence of one observer on one server: precision and precision times mean, long and short; requests in
-    hand there on average; requests overdue there."""
-
-    weight: float = 0.0
-    total: float = 0.0
-    recent: float = 0.0
-    recent_total: float = 0.0
-    in_hand: float = 0.0
-    overdue: int = 0
-    at: float = 0.0
+class Evidence:
+    """The evidence of one observer on one server.
 
-    def faded(self, now: float) -> tuple[float, float, float, float]:
-        """The four sums as of ``now``."""
-        gone = max(0.0, now - self.at)
-        long, short = math.exp(-gone / LONG_MS), math.exp(-gone / SHORT_MS)
-        return self.weight * long, self.total * long, self.recent * short, self.recent_total * short
+    ``precision`` and ``weighted_sum`` (the sum of precision times logarithm) cover all samples,
+    ``recent_precision`` and ``recent_weighted_sum`` those of the last seconds.  ``mean_in_flight``: requests
+    that the observer has in flight at the server, on average; ``overdue``: whether one of them is overdue;
+    ``updated_at``: ms, the time that the decaying sums refer to.
+    """
 
-    def fade(self, now: float) -> None:
+    precision: float = 0.0
+    weighted_sum: float = 0.0
+    recent_precision: float = 0.0
+    recent_weighted_sum: float = 0.0
+    mean_in_flight: float = 0.0
+    overdue: int = 0
+    updated_at: float = 0.0
+
+    def decayed(self, now: float) -> tuple[float, float, float, float]:
+        """Returns the four sums as of ``now``, in the order of the fields."""
+        elapsed = max(0.0, now - self.updated_at)
+        long, short = math.exp(-elapsed / EVIDENCE_DECAY_MS), math.exp(-elapsed / RECENT_DECAY_MS)
+        return (
+            self.precision * long,
+            self.weighted_sum * long,
+            self.recent_precision * short,
+            self.recent_weighted_sum * short,
+        )
+
+    def decay(self, now: float) -> None:
         """Brings the sums to ``now``."""
-        self.weight, self.total, self.recent, self.recent_total = self.faded(now)
-        self.at = max(self.at, now)
+        self.precision, self.weighted_sum, self.recent_precision, self.recent_weighted_sum = self.decayed(now)
+        self.updated_at = max(self.updated_at, now)
 
-    def add(self, now: float, x: float, weight: float) -> None:
-        """One sample with its precision."""
-        self.fade(now)
-        x, weight = max(-CLIP, min(CLIP, x)), min(weight, MOST_WEIGHT)
-        self.weight += weight
-        self.total += weight * x
-        self.recent += weight
-        self.recent_total += weight * x
+    def add(self, now: float, log_ratio: float, precision: float) -> None:
+        """Adds one sample: the logarithm of a relative service time, with its precision.
+
+        Both are limited, so that no single sample dominates.
+        """
+        self.decay(now)
+        log_ratio, precision = (
+            max(-MAX_LOG_RATIO, min(MAX_LOG_RATIO, log_ratio)),
+            min(precision, MAX_SAMPLE_PRECISION),
+        )
+        self.precision += precision
+        self.weighted_sum += precision * log_ratio
+        self.recent_precision += precision
+        self.recent_weighted_sum += precision * log_ratio
 
 
 @define(frozen=True)
-class Ability:
-    """``slowness``: logarithm of the times longer that work takes here; ``error``: its standard deviation;
-    ``precision``: of the evidence; ``changed``: it goes by the recent evidence alone."""
+class Estimate:
+    """The estimated slowdown of a server.
+
+    ``log_slowdown``: logarithm of ``slowdown``; ``standard_error``: its standard deviation; ``precision``: of
+    the evidence, without the prior; ``sudden_change``: whether the recent evidence alone decides.
+    """
 
-    slowness: float = 0.0
-    error: float = PRIOR**-0.5
+    log_slowdown: float = 0.0
+    standard_error: float = PRIOR_PRECISION**-0.5
     precision: float = 0.0
-    changed: bool = False
+    sudden_change: bool = False
 
     @property
-    def factor(self) -> float:
-        """Times longer that work takes here."""
-        return math.exp(self.slowness)
-
-
-def judged(weight: float, total: float, recent: float, recent_total: float) -> Ability:
-    """What sums of evidence say."""
-    precision = PRIOR + weight
-    mean = total / precision
-    if recent > 0.0:
-        # What is recent is part of the whole as well: the rest is what it is held against.
-        before = max(0.0, weight - recent)
-        old = (total - recent_total) / (PRIOR + before)
-        fresh = recent_total / recent
-        apart = (fresh - old) / math.sqrt(1.0 / recent + 1.0 / (PRIOR + before))
-        if apart > FALL_ERRORS and recent >= FALL_LEAST:
-            keep = FALL_KEEP
-        elif apart < -RISE_ERRORS and recent >= RISE_LEAST:
-            keep = RISE_KEEP
+    def slowdown(self) -> float:
+        """How many times longer work takes at this server than at the others."""
+        return math.exp(self.log_slowdown)
+
+
+def estimate_from_sums(
+    precision: float, weighted_sum: float, recent_precision: float, recent_weighted_sum: float
+) -> Estimate:
+    """Returns the estimate that follows from sums of evidence.
+
+    Where the recent evidence differs significantly from the older evidence, the change is accepted at once.
+    """
+    total_precision = PRIOR_PRECISION + precision
+    mean = weighted_sum / total_precision
+    if recent_precision > 0.0:
+        # The sums include the recent evidence; it is compared with the remainder.
+        older_precision = max(0.0, precision - recent_precision)
+        older_mean = (weighted_sum - recent_weighted_sum) / (PRIOR_PRECISION + older_precision)
+        recent_mean = recent_weighted_sum / recent_precision
+        deviation = (recent_mean - older_mean) / math.sqrt(
+            1.0 / recent_precision + 1.0 / (PRIOR_PRECISION + older_precision)
+        )
+        if deviation > SLOWDOWN_MIN_ERRORS and recent_precision >= SLOWDOWN_MIN_PRECISION:
+            retained_precision = SLOWDOWN_OLD_PRECISION
+        elif deviation < -SPEEDUP_MIN_ERRORS and recent_precision >= SPEEDUP_MIN_PRECISION:
+            retained_precision = SPEEDUP_OLD_PRECISION
         else:
-            keep = 0.0
-        if keep:
-            precision = recent + keep
-            return Ability((recent_total + keep * old) / precision, precision**-0.5, weight, True)
-    return Ability(mean, precision**-0.5, weight)
+            retained_precision = 0.0
+        if retained_precision:
+            total_precision = recent_precision + retained_precision
+            return Estimate(
+                (recent_weighted_sum + retained_precision * older_mean) / total_precision,
+                total_precision**-0.5,
+                precision,
+                True,
+            )
+    return Estimate(mean, total_precision**-0.5, precision)
 
 
 @define
 class _Report:
-    count: int
-    at: float
-    rows: dict[str, Sums]
+    order: int
+    received_at: float
+    rows: dict[str, Evidence]
 
 
-Report = dict[str, Any]
+ReportMessage = dict[str, Any]
 
 
 @define
 class Estimates:
-    """All evidence as one observer has it.  ``incarnation`` rises with each start of the observer."""
+    """Evidence on all servers as one observer has it: its own, and the newest report of each other observer.
+
+    ``incarnation`` rises with each start of the observer.
+    """
 
     incarnation: int = 0
-    own: dict[str, Sums] = field(factory=dict)
+    own_evidence: dict[str, Evidence] = field(factory=dict)
     reports: dict[str, _Report] = field(factory=dict)
-    fallen: dict[str, tuple[float, float]] = field(factory=dict)  # by server: slowness believed, and when
-    told: int = 0
-
-    def of(self, now: float, server: str) -> Sums:
-        """This observer's own sums on a server."""
-        sums = self.own.get(server)
-        if sums is None:
-            if len(self.own) >= SERVERS:
-                del self.own[min(self.own, key=lambda s: self.own[s].at)]
-            sums = self.own[server] = Sums(at=now)
-        return sums
-
-    def keep(self, servers: Iterable[str]) -> None:
-        """Forgets all but these."""
-        there = set(servers)
-        for gone in [s for s in self.own if s not in there]:
-            del self.own[gone]
-        for gone in [s for s in self.fallen if s not in there]:
-            del self.fallen[gone]
-
-    def _heard(self, now: float, server: str) -> list[Sums]:
+    # By server: the logarithm of the last sudden slowdown that was accepted, and when.
+    slowdowns: dict[str, tuple[float, float]] = field(factory=dict)
+    messages_sent: int = 0
+
+    def evidence(self, now: float, server: str) -> Evidence:
+        """Returns this observer's own evidence on a server; the least recently updated makes room for it."""
+        evidence = self.own_evidence.get(server)
+        if evidence is None:
+            if len(self.own_evidence) >= MAX_SERVERS:
+                del self.own_evidence[min(self.own_evidence, key=lambda s: self.own_evidence[s].updated_at)]
+            evidence = self.own_evidence[server] = Evidence(updated_at=now)
+        return evidence
+
+    def retain(self, servers: Iterable[str]) -> None:
+        """Discards what is stored about all servers but these."""
+        retained = set(servers)
+        for removed in [s for s in self.own_evidence if s not in retained]:
+            del self.own_evidence[removed]
+        for removed in [s for s in self.slowdowns if s not in retained]:
+            del self.slowdowns[removed]
+
+    def _reported_evidence(self, now: float, server: str) -> list[Evidence]:
         return [
             row
             for report in self.reports.values()
-            if now - report.at < STALE_MS
+            if now - report.received_at < REPORT_MAX_AGE_MS
             for row in (report.rows.get(server),)
             if row is not None
         ]
 
-    def ability(self, now: float, server: str) -> Ability:
-        """What all observers' evidence says of a server.
+    def estimate(self, now: float, server: str) -> Estimate:
+        """Returns the estimate of a server from the evidence of all observers.
 
-        No observer weighs more than its part, and one that disagrees is as strong as any other: where its own
-        clock or link is bad for single servers, the others outweigh it.
+        The share of each observer is limited, so that one whose clock or link distorts its times to some
+        servers is outweighed by the others.
         """
-        own = self.own.get(server)
-        parts = [row.faded(now) for row in self._heard(now, server)]
+        own = self.own_evidence.get(server)
+        parts = [row.decayed(now) for row in self._reported_evidence(now, server)]
         if own is not None:
-            parts.append(own.faded(now))
+            parts.append(own.decayed(now))
         if len(parts) > 2:
-            # Held against the others' evidence alone: one's own can't raise what one may bring.
-            all_long, all_recent = sum(p[0] for p in parts), sum(p[2] for p in parts)
-            part = OBSERVER_PART / (1.0 - OBSERVER_PART)
+            # The limit refers to the evidence of the others alone: an observer can't raise its own limit.
+            total, total_recent = sum(p[0] for p in parts), sum(p[2] for p in parts)
+            share = MAX_OBSERVER_SHARE / (1.0 - MAX_OBSERVER_SHARE)
             parts = [
                 (
-                    *_capped(p[0], p[1], part * (all_long - p[0])),
-                    *_capped(p[2], p[3], part * (all_recent - p[2])),
+                    *_capped(p[0], p[1], share * (total - p[0])),
+                    *_capped(p[2], p[3], share * (total_recent - p[2])),
                 )
                 for p in parts
             ]
-        ability = judged(*(sum(p[i] for p in parts) for i in range(4))) if parts else Ability()
-        slowness, at = self.fallen.get(server, (0.0, -math.inf))
-        held = slowness * math.exp(min(0.0, at - now) / FALL_HOLD_MS)
-        if ability.changed and ability.slowness >= held and ability.slowness > 0.0:
-            self.fallen[server] = ability.slowness, now
-        elif held > ability.slowness:
-            return evolve(ability, slowness=held, changed=True)
-        return ability
-
-    def others(self, now: float, server: str, beside: Collection[str] = ()) -> float | None:
-        """Requests that the other observers have in hand there on average, but those ``beside``; None with
-        none heard of late."""
-        fresh = [(name, r) for name, r in self.reports.items() if now - r.at < STALE_MS]
-        if not fresh:
+        estimate = estimate_from_sums(*(sum(p[i] for p in parts) for i in range(4))) if parts else Estimate()
+        log_slowdown, accepted_at = self.slowdowns.get(server, (0.0, -math.inf))
+        remaining = log_slowdown * math.exp(min(0.0, accepted_at - now) / SLOWDOWN_DECAY_MS)
+        if estimate.sudden_change and estimate.log_slowdown >= remaining and estimate.log_slowdown > 0.0:
+            self.slowdowns[server] = estimate.log_slowdown, now
+        elif remaining > estimate.log_slowdown:
+            return evolve(estimate, log_slowdown=remaining, sudden_change=True)
+        return estimate
+
+    def mean_in_flight_of_others(
+        self, now: float, server: str, excluded: Collection[str] = ()
+    ) -> float | None:
+        """Returns how many requests the other observers have in flight at a server on average.
+
+        Those of ``excluded`` observers don't count.  None if there is no recent report of any observer.
+        """
+        recent = [(name, r) for name, r in self.reports.items() if now - r.received_at < REPORT_MAX_AGE_MS]
+        if not recent:
             return None
-        return sum(r.rows[server].in_hand for name, r in fresh if name not in beside and server in r.rows)
+        return sum(
+            r.rows[server].mean_in_flight for name, r in recent if name not in excluded and server in r.rows
+        )
 
-    def overdue(self, now: float, server: str) -> int:
-        """Other observers that wait there for longer than nearly ever."""
-        return sum(row.overdue > 0 for row in self._heard(now, server))
+    def overdue_observers(self, now: float, server: str) -> int:
+        """Counts the other observers that have an overdue request at the server."""
+        return sum(row.overdue > 0 for row in self._reported_evidence(now, server))
 
-    def message(self, now: float) -> Report:
-        """This observer's sums, for the others: the whole state, so the newest is enough."""
-        self.told += 1
+    def message(self, now: float) -> ReportMessage:
+        """Returns this observer's whole evidence as a JSON object; the newest message replaces all others."""
+        self.messages_sent += 1
         rows = {
-            server: [round(v, 3) for v in sums.faded(now)] + [round(sums.in_hand, 3), sums.overdue]
-            for server, sums in self.own.items()
+            server: [round(v, 3) for v in evidence.decayed(now)]
+            + [round(evidence.mean_in_flight, 3), evidence.overdue]
+            for server, evidence in self.own_evidence.items()
         }
-        return {"life": self.incarnation, "count": self.told, "rows": rows}
+        return {"life": self.incarnation, "count": self.messages_sent, "rows": rows}
+
+    def apply(self, now: float, observer: str, message: Mapping[str, Any]) -> bool:
+        """Applies another observer's message; False if a newer one, or this one, was applied before.
 
-    def take(self, now: float, observer: str, message: Mapping[str, Any]) -> bool:
-        """Takes another observer's words; False where they are no news.  The age of evidence is counted
-        from here: the other's clock is never compared with this one.  ``UnreadableError`` where they make
-        no sense."""
+        The age of the evidence counts from its arrival, since the clocks of two processes are never compared.
+        Raises UnreadableError if the message is malformed.
+        """
         try:
-            life, count = int(message["life"]), int(message["count"])
-            rows = {str(server): _read(now, row) for server, row in message["rows"].items()}
+            incarnation, count = int(message["life"]), int(message["count"])
+            rows = {str(server): _parse_row(now, row) for server, row in message["rows"].items()}
         except (KeyError, TypeError, ValueError, AttributeError) as error:
             raise UnreadableError(str(error)) from error
-        if len(rows) > SERVERS:
-            raise UnreadableError("too many servers")
-        known, order = self.reports.get(observer), life * (1 << 32) + count
-        if known is not None and order <= known.count:
+        if len(rows) > MAX_SERVERS:
+            raise UnreadableError(f"more than {MAX_SERVERS} servers in one report")
+        previous, order = self.reports.get(observer), incarnation * (1 << 32) + count
+        if previous is not None and order <= previous.order:
             return False
-        if known is None and len(self.reports) >= OBSERVERS:
-            del self.reports[min(self.reports, key=lambda name: self.reports[name].at)]
+        if previous is None and len(self.reports) >= MAX_OBSERVERS:
+            del self.reports[min(self.reports, key=lambda name: self.reports[name].received_at)]
         self.reports[observer] = _Report(order, now, rows)
         return True
 
 
-def _capped(weight: float, total: float, most: float) -> tuple[float, float]:
-    if weight <= most:
-        return weight, total
-    return most, total * most / weight
+def _capped(precision: float, weighted_sum: float, max_precision: float) -> tuple[float, float]:
+    if precision <= max_precision:
+        return precision, weighted_sum
+    return max_precision, weighted_sum * max_precision / precision
 
 
-def _read(now: float, row: Any) -> Sums:
-    weight, total, recent, recent_total, in_hand = (float(v) for v in row[:5])
-    if not all(map(math.isfinite, (weight, total, recent, recent_total, in_hand))):
-        raise ValueError("not finite")
+def _parse_row(now: float, row: Any) -> Evidence:
+    precision, weighted_sum, recent_precision, recent_weighted_sum, mean_in_flight = (
+        float(v) for v in row[:5]
+    )
+    if not all(
+        map(math.isfinite, (precision, weighted_sum, recent_precision, recent_weighted_sum, mean_in_flight))
+    ):
+        raise ValueError("evidence that is not a finite number")
     if (
-        weight < 0
-        or recent < 0
-        or in_hand < 0
-        or abs(total) > CLIP * weight + 0.01
-        or abs(recent_total) > CLIP * recent + 0.01
+        precision < 0
+        or recent_precision < 0
+        or mean_in_flight < 0
+        or abs(weighted_sum) > MAX_LOG_RATIO * precision + 0.01
+        or abs(recent_weighted_sum) > MAX_LOG_RATIO * recent_precision + 0.01
     ):
-        raise ValueError("sums that no evidence gives")
-    return Sums(weight, total, recent, recent_total, in_hand, max(0, int(row[5])), now)
+        raise ValueError("evidence outside the possible range")
+    return Evidence(
+        precision,
+        weighted_sum,
+        recent_precision,
+        recent_weighted_sum,
+        mean_in_flight,
+        max(0, int(row[5])),
+        now,
+    )
--- a/larklb/balancing/load.py
+++ b/larklb/balancing/load.py
@@ -1,6 +1,7 @@
-"""What others have in hand at a server between the answers that tell it, and how much may be in hand there.
+"""The load that other limiters cause at a server, and how many requests may be in flight there.
 
-No I/O; time is an argument in ms.
+Between two answers of a server, which report its load, the messages of near peers on their requests in flight
+fill the gap.  No I/O; times are arguments in ms.
 """
 
 from __future__ import annotations
@@ -14,158 +15,199 @@
 
 from larklb.balancing.errors import UnreadableError
 
-MEAN_MS = 2_000.0  # the mean load of others follows what is told with this time constant
-TRUST_STEP = 0.1  # by which trust in a server's own word follows each answer ...
-TRUST_LEAST = 0.6  # ... below which it isn't heeded
-QUEUE_MOST = 2.0  # times its slots that may wait at a server at the most
-AGAIN_MS = 200.0  # what is in hand is told again after so long, where words may be lost
-LIVE_MS = 500.0  # a word on what is in hand holds for so long
-PEERS, SERVERS = 64, 4_096
-STEPS = 8  # of the load, in one request, in which the wait is kept
+# Time constant with which the mean load of others follows the reported load.
+LOAD_MEAN_MS = 2_000.0
+# Weight of one answer in the trust in a server's load reports, and the trust below which they are ignored.
+TRUST_WEIGHT = 0.1
+MIN_TRUST = 0.6
+# Requests per slot that may wait at a server.
+MAX_QUEUE_PER_SLOT = 2.0
+# Unchanged requests in flight are reported again after this time, since messages may be lost.
+RESEND_MS = 200.0
+# A peer's report of its requests in flight is valid for this time.
+REPORT_MAX_AGE_MS = 500.0
+MAX_PEERS, MAX_SERVERS = 64, 4_096
+# Steps per request of load in which the expected queue is cached.
+LOAD_STEPS = 8
 
 
 @lru_cache(maxsize=8_192)
-def _beyond(free: int, steps: int) -> float:
-    load = steps / STEPS
-    term = left = math.exp(-load)
-    less = free * term
+def _expected_excess(free: int, steps: int) -> float:
+    """Returns the expected excess over ``free`` of a Poisson number with a mean of ``steps / LOAD_STEPS``."""
+    load = steps / LOAD_STEPS
+    probability = cumulative = math.exp(-load)
+    shortfall = free * probability
     for n in range(1, free):
-        term *= load / n
-        left += term
-        less += (free - n) * term
-    return load - free + less
+        probability *= load / n
+        cumulative += probability
+        shortfall += (free - n) * probability
+    return load - free + shortfall
 
 
-def waiting(mine: int, others: float, slots: int) -> float:
-    """Requests, for each slot, that are expected to be before one more: ``mine`` are known to be there,
-    ``others`` are a mean, and come by chance."""
-    free = slots - mine
+def expected_queue(known: int, others: float, slots: int) -> float:
+    """Returns the expected number of waiting requests per slot ahead of one more request.
+
+    ``known`` requests are certainly at the server; ``others`` is the mean of a Poisson distributed number of
+    further ones.
+    """
+    free = slots - known
     if free <= 0:
         return (others - free) / slots
-    return _beyond(free, int(others * STEPS + 0.5)) / slots
+    return _expected_excess(free, int(others * LOAD_STEPS + 0.5)) / slots
 
 
 @define
-class Others:
-    """The load that a server has from others: as last told, and in the mean."""
+class LoadOfOthers:
+    """The load that other limiters cause at a server, in requests: as last reported, and its mean.
+
+    ``mean`` is negative until the first report; ``updated_at`` is in ms; ``trust`` is the moving average of
+    whether the reports were plausible, from 0 to 1.
+    """
 
-    mean: float = -1.0  # below 0: never told
+    mean: float = -1.0
     last: float = 0.0
-    at: float = -math.inf
+    updated_at: float = -math.inf
     trust: float = 1.0
 
-    def told(self, now: float, running: int, queued: int, slots: int, mine: int, took_works: float) -> None:
-        """A server's word with an answer.  ``mine``: requests from here that are still there;
-        ``took_works``: the time of that answer in mean works at this server, to hold its word against."""
-        true = running + queued >= mine and not (queued and running < slots)
-        # Behind a long queue an answer can't come so fast.
-        true = true and (queued < 2 * slots or took_works > 0.5 * queued / slots)
-        self.trust += TRUST_STEP * (true - self.trust)
-        load = max(0.0, running + queued - mine)
-        gone = max(0.0, now - self.at)
+    def record(
+        self, now: float, running: int, queued: int, slots: int, own: int, relative_duration: float
+    ) -> None:
+        """Records the load that a server reported with an answer, and whether it is plausible.
+
+        ``own``: requests of this limiter that are still at the server; ``relative_duration``: the time until
+        that answer as a multiple of the mean service time at this server.
+        """
+        plausible = running + queued >= own and not (queued and running < slots)
+        # An answer can't come this fast behind a long queue.
+        plausible = plausible and (queued < 2 * slots or relative_duration > 0.5 * queued / slots)
+        self.trust += TRUST_WEIGHT * (plausible - self.trust)
+        load = max(0.0, running + queued - own)
+        elapsed = max(0.0, now - self.updated_at)
         self.mean = (
             load
             if self.mean < 0
-            else self.mean + (1.0 - math.exp(-max(50.0, gone) / MEAN_MS)) * (load - self.mean)
+            else self.mean + (1.0 - math.exp(-max(50.0, elapsed) / LOAD_MEAN_MS)) * (load - self.mean)
         )
-        self.last, self.at = load, now
+        self.last, self.updated_at = load, now
 
     def trusted(self) -> bool:
-        """Whether its word is heeded."""
-        return self.mean >= 0 and self.trust >= TRUST_LEAST
+        """Returns whether the server has reported its load and its reports are plausible."""
+        return self.mean >= 0 and self.trust >= MIN_TRUST
 
 
 @define
 class _Report:
     order: int
-    at: float
+    received_at: float
     rows: dict[str, int]
 
 
 @define
 class InFlight:
-    """What near peers have in hand at each server just now: their whole state by observer, the newest
-    holds."""
+    """Requests that near peers have in flight at each server, by the newest report of each peer.
+
+    ``reports``: by peer; ``totals``: requests by server.  ``incarnation`` rises with each start of this
+    limiter.
+    """
 
     incarnation: int = 0
-    of: dict[str, _Report] = field(factory=dict)
-    sums: dict[str, int] = field(factory=dict)
-    count: int = 0
-    told: dict[str, int] = field(factory=dict)
-    told_at: float = -math.inf
-
-    def message(self, now: float, mine: Mapping[str, int]) -> dict[str, Any] | None:
-        """This limiter's word, JSON; None where it would bring nothing new."""
-        rows = {server: out for server, out in mine.items() if out > 0}
-        if rows == self.told and now - self.told_at < AGAIN_MS:
+    reports: dict[str, _Report] = field(factory=dict)
+    totals: dict[str, int] = field(factory=dict)
+    messages_sent: int = 0
+    last_sent: dict[str, int] = field(factory=dict)
+    last_sent_at: float = -math.inf
+
+    def message(self, now: float, in_flight: Mapping[str, int]) -> dict[str, Any] | None:
+        """Returns this limiter's requests in flight as a JSON object.
+
+        None if they haven't changed since the last message and that is younger than RESEND_MS.
+        """
+        rows = {server: count for server, count in in_flight.items() if count > 0}
+        if rows == self.last_sent and now - self.last_sent_at < RESEND_MS:
             return None
-        self.told, self.told_at = rows, now
-        self.count += 1
-        return {"life": self.incarnation, "count": self.count, "in_flight": rows}
+        self.last_sent, self.last_sent_at = rows, now
+        self.messages_sent += 1
+        return {"life": self.incarnation, "count": self.messages_sent, "in_flight": rows}
+
+    def apply(self, now: float, observer: str, message: Mapping[str, Any]) -> bool:
+        """Applies a peer's message; False if a newer one, or this one, was applied before.
 
-    def take(self, now: float, observer: str, message: Mapping[str, Any]) -> bool:
-        """Takes a peer's word; False where it is no news; ``UnreadableError`` where it makes no sense."""
+        False too for a new peer beyond MAX_PEERS.  Raises UnreadableError if the message is malformed.
+        """
         try:
             order = int(message["life"]) * (1 << 32) + int(message["count"])
-            rows = {str(server): int(out) for server, out in message["in_flight"].items()}
+            rows = {str(server): int(count) for server, count in message["in_flight"].items()}
         except (KeyError, TypeError, ValueError, AttributeError) as error:
             raise UnreadableError(str(error)) from error
-        if len(rows) > SERVERS or any(not 0 <= out < 1 << 16 for out in rows.values()):
-            raise UnreadableError("numbers that can't be")
-        known = self.of.get(observer)
-        if known is not None and order <= known.order:
+        if len(rows) > MAX_SERVERS or any(not 0 <= count < 1 << 16 for count in rows.values()):
+            raise UnreadableError("too many servers, or a number of requests out of range")
+        previous = self.reports.get(observer)
+        if previous is not None and order <= previous.order:
             return False
-        if known is None and len(self.of) >= PEERS:
-            return False  # those beyond count with their mean
-        self._add(known.rows if known is not None else {}, -1)
-        self.of[observer] = _Report(order, now, rows)
+        if previous is None and len(self.reports) >= MAX_PEERS:
+            return False  # peers beyond the limit are counted by their mean load
+        self._add(previous.rows if previous is not None else {}, -1)
+        self.reports[observer] = _Report(order, now, rows)
         self._add(rows, 1)
         return True
 
     def expire(self, now: float) -> None:
-        """What is too old counts no more, but its order is kept: an older word that comes late is no news."""
-        for report in self.of.values():
-            if now - report.at > LIVE_MS and report.rows:
+        """Removes the numbers of reports that are too old.
+
+        Their order is retained, so that an older message that arrives late is still rejected.
+        """
+        for report in self.reports.values():
+            if now - report.received_at > REPORT_MAX_AGE_MS and report.rows:
                 self._add(report.rows, -1)
                 report.rows = {}
 
-    def keep(self, observers: Collection[str]) -> None:
-        """Forgets all but these."""
-        for gone in [o for o in self.of if o not in observers]:
-            self._add(self.of.pop(gone).rows, -1)
+    def retain(self, observers: Collection[str]) -> None:
+        """Discards the reports of all peers but these."""
+        for removed in [o for o in self.reports if o not in observers]:
+            self._add(self.reports.pop(removed).rows, -1)
 
-    def live(self, now: float) -> frozenset[str]:
-        """Whose word holds."""
-        return frozenset(o for o, report in self.of.items() if now - report.at <= LIVE_MS)
+    def current_observers(self, now: float) -> frozenset[str]:
+        """Returns the peers whose last report is still valid."""
+        return frozenset(
+            o for o, report in self.reports.items() if now - report.received_at <= REPORT_MAX_AGE_MS
+        )
 
     def _add(self, rows: Mapping[str, int], sign: int) -> None:
-        for server, out in rows.items():
-            total = self.sums.get(server, 0) + sign * out
+        for server, count in rows.items():
+            total = self.totals.get(server, 0) + sign * count
             if total:
-                self.sums[server] = total
+                self.totals[server] = total
             else:
-                self.sums.pop(server, None)
+                self.totals.pop(server, None)
+
+
+def max_in_flight(slots: int, service_ms: float, slowdown: float, target_ms: float) -> float:
+    """Returns how many requests all limiters together may have in flight at a server.
 
+    As many as end within ``target_ms``, the longest response time target, but at least one per slot (so that
+    the slowest server serves too), and no longer a queue than servers keep.
+    """
+    own_service_ms = max(1.0, service_ms * slowdown)
+    return slots * max(
+        1.0, min(1.0 + MAX_QUEUE_PER_SLOT, 1.0 + (target_ms - own_service_ms) / own_service_ms)
+    )
 
-def bearable(slots: int, work: float, factor: float, aim: float) -> float:
-    """Requests that may be in hand at a server, all limiters together: as many as end inside the longest
-    aim, one for each slot at least (the weakest serves too), and no longer a queue than servers keep."""
-    each = max(1.0, work * factor)
-    return slots * max(1.0, min(1.0 + QUEUE_MOST, 1.0 + (aim - each) / each))
 
+def divide_limit(limit: int, demand: Mapping[str, float], floor: int = 1) -> dict[str, int]:
+    """Divides a limit into whole numbers in proportion to the demand.
 
-def divided(limit: int, demand: Mapping[str, float], floor: int = 1) -> dict[str, int]:
-    """Parts of a limit by demand: whole numbers, ``floor`` at least (a newcomer can start), largest
-    remainders first, ties by name.  They add up to the limit, or to the floors where these are more."""
+    Each name gets at least ``floor``, so that a newcomer can start.  Largest remainders come first, ties are
+    resolved by name.  The parts add up to the limit, or to the sum of the floors if that is more.
+    """
     if not demand:
         return {}
     names = sorted(demand)
-    want = {name: max(0.0, demand[name]) if math.isfinite(demand[name]) else 0.0 for name in names}
-    rest = max(0, limit - floor * len(names))
-    total = sum(want.values())
-    exact = {name: rest * (want[name] / total if total > 0 else 1.0 / len(names)) for name in names}
+    wanted = {name: max(0.0, demand[name]) if math.isfinite(demand[name]) else 0.0 for name in names}
+    divisible = max(0, limit - floor * len(names))
+    total = sum(wanted.values())
+    exact = {name: divisible * (wanted[name] / total if total > 0 else 1.0 / len(names)) for name in names}
     parts = {name: floor + int(exact[name]) for name in names}
-    left = floor * len(names) + rest - sum(parts.values())
-    for name in sorted(names, key=lambda n: (int(exact[n]) - exact[n], n))[:left]:
+    remainder = floor * len(names) + divisible - sum(parts.values())
+    for name in sorted(names, key=lambda n: (int(exact[n]) - exact[n], n))[:remainder]:
         parts[name] += 1
     return parts
--- a/larklb/gateway/main.py
+++ b/larklb/gateway/main.py
@@ -24,7 +24,7 @@
 from larklb.admission.choice import ServerState
 from larklb.admission.quota_records import Allowance, OvershootBound
 from larklb.admission.quotas import Quotas
-from larklb.balancing.choice import CapacityAwareChoice
+from larklb.balancing.choice import CapacityAwareSelector
 from larklb.balancing.estimates import Estimates
 from larklb.balancing.load import InFlight
 from larklb.consensus.errors import ConsensusError
@@ -116,7 +116,7 @@
             rng=self.random,
         )
         self.plane.core = core
-        self.choice = CapacityAwareChoice(
+        self.choice = CapacityAwareSelector(
             settings.zone,
             settings.zones,
             self.random.randrange(1 << 30),
--- a/larklb/gateway/near_exchange.py
+++ b/larklb/gateway/near_exchange.py
@@ -6,7 +6,7 @@
 
 from collections.abc import Callable, Sequence
 
-from larklb.balancing.choice import CapacityAwareChoice
+from larklb.balancing.choice import CapacityAwareSelector
 from larklb.balancing.errors import UnreadableError
 from larklb.gateway.messages import CapacityReport, InFlightMessage, Message
 
@@ -18,7 +18,7 @@
 class NearExchange:
     """Of one limiter; ``post`` sends a message to an address."""
 
-    def __init__(self, choice: CapacityAwareChoice, post: Callable[[str, Message], object]) -> None:
+    def __init__(self, choice: CapacityAwareSelector, post: Callable[[str, Message], object]) -> None:
         self.choice, self.post = choice, post
         self.addresses: Sequence[str] = ()
         self.estimates_at = -1e18
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -9,7 +9,7 @@
 
 from larklb.admission.choice import ServerSelector
 from larklb.admission.tries import AttemptOutcome
-from larklb.balancing.choice import CapacityAwareChoice
+from larklb.balancing.choice import CapacityAwareSelector
 from larklb.lab.emulator import Emulator, Make, play
 from larklb.lab.emulator_deployment import Deployment, Trouble, flags, shop
 from larklb.lab.emulator_rivals import RIVALS
@@ -29,7 +29,7 @@
     return evolve(d, services=services, load=1.3, routes=tuple(evolve(r, tries=1) for r in d.routes))
 
 
-@pytest.mark.parametrize("kind", [*RIVALS.values(), CapacityAwareChoice])
+@pytest.mark.parametrize("kind", [*RIVALS.values(), CapacityAwareSelector])
 def test_a_day_is_the_same_again_and_every_request_ends_once(kind: type[ServerSelector]) -> None:
     d = flags(**SHORT)
     d = evolve(d, troubles=(Trouble("dark", 4_000.0, 3_000.0, "live", 0.2),
@@ -65,7 +65,7 @@
 
 def test_the_choice_gains_and_the_weakest_serves() -> None:
     d = flags(load=0.7, length=25_000.0, settling=5_000.0)
-    able, before = (play(d, maker(kind), 4) for kind in (CapacityAwareChoice, ServerSelector))
+    able, before = (play(d, maker(kind), 4) for kind in (CapacityAwareSelector, ServerSelector))
     assert able.in_aim() > before.in_aim() + 0.008
     assert all(able.weakest(s) > 0.2 for s in able.taken)
 
@@ -74,10 +74,10 @@
 def test_a_false_or_absent_load_costs_little(tells: str) -> None:
     d = flags(**SHORT)
     lied = evolve(d, services=tuple(evolve(s, tells=tells) for s in d.services))
-    assert play(lied, maker(CapacityAwareChoice), 2).in_aim() > 0.95
+    assert play(lied, maker(CapacityAwareSelector), 2).in_aim() > 0.95
 
 
 def test_a_release_with_cold_newcomers_draws_no_herd() -> None:
     d = flags(length=30_000.0)
     d = evolve(d, troubles=(Trouble("release", 10_000.0, 15_000.0, "live"),))
-    assert play(d, maker(CapacityAwareChoice), 1).in_aim("lookup") > 0.93
+    assert play(d, maker(CapacityAwareSelector), 1).in_aim("lookup") > 0.93
--- a/tests/test_request_cancellation.py
+++ b/tests/test_request_cancellation.py
@@ -17,7 +17,7 @@
 from larklb.admission.cancellation import Action, Cause, Phase, action_for
 from larklb.admission.choice import ServerSelector, ServerState
 from larklb.admission.quota_records import Verdict
-from larklb.balancing.choice import CapacityAwareChoice
+from larklb.balancing.choice import CapacityAwareSelector
 from larklb.gateway import servers as servers_module
 from larklb.net.http import Link, dial
 from larklb.schema.configuration import Tenant
@@ -294,7 +294,7 @@
 def test_a_server_whose_clients_leave_first_is_not_held_to_be_quick(kind: str, slow: float) -> None:
     """Without its answers only the waits tell that it is slow, or silent."""
     choice = (ServerSelector("z", {"z": "r"}, 1) if kind == "plain"
-              else CapacityAwareChoice("z", {"z": "r"}, 1))
+              else CapacityAwareSelector("z", {"z": "r"}, 1))
     chosen = plays(choice, {"s1": 100.0, "s2": 110.0, "s3": 120.0, "slow": slow}, 300.0)
     assert chosen.count("slow") < 0.12 * len(chosen)
 
@@ -302,7 +302,7 @@
 @pytest.mark.parametrize("kind", ["plain", "able"])
 def test_clients_that_leave_soon_blame_no_server(kind: str) -> None:
     choice = (ServerSelector("z", {"z": "r"}, 1) if kind == "plain"
-              else CapacityAwareChoice("z", {"z": "r"}, 1))
+              else CapacityAwareSelector("z", {"z": "r"}, 1))
     chosen = plays(choice, {"s1": 100.0, "s2": 100.0}, 40.0)
     assert 60 < chosen.count("s1") < 140
     assert all(not place.consecutive_failures for place in choice.servers.values())
