--- a/benchmarks/callers.py
+++ b/benchmarks/callers.py
@@ -89,7 +89,7 @@
             key, b, j = xxh3_64_intdigest(b"%d" % caller, seed=again), -1, 0
             while j < len(buckets):
                 b = j
-                key = (key * 2862933555777941757 + 1) & ring.MASK
+                key = (key * 2862933555777941757 + 1) & ring.POSITION_MASK
                 j = int((b + 1) * ((1 << 31) / ((key >> 33) + 1)))
             yield buckets[b]
     return order
--- a/larklb/assignment/__init__.py
+++ b/larklb/assignment/__init__.py
@@ -1,1 +1,1 @@
-"""Assignment of callers to servers, by consistent hashing with bounded loads; never does I/O."""
+"""Assignment of callers to servers by consistent hashing with bounded loads; does no I/O."""
--- a/larklb/assignment/assignment.py
+++ b/larklb/assignment/assignment.py
@@ -1,7 +1,8 @@
-"""Which servers a caller has, and which of them takes its next request.
+"""Which servers a caller is assigned to, and which of them takes its next request.
 
-A caller's order of servers comes from their ids and weights alone.  What changes with the moment is how far
-down its order a request goes: past servers whose load is over the bound.  No I/O; time is an argument in ms.
+A caller's order of servers depends on their ids and weights alone.  The current loads only decide how far
+down that order a request goes: past the servers whose load exceeds their bound.  No I/O; times are arguments
+in ms.
 """
 
 from __future__ import annotations
@@ -16,169 +17,203 @@
 from larklb.assignment.errors import WeightError
 from larklb.assignment.ring import Ring
 
-NODES = 16  # virtual nodes for each unit of weight (a slot): 4 slots give a server 64 of them
-NODES_MOST = 8_192  # of one server, whatever its weight
-LOOKS = 2  # servers whose load is looked at for the mean with each choice, all in turn
-WALK_MOST = 64  # servers that a choice looks at before it takes the least loaded of them
-PAIR = 2  # of a wide set, servers that are compared for one request
-AHEAD = 8  # servers of a caller's order that are kept until the servers change
-KEPT_MOST = 524_288  # ids kept so, of all callers: 57,000 of them take some 15 MB
-BACK_MS = 10_000.0  # a server that is back within so long of leaving flaps ...
-HOLD_MS = 5_000.0  # ... and gets callers again after so long, twice as long after each more ...
-HOLD_MOST_MS = 60_000.0  # ... up to this; one that has stayed in for so long doesn't flap any more
-HELD_PART = 0.25  # of all weight that may be held back: many at once are a mended network
-FLAPS_MOST = 4_096  # servers that left and are remembered
-WARM_MS = 8_000.0  # a server that has just started is slow for about so long
-WARM_STEPS = 8  # in which its weight rises: the first at once, or nobody would warm it
+# Virtual nodes per unit of weight; a unit is a slot, so that a server with 4 slots has 64 nodes.
+NODES_PER_WEIGHT = 16
+# Virtual nodes of one server, whatever its weight.
+MAX_NODES = 8_192
+# Servers whose load is read for the mean load with each choice, all servers in turn.
+LOAD_SAMPLES = 2
+# Servers that a choice looks at before it takes the least loaded of them.
+MAX_WALK = 64
+# Servers of a caller's subset that are compared for one request.
+SUBSET_SAMPLES = 2
+# Servers of a caller's order that are cached until the servers change.
+CACHED_SERVERS = 8
+# Server ids in that cache, of all callers; the orders of 57,000 callers take about 15 MB.
+MAX_CACHED_IDS = 524_288
+# A server that returns within this time of leaving is flapping.
+FLAP_WINDOW_MS = 10_000.0
+# Time for which a flapping server gets no callers; it doubles with each further flap, up to the maximum.  A
+# server that has stayed for the maximum no longer counts as flapping.
+HOLD_DOWN_MS = 5_000.0
+MAX_HOLD_DOWN_MS = 60_000.0
+# Part of all weight that may be held down: many servers that return at once mean a repaired network.
+MAX_HELD_SHARE = 0.25
+# Servers that left and are recorded.
+MAX_FLAPS = 4_096
+# A server is slow for about this time after its start.
+WARM_UP_MS = 8_000.0
+# Steps in which its weight rises; the first one is immediate, since only requests warm a server up.
+WARM_UP_STEPS = 8
 
 
 def caller_key(tenant: str, route: str, extra: str = "") -> int:
-    """64 bits for a caller, the same in every process.  `extra`: what an operator tells callers apart by."""
+    """Returns a 64-bit key of a caller, the same in every process.
+
+    `extra`: a further value by which the operator distinguishes callers.
+    """
     return xxh3_64_intdigest(f"{len(tenant)}:{tenant}{len(route)}:{route}{extra}".encode())
 
 
-def warmed_weight(weight: float, now: float, cold_until: float, warm_ms: float = WARM_MS) -> float:
-    """The weight of a server that is slow until `cold_until`: it rises in WARM_STEPS equal steps.
+def warmed_weight(weight: float, now: float, cold_until: float, warm_up_ms: float = WARM_UP_MS) -> float:
+    """Returns the current weight of a server that is slow until `cold_until`: it rises in equal steps.
 
-    From the server's own word, not from when it was first seen here: a limiter that restarts gets the same.
+    `cold_until` comes from the server itself, not from when this limiter saw it first, so that a limiter that
+    restarts calculates the same weight.
     """
-    left = min(1.0, max(0.0, (cold_until - now) / warm_ms))
-    return weight * max(1.0, math.ceil((1.0 - left) * WARM_STEPS)) / WARM_STEPS
+    remaining = min(1.0, max(0.0, (cold_until - now) / warm_up_ms))
+    return weight * max(1.0, math.ceil((1.0 - remaining) * WARM_UP_STEPS)) / WARM_UP_STEPS
 
 
 @define
 class _Flap:
-    """A server that has left, once or more."""
+    """The flapping of a server that has left at least once."""
 
-    left: float
-    times: int = 0  # it came back too soon
-    until: float = -math.inf  # held back
+    left_at: float
+    count: int = 0  # returns within FLAP_WINDOW_MS
+    held_until: float = -math.inf
 
 
 @define
 class Assignment:
-    """The servers of one service and the callers' orders of them.
+    """The servers of one service, and each caller's order of them.
 
-    `spread`: load of a server against its fair part (of all load, by weight) from which it takes no more.
-    `floor`: load for each unit of weight up to which a server is never full; with slots as weights, 0.5 keeps
-    a caller at its server while half of the slots are free.  `nodes`: virtual nodes for each unit of weight.
+    `balance_factor`: load of a server, relative to its fair share (of all load, by weight), from which it
+    takes no more.  `min_bound_per_weight`: load per unit of weight up to which a server is never full; with
+    slots as weights, 0.5 keeps a caller at its server while half of the slots are free.  `nodes_per_weight`:
+    virtual nodes per unit of weight.  `next_release_at`: when the next server that is held down is released,
+    in ms.
     """
 
     balance_factor: float = field(default=1.25, kw_only=True)
     min_bound_per_weight: float = field(default=0.0, kw_only=True)
-    nodes_per_weight: int = field(default=NODES, kw_only=True)
-    next_release_at: float = field(default=math.inf, init=False)  # when one held back would be let in
-    _told: dict[str, float] = field(factory=dict, init=False)
-    _told_zones: dict[str, str] = field(factory=dict, init=False)
-    _weights: dict[str, float] = field(factory=dict, init=False)  # of those that get callers
-    _zones: dict[str, str] = field(factory=dict, init=False)  # of those that have one
+    nodes_per_weight: int = field(default=NODES_PER_WEIGHT, kw_only=True)
+    next_release_at: float = field(default=math.inf, init=False)
+    # Arguments of the last `set_servers`.
+    _servers: dict[str, float] = field(factory=dict, init=False)
+    _server_zones: dict[str, str] = field(factory=dict, init=False)
+    # Weights of the servers that get callers, and zones of those among them that have one.
+    _weights: dict[str, float] = field(factory=dict, init=False)
+    _zones: dict[str, str] = field(factory=dict, init=False)
     _ring: Ring = field(factory=Ring, init=False)
-    _near: dict[str, Ring] = field(factory=dict, init=False)  # by zone
+    _zone_rings: dict[str, Ring] = field(factory=dict, init=False)
     _flaps: dict[str, _Flap] = field(factory=dict, init=False)
-    _orders: dict[str, dict[int, list[str]]] = field(factory=dict, init=False)  # first ones, by zone, caller
-    _kept: int = field(default=0, init=False)  # ids in those
-    _turn: int = field(default=0, init=False)
-    _ids: list[str] = field(factory=list, init=False)  # whose load is looked at in turn
-    _at: int = field(default=0, init=False)
-    _loads: dict[str, float] = field(factory=dict, init=False)  # as looked at, -1: it takes none
-    _load: float = field(default=0.0, init=False)  # their sum
-    _weight: float = field(default=0.0, init=False)  # of those that take requests
-    _looked: bool = field(default=False, init=False)
+    # The first servers of callers' orders, by zone and caller, and the number of ids in them.
+    _order_cache: dict[str, dict[int, list[str]]] = field(factory=dict, init=False)
+    _cached_ids: int = field(default=0, init=False)
+    _subset_turn: int = field(default=0, init=False)
+    # Servers whose load is read in turn, and the index of the next one.
+    _sampled_ids: list[str] = field(factory=list, init=False)
+    _next_sample: int = field(default=0, init=False)
+    # Loads as last read, -1 for a server that takes no requests, and their sum.
+    _loads: dict[str, float] = field(factory=dict, init=False)
+    _total_load: float = field(default=0.0, init=False)
+    _available_weight: float = field(default=0.0, init=False)  # of the servers that take requests
+    _sampled: bool = field(default=False, init=False)  # whether all loads have been read once
 
     # Servers ----------------------------------------------------------------------------------
 
     def set_servers(
         self, now: float, servers: Mapping[str, float], zones: Mapping[str, str] | None = None
     ) -> list[str]:
-        """All servers there are, with their weights (ability x slots); 0 for one that drains.
+        """Sets all servers with their weights (capacity x slots); 0 for one that drains.
 
-        Returns the ids that get callers from now on, or no longer, sorted.  A server that left and is back
-        within BACK_MS is held back for a while; `next_at` says when to call again for it.  WeightError: a
-        weight that is no finite number of 0 or more; then nothing has changed.
+        Returns the sorted ids of the servers that get callers from now on or no longer.  A server that
+        returns within FLAP_WINDOW_MS of leaving is held down for a while; call again at `next_release_at` to
+        release it.  Raises WeightError, and changes nothing, if a weight is negative or not finite.
         """
-        near = zones or {}
-        if now < self.next_release_at and servers == self._told and near == self._told_zones:
+        new_zones = zones or {}
+        if now < self.next_release_at and servers == self._servers and new_zones == self._server_zones:
             return []
         for server, weight in servers.items():
             if not 0.0 <= weight < math.inf:
-                raise WeightError(f"{server}: {weight}: a finite weight of 0 or more")
-        wanted = self._let_in(now, {s: w for s, w in servers.items() if w > 0.0})
+                raise WeightError(f"weight {weight} of server {server} is not a finite number of 0 or more")
+        wanted = self._hold_down_flapping(now, {s: w for s, w in servers.items() if w > 0.0})
         changed = sorted(wanted.keys() ^ self._weights.keys())
         for server in [s for s in self._weights if s not in wanted]:
-            self._put(server, 0.0, "")
+            self._set_server(server, 0.0, "")
         for server, weight in wanted.items():
-            if self._weights.get(server) != weight or self._zones.get(server, "") != near.get(server, ""):
-                self._put(server, weight, near.get(server, ""))
-        self._told, self._told_zones = dict(servers), dict(near)
+            if self._weights.get(server) != weight or self._zones.get(server, "") != new_zones.get(
+                server, ""
+            ):
+                self._set_server(server, weight, new_zones.get(server, ""))
+        self._servers, self._server_zones = dict(servers), dict(new_zones)
         return changed
 
-    def _let_in(self, now: float, wanted: dict[str, float]) -> dict[str, float]:
-        """Those that get callers: all but the ones that flap."""
-        for server in [s for s, f in self._flaps.items() if now - max(f.left, f.until) > HOLD_MOST_MS]:
+    def _hold_down_flapping(self, now: float, wanted: dict[str, float]) -> dict[str, float]:
+        """Returns the servers of `wanted` that get callers: all but those that are held down for flapping."""
+        for server in [
+            s for s, f in self._flaps.items() if now - max(f.left_at, f.held_until) > MAX_HOLD_DOWN_MS
+        ]:
             del self._flaps[server]
-        if self._told:
-            for server, weight in self._told.items():
+        if self._servers:
+            for server, weight in self._servers.items():
                 if weight > 0.0 and server not in wanted:
                     old = self._flaps.pop(server, None)
-                    self._flaps[server] = _Flap(now, old.times if old else 0)
-            while len(self._flaps) > FLAPS_MOST:
+                    self._flaps[server] = _Flap(now, old.count if old else 0)
+            while len(self._flaps) > MAX_FLAPS:
                 del self._flaps[next(iter(self._flaps))]
             for server in wanted.keys() & self._flaps.keys():
-                if not self._told.get(server):
+                if not self._servers.get(server):
                     flap = self._flaps[server]
-                    if now - flap.left <= BACK_MS:
-                        flap.times += 1
-                        flap.until = now + min(HOLD_MOST_MS, HOLD_MS * 2.0 ** (flap.times - 1))
-        held = {s for s, f in self._flaps.items() if s in wanted and now < f.until}
-        if sum(wanted[s] for s in held) > HELD_PART * sum(wanted.values()):
+                    if now - flap.left_at <= FLAP_WINDOW_MS:
+                        flap.count += 1
+                        flap.held_until = now + min(MAX_HOLD_DOWN_MS, HOLD_DOWN_MS * 2.0 ** (flap.count - 1))
+        held = {s for s, f in self._flaps.items() if s in wanted and now < f.held_until}
+        if sum(wanted[s] for s in held) > MAX_HELD_SHARE * sum(wanted.values()):
             for server in held:
-                self._flaps[server].until = now
+                self._flaps[server].held_until = now
             held = set()
-        self.next_release_at = min((self._flaps[s].until for s in held), default=math.inf)
+        self.next_release_at = min((self._flaps[s].held_until for s in held), default=math.inf)
         return {s: w for s, w in wanted.items() if s not in held}
 
-    def _put(self, server: str, weight: float, zone: str) -> None:
-        """A server's new weight and zone; what it keeps stays where it is."""
-        nodes = min(NODES_MOST, max(1, round(weight * self.nodes_per_weight))) if weight > 0.0 else 0
-        self._orders.clear()
-        self._kept = 0
+    def _set_server(self, server: str, weight: float, zone: str) -> None:
+        """Sets a server's weight and zone; the nodes that it retains keep their positions."""
+        nodes = min(MAX_NODES, max(1, round(weight * self.nodes_per_weight))) if weight > 0.0 else 0
+        self._order_cache.clear()
+        self._cached_ids = 0
         self._ring.set_nodes(server, nodes)
-        old = self._zones.pop(server, "")
-        if old and old != zone:
-            self._near[old].set_nodes(server, 0)
-            if not self._near[old]:
-                del self._near[old]
+        old_zone = self._zones.pop(server, "")
+        if old_zone and old_zone != zone:
+            self._zone_rings[old_zone].set_nodes(server, 0)
+            if not self._zone_rings[old_zone]:
+                del self._zone_rings[old_zone]
         if zone and nodes:
             self._zones[server] = zone
-            self._near.setdefault(zone, Ring()).set_nodes(server, nodes)
-        self._weight += (weight if self._loads.get(server, 0.0) >= 0.0 else 0.0) - self._taking(server)
+            self._zone_rings.setdefault(zone, Ring()).set_nodes(server, nodes)
+        self._available_weight += (
+            weight if self._loads.get(server, 0.0) >= 0.0 else 0.0
+        ) - self._available_weight_of(server)
         if not nodes:
             del self._weights[server]
-            self._load -= max(0.0, self._loads.pop(server))
-            self._ids.remove(server)
+            self._total_load -= max(0.0, self._loads.pop(server))
+            self._sampled_ids.remove(server)
             return
         if server not in self._weights:
-            self._ids.append(server)
+            self._sampled_ids.append(server)
             self._loads[server] = 0.0
         self._weights[server] = weight
 
-    def _taking(self, server: str) -> float:
+    def _available_weight_of(self, server: str) -> float:
         return self._weights.get(server, 0.0) if self._loads.get(server, 0.0) >= 0.0 else 0.0
 
     # Orders -----------------------------------------------------------------------------------
 
     def _walk(self, caller: int, zone: str) -> Iterator[str]:
-        near = self._near.get(zone)
-        if near is None:
+        zone_ring = self._zone_rings.get(zone)
+        if zone_ring is None:
             yield from self._ring.walk(caller)
             return
-        yield from near.walk(caller)
+        yield from zone_ring.walk(caller)
         for server in self._ring.walk(caller):
             if self._zones.get(server) != zone:
                 yield server
 
     def rank(self, caller: int, limit: int, zone: str = "") -> list[str]:
-        """The caller's servers in its order, `most` of them, those of `zone` first; alike everywhere."""
+        """Returns the first `limit` servers of the caller's order, those of `zone` first.
+
+        All limiters with the same servers return the same.
+        """
         found: list[str] = []
         if limit > 0:
             for server in self._walk(caller, zone):
@@ -187,65 +222,69 @@
                     break
         return found
 
-    def _order(self, caller: int, limit: int, zone: str) -> list[str]:
-        """As `rank`, kept until the servers change."""
-        orders = self._orders.setdefault(zone, {})
+    def _rank_and_cache(self, caller: int, limit: int, zone: str) -> list[str]:
+        """Returns the same as `rank`, and caches it until the servers change."""
+        orders = self._order_cache.setdefault(zone, {})
         found = self.rank(caller, limit, zone)
-        self._kept += len(found) - len(orders.pop(caller, ()))
-        if self._kept > KEPT_MOST:
-            self._orders.clear()
-            self._kept = len(found)
-            orders = self._orders.setdefault(zone, {})
+        self._cached_ids += len(found) - len(orders.pop(caller, ()))
+        if self._cached_ids > MAX_CACHED_IDS:
+            self._order_cache.clear()
+            self._cached_ids = len(found)
+            orders = self._order_cache.setdefault(zone, {})
         orders[caller] = found
         return found
 
-    def _rest(self, caller: int, zone: str, known: int) -> Iterator[str]:
-        yield from itertools.islice(self._walk(caller, zone), known, None)
+    def _rest_of_order(self, caller: int, zone: str, skipped: int) -> Iterator[str]:
+        yield from itertools.islice(self._walk(caller, zone), skipped, None)
 
     # Choice -----------------------------------------------------------------------------------
 
-    def _look(self, server: str, load: Callable[[str], float]) -> float:
-        """A server's load now; the sums follow."""
+    def _read_load(self, server: str, load: Callable[[str], float]) -> float:
+        """Returns a server's current load, and updates the sums by it."""
         new, old = load(server), self._loads[server]
         if new != old:
             if new == math.inf:
                 if old >= 0.0:
-                    self._load -= old
-                    self._weight -= self._weights[server]
+                    self._total_load -= old
+                    self._available_weight -= self._weights[server]
                     self._loads[server] = -1.0
                 return new
             if old < 0.0:
-                self._weight += self._weights[server]
+                self._available_weight += self._weights[server]
                 old = 0.0
-            self._load += new - old
+            self._total_load += new - old
             self._loads[server] = new
         return new
 
     def load_per_weight(self, load: Callable[[str], float]) -> float:
-        """Load for each unit of weight with one request more, from loads looked at in turn, LOOKS each time.
+        """Returns the mean load per unit of weight, with one request more.
 
-        It lags behind by as many choices as there are servers, over LOOKS, at the most.
+        Each call reads the loads of LOAD_SAMPLES servers in turn, so that the result lags by at most as many
+        calls as there are servers, divided by LOAD_SAMPLES.
         """
-        ids = self._ids
-        if not self._looked:
-            self._looked = True
+        ids = self._sampled_ids
+        if not self._sampled:
+            self._sampled = True
             for server in ids:
-                self._look(server, load)
-        for _ in range(LOOKS):
-            if self._at >= len(ids):  # sums of many small steps drift
-                self._at = 0
-                self._load = sum(part for part in self._loads.values() if part > 0.0)
-                self._weight = sum(w for s, w in self._weights.items() if self._loads[s] >= 0.0)
-            self._look(ids[self._at], load)
-            self._at += 1
-        return (self._load + 1.0) / self._weight if self._weight > 0.0 else 0.0
+                self._read_load(server, load)
+        for _ in range(LOAD_SAMPLES):
+            if self._next_sample >= len(ids):  # sum up anew: sums of many small steps drift
+                self._next_sample = 0
+                self._total_load = sum(part for part in self._loads.values() if part > 0.0)
+                self._available_weight = sum(w for s, w in self._weights.items() if self._loads[s] >= 0.0)
+            self._read_load(ids[self._next_sample], load)
+            self._next_sample += 1
+        return (self._total_load + 1.0) / self._available_weight if self._available_weight > 0.0 else 0.0
 
     def load_bound(self, server: str, load_per_weight: float) -> float:
-        """The load from which a server takes no more: with one request more it would be over `spread` times
-        its fair part, and it has that part already.  One of the servers is always under its bound."""
+        """Returns the load from which a server takes no more requests.
+
+        At that load it has its fair share, and one request more would exceed `balance_factor` times that
+        share.  At least one server is always below its bound.
+        """
         weight = self._weights[server]
-        fair = load_per_weight * weight
-        return max(self.balance_factor * fair - 1.0, fair, self.min_bound_per_weight * weight)
+        fair_share = load_per_weight * weight
+        return max(self.balance_factor * fair_share - 1.0, fair_share, self.min_bound_per_weight * weight)
 
     def choose(
         self,
@@ -257,59 +296,68 @@
         zone: str = "",
         load_per_weight: float | None = None,
     ) -> str | None:
-        """The server for one more request of a caller: the first in its order whose load is under its bound.
-
-        `load`: what a server has in hand, infinite where it can take nothing.  `extra`: servers that won't do
-        for this request.  `width`: how many servers the caller is spread over; of these the less loaded goes
-        first.  `zone`: servers there go first.  `level`: load for each unit of weight, one request more
-        included, where it is known exactly.  Where all looked at are full, the bound gives way as far as it
-        must: the first in the order within `spread` of the least loaded.  None: nobody can take it.
+        """Returns the server for one more request: the first in the caller's order below its load bound.
+
+        `load`: returns the requests in flight at a server, infinite if it can take none.  `excluded`: servers
+        that can't take this request.  `subset_size`: how many servers the caller is spread over; the less
+        loaded of these is preferred.  `zone`: servers of this zone come first.  `load_per_weight`: mean load
+        per unit of weight, with one request more, if it is known exactly.  If all servers looked at are full,
+        the bound is raised as far as necessary: the first in the order within `balance_factor` of the least
+        loaded is chosen.  None if no server can take the request.
         """
         weights = self._weights
         if not weights:
             return None
         if load_per_weight is None:
             load_per_weight = self.load_per_weight(load)
-        kept = self._orders.get(zone)
-        order = None if kept is None else kept.get(caller)
+        orders = self._order_cache.get(zone)
+        order = None if orders is None else orders.get(caller)
         if order is None or len(order) < subset_size and len(order) < len(weights):
-            order = self._order(caller, max(subset_size, AHEAD), zone)
+            order = self._rank_and_cache(caller, max(subset_size, CACHED_SERVERS), zone)
         if subset_size > 1:
-            found = self._among(order[:subset_size], load, excluded, load_per_weight)
+            found = self._choose_from_subset(order[:subset_size], load, excluded, load_per_weight)
             if found is not None:
                 return found
         balance_factor, min_bound_per_weight, least = self.balance_factor, self.min_bound_per_weight, math.inf
-        looked: list[tuple[str, float]] = []
-        for server in itertools.chain(order, self._rest(caller, zone, len(order))):
+        full: list[tuple[str, float]] = []
+        for server in itertools.chain(order, self._rest_of_order(caller, zone, len(order))):
             if server in excluded:
                 continue
-            weight, now = weights[server], load(server)
-            fair = load_per_weight * weight  # as `bound`, which costs a call here
-            if now < fair or now < balance_factor * fair - 1.0 or now < min_bound_per_weight * weight:
+            weight, current = weights[server], load(server)
+            fair_share = load_per_weight * weight
+            # The same as `load_bound`, inlined because the call is slow here.
+            if (
+                current < fair_share
+                or current < balance_factor * fair_share - 1.0
+                or current < min_bound_per_weight * weight
+            ):
                 return server
-            if now < math.inf:
-                part = now / weight
-                looked.append((server, part))
-                least = min(least, part)
-                if len(looked) >= WALK_MOST:
+            if current < math.inf:
+                relative_load = current / weight
+                full.append((server, relative_load))
+                least = min(least, relative_load)
+                if len(full) >= MAX_WALK:
                     break
-        return next((server for server, part in looked if part <= least * balance_factor), None)
+        return next((server for server, part in full if part <= least * balance_factor), None)
 
-    def _among(
+    def _choose_from_subset(
         self,
         servers: list[str],
         load: Callable[[str], float],
         excluded: Collection[str],
         load_per_weight: float,
     ) -> str | None:
-        """Of PAIR servers of a set, in turn, the less loaded one under its bound."""
-        self._turn += 1
+        """Compares SUBSET_SAMPLES servers of a subset, in turn, and returns the less loaded one.
+
+        Servers at their load bound are left out; None if no other is among those compared.
+        """
+        self._subset_turn += 1
         best, least = None, math.inf
-        for i in range(min(PAIR, len(servers))):
-            server = servers[(self._turn + i) % len(servers)]
+        for i in range(min(SUBSET_SAMPLES, len(servers))):
+            server = servers[(self._subset_turn + i) % len(servers)]
             if server in excluded:
                 continue
-            now = load(server)
-            if now < self.load_bound(server, load_per_weight) and now / self._weights[server] < least:
-                best, least = server, now / self._weights[server]
+            current = load(server)
+            if current < self.load_bound(server, load_per_weight) and current / self._weights[server] < least:
+                best, least = server, current / self._weights[server]
         return best
--- a/larklb/assignment/callers.py
+++ b/larklb/assignment/callers.py
@@ -1,4 +1,4 @@
-"""How many servers a caller needs, by its rate.  No I/O; time is an argument in ms."""
+"""How many servers a caller needs, by its request rate.  No I/O; times are arguments in ms."""
 
 from __future__ import annotations
 
@@ -6,64 +6,73 @@
 
 from attrs import define, field
 
-FADE_MS = 5_000.0  # a caller's work fades with this time constant: its rate is that of some seconds
-PART = 0.5  # of a server's slots that one caller may fill before it gets one more server
-GROW_MS = 1_000.0  # between two more servers, over how many are wanting: a surge is met in seconds
-SHRINK_MS = 2_000.0  # between two fewer servers
-SLACK = 0.5  # of a server's part by which the need must lie below before the set shrinks
-CALLERS_MOST = 65_536  # callers that are known at once; those seen longest ago are forgotten
+# Time constant with which a caller's work decays: its rate is that of the last seconds.
+WORK_DECAY_MS = 5_000.0
+# Part of a server's slots that one caller may fill before it gets another server.
+MAX_SLOT_SHARE = 0.5
+# Time between two additions of a server, divided by how many are missing, so that a surge is met in seconds.
+GROW_MS = 1_000.0
+# Time between two removals of a server.
+SHRINK_MS = 2_000.0
+# The subset shrinks only if the need is this part of a server's share below the smaller size.
+SHRINK_MARGIN = 0.5
+# Callers that are recorded at once; those with the oldest requests are discarded first.
+MAX_CALLERS = 65_536
 
 
 @define
-class _Flow:
+class _CallerRate:
     """What one caller sends."""
 
-    work: float = 0.0  # ms of slots, faded, as of ...
-    at: float = -math.inf
+    work: float = 0.0  # ms of slot time, decayed, as of ``updated_at``
+    updated_at: float = -math.inf
     subset_size: int = 1
-    changed: float = -math.inf
+    resized_at: float = -math.inf
 
 
 @define
 class CallerRates:
-    """The rates of all callers as one limiter sees them.
+    """The request rates of all callers as one limiter sees them.
 
-    `slots`: of a server in the mean.  `limiters`: among how many a caller's requests are divided; what is
-    seen here counts for all of them.  `most`: servers there are.
+    ``mean_slots``: slots of a server on average.  ``limiter_count``: limiters that a caller's requests are
+    divided among; the rate seen here is multiplied by it.  ``max_servers``: number of servers.
     """
 
     mean_slots: float = 4.0
     limiter_count: int = 1
     max_servers: int = 1 << 30
-    _of: dict[int, _Flow] = field(factory=dict, init=False)
+    _rates: dict[int, _CallerRate] = field(factory=dict, init=False)
 
     def record_request(self, now: float, caller: int, work_ms: float) -> None:
-        """A request of the caller that holds a slot for `work_ms`."""
-        flow = self._of.pop(caller, None)
-        if flow is None:
-            flow = _Flow()
-            if len(self._of) >= CALLERS_MOST:
-                del self._of[next(iter(self._of))]
-        self._of[caller] = flow  # the last is the one seen last
-        flow.work = flow.work * math.exp(min(0.0, flow.at - now) / FADE_MS) + work_ms
-        flow.at = max(flow.at, now)
+        """Records a request of the caller that occupies a slot for ``work_ms``."""
+        rate = self._rates.pop(caller, None)
+        if rate is None:
+            rate = _CallerRate()
+            if len(self._rates) >= MAX_CALLERS:
+                del self._rates[next(iter(self._rates))]
+        self._rates[caller] = rate  # moves the caller to the end: the dict is in the order of last requests
+        rate.work = rate.work * math.exp(min(0.0, rate.updated_at - now) / WORK_DECAY_MS) + work_ms
+        rate.updated_at = max(rate.updated_at, now)
 
     def needed_servers(self, now: float, caller: int) -> float:
-        """Servers that the caller's rate asks for, with fractions."""
-        flow = self._of.get(caller)
-        if flow is None:
+        """Returns how many servers the caller's rate needs, as a fraction; 0 for an unknown caller."""
+        rate = self._rates.get(caller)
+        if rate is None:
             return 0.0
-        busy = flow.work * math.exp(min(0.0, flow.at - now) / FADE_MS) / FADE_MS
-        return busy * self.limiter_count / (max(1.0, self.mean_slots) * PART)
+        busy_slots = rate.work * math.exp(min(0.0, rate.updated_at - now) / WORK_DECAY_MS) / WORK_DECAY_MS
+        return busy_slots * self.limiter_count / (max(1.0, self.mean_slots) * MAX_SLOT_SHARE)
 
     def subset_size(self, now: float, caller: int) -> int:
-        """How many servers the caller has; one more or one fewer than at the last call at the most."""
-        flow = self._of.get(caller)
-        if flow is None:
+        """Returns how many servers the caller is spread over; it changes by at most one per call."""
+        rate = self._rates.get(caller)
+        if rate is None:
             return 1
-        needed, since = min(float(self.max_servers), self.needed_servers(now, caller)), now - flow.changed
-        if needed > flow.subset_size and since >= GROW_MS / max(1.0, needed - flow.subset_size):
-            flow.subset_size, flow.changed = flow.subset_size + 1, now
-        elif flow.subset_size > 1 and needed < flow.subset_size - 1 - SLACK and since >= SHRINK_MS:
-            flow.subset_size, flow.changed = flow.subset_size - 1, now
-        return flow.subset_size
+        needed, elapsed = (
+            min(float(self.max_servers), self.needed_servers(now, caller)),
+            now - rate.resized_at,
+        )
+        if needed > rate.subset_size and elapsed >= GROW_MS / max(1.0, needed - rate.subset_size):
+            rate.subset_size, rate.resized_at = rate.subset_size + 1, now
+        elif rate.subset_size > 1 and needed < rate.subset_size - 1 - SHRINK_MARGIN and elapsed >= SHRINK_MS:
+            rate.subset_size, rate.resized_at = rate.subset_size - 1, now
+        return rate.subset_size
--- a/larklb/assignment/errors.py
+++ b/larklb/assignment/errors.py
@@ -1,9 +1,9 @@
-"""What may go wrong in assigning callers."""
+"""Exceptions of the assignment package."""
 
 
 class AssignmentError(Exception):
-    """Base of this package's errors."""
+    """Base class of all exceptions of this package."""
 
 
 class WeightError(AssignmentError, ValueError):
-    """A weight that is no finite number of 0 or more."""
+    """A weight is negative, infinite or not a number."""
--- a/larklb/assignment/ring.py
+++ b/larklb/assignment/ring.py
@@ -1,9 +1,9 @@
-"""A ring of virtual nodes that callers are looked up on with several probes: the nearest node takes one.
+"""A consistent hash ring of virtual nodes, on which callers are looked up by several probes.
 
-Each server's nodes lie where its id says, whatever other servers there are and whatever was before: two
-processes with the same servers have the same ring, and a node that comes takes callers from others without
-moving any between those.  With one probe the arcs between nodes differ widely; the nearest of several probes
-evens that out (the variance of a server's part is 1 / (nodes x (2 x probes - 1))).
+The position of a server's nodes depends on its id alone, not on the other servers or on the history: two
+processes with the same servers have the same ring, and a new node takes over callers without moving any
+between other nodes.  With one probe the arcs between nodes differ widely in length; taking the node closest
+to any of several probes evens that out (the variance of a server's share is 1 / (nodes x (2 x probes - 1))).
 """
 
 from __future__ import annotations
@@ -15,46 +15,51 @@
 from attrs import define, field
 from xxhash import xxh3_64_intdigest
 
-BITS = 64  # of a place on the ring
-MASK = (1 << BITS) - 1
-PROBES = 2  # of a caller: a third one costs a fifth more time
-PROBE_STEP = 0x9E3779B97F4A7C15  # odd, so that a caller's next probe is a one-to-one map of the last
+POSITION_BITS = 64
+POSITION_MASK = (1 << POSITION_BITS) - 1
+# Probes per caller; a third one makes a lookup a fifth slower.
+PROBES = 2
+# Multiplier (odd) and increment that map a caller's probe one-to-one to its next one.
+PROBE_STEP = 0x9E3779B97F4A7C15
 PROBE_SHIFT = 0xD1B54A32D192ED03
-SHELF = 32  # nodes on a shelf in the mean: what an insertion moves is a few of these
+# Mean number of nodes in a bucket of the index; an insertion moves up to a few times as many.
+NODES_PER_BUCKET = 32
 
-Cursor = tuple[int, int, int, int]  # distance from the probe, the probe's place, shelf, node there
+Cursor = tuple[
+    int, int, int, int
+]  # distance from the probe, position of the probe, bucket, index of the node
 
 
 def node_position(server: str, number: int) -> int:
-    """Where a server's virtual node lies.
+    """Returns the position of one of a server's virtual nodes.
 
-    The number is in what is hashed: as a seed, XXH3 merges it with a short id by XOR, so that "i-1" and "i-9"
-    share places.
+    The number is part of the hashed text.  As a seed, XXH3 would combine it with a short id by XOR, and "i-1"
+    and "i-9" would share positions.
     """
     return xxh3_64_intdigest(f"{number}#{server}".encode())
 
 
 def probe_positions(caller: int) -> Iterator[int]:
-    """The places from which a caller looks for nodes."""
+    """Yields the positions from which a caller looks for the nearest node."""
     for _ in range(PROBES):
         yield caller
-        caller = (caller * PROBE_STEP + PROBE_SHIFT) & MASK
+        caller = (caller * PROBE_STEP + PROBE_SHIFT) & POSITION_MASK
 
 
 @define
 class Ring:
-    """Virtual nodes of servers, by place.
+    """Virtual nodes of servers, sorted by position.
 
-    Shelves are the index only: how many there are changes no answer.
+    The nodes are indexed by buckets of equal width; their number doesn't affect any result.
     """
 
-    _shift: int = BITS
-    _places: list[array[int]] = field(factory=lambda: [array("Q")])
-    _owners: list[array[int]] = field(factory=lambda: [array("I")])
+    _shift: int = POSITION_BITS  # from a position to its bucket
+    _positions: list[array[int]] = field(factory=lambda: [array("Q")])  # of the nodes, by bucket
+    _owners: list[array[int]] = field(factory=lambda: [array("I")])  # numbers of their servers, by bucket
     _ids: list[str] = field(factory=list)  # by number
     _numbers: dict[str, int] = field(factory=dict)
-    _free: list[int] = field(factory=list)  # numbers whose servers have left
-    _nodes: dict[str, int] = field(factory=dict)  # how many each server has
+    _free_numbers: list[int] = field(factory=list)  # of servers that were removed
+    _nodes: dict[str, int] = field(factory=dict)  # number of nodes by server
     _size: int = 0
 
     def __len__(self) -> int:
@@ -62,83 +67,93 @@
 
     @property
     def nodes(self) -> Mapping[str, int]:
-        """How many virtual nodes each server has."""
+        """The number of virtual nodes of each server."""
         return self._nodes
 
     def set_nodes(self, server: str, nodes: int) -> None:
-        """Gives a server so many virtual nodes, 0 to take it off.  Those it keeps stay where they are."""
-        had = self._nodes.get(server, 0)
-        if had == nodes:
+        """Sets a server's number of virtual nodes; 0 removes it.  Nodes that remain keep their positions."""
+        old_nodes = self._nodes.get(server, 0)
+        if old_nodes == nodes:
             return
-        if not had:
+        if not old_nodes:
             self._nodes[server] = 0
-            if self._free:
-                self._numbers[server] = self._free.pop()
+            if self._free_numbers:
+                self._numbers[server] = self._free_numbers.pop()
                 self._ids[self._numbers[server]] = server
             else:
                 self._numbers[server] = len(self._ids)
                 self._ids.append(server)
-        for number in range(had, nodes):
+        for number in range(old_nodes, nodes):
             self._insert(server, node_position(server, number))
-        for number in range(nodes, had):
+        for number in range(nodes, old_nodes):
             self._remove(server, node_position(server, number))
         self._nodes[server] = nodes
-        self._size += nodes - had
+        self._size += nodes - old_nodes
         if not nodes:
             del self._nodes[server]
-            self._free.append(self._numbers.pop(server))
-        shelves = len(self._places)
-        if self._size > 2 * SHELF * shelves or shelves > 1 and self._size * 4 < SHELF * shelves:
-            self._reshelve()
-
-    def _insert(self, server: str, place: int) -> None:
-        places, owners = self._places[place >> self._shift], self._owners[place >> self._shift]
-        i = bisect_left(places, place)
-        while i < len(places) and places[i] == place and self._ids[owners[i]] < server:
-            i += 1  # nodes at one place: the order of ids, as in every process
-        places.insert(i, place)
+            self._free_numbers.append(self._numbers.pop(server))
+        buckets = len(self._positions)
+        if (
+            self._size > 2 * NODES_PER_BUCKET * buckets
+            or buckets > 1
+            and self._size * 4 < NODES_PER_BUCKET * buckets
+        ):
+            self._resize_buckets()
+
+    def _insert(self, server: str, position: int) -> None:
+        positions, owners = (
+            self._positions[position >> self._shift],
+            self._owners[position >> self._shift],
+        )
+        i = bisect_left(positions, position)
+        while i < len(positions) and positions[i] == position and self._ids[owners[i]] < server:
+            i += 1  # nodes at the same position are in the order of ids, so that all processes agree
+        positions.insert(i, position)
         owners.insert(i, self._numbers[server])
 
-    def _remove(self, server: str, place: int) -> None:
-        places, owners = self._places[place >> self._shift], self._owners[place >> self._shift]
-        i, number = bisect_left(places, place), self._numbers[server]
+    def _remove(self, server: str, position: int) -> None:
+        positions, owners = (
+            self._positions[position >> self._shift],
+            self._owners[position >> self._shift],
+        )
+        i, number = bisect_left(positions, position), self._numbers[server]
         while owners[i] != number:
             i += 1
-        del places[i], owners[i]
+        del positions[i], owners[i]
 
-    def _reshelve(self) -> None:
-        bits = max(0, (self._size // SHELF).bit_length() - 1)
-        places, owners = self._places, self._owners
-        self._shift = BITS - bits
-        self._places = [array("Q") for _ in range(1 << bits)]
+    def _resize_buckets(self) -> None:
+        bits = max(0, (self._size // NODES_PER_BUCKET).bit_length() - 1)
+        old_positions, old_owners = self._positions, self._owners
+        self._shift = POSITION_BITS - bits
+        self._positions = [array("Q") for _ in range(1 << bits)]
         self._owners = [array("I") for _ in range(1 << bits)]
-        for shelf, numbers in zip(places, owners, strict=True):
-            for place, number in zip(shelf, numbers, strict=True):
-                self._places[place >> self._shift].append(place)
-                self._owners[place >> self._shift].append(number)
+        for positions, owners in zip(old_positions, old_owners, strict=True):
+            for position, owner in zip(positions, owners, strict=True):
+                self._positions[position >> self._shift].append(position)
+                self._owners[position >> self._shift].append(owner)
 
-    def _onward(self, probe: int, at: int, i: int) -> Cursor:
-        """The node there, or the next one where the shelf ends."""
-        while i >= len(self._places[at]):
-            at, i = (at + 1) % len(self._places), 0
-        return (self._places[at][i] - probe) & MASK, probe, at, i
+    def _cursor_at(self, probe: int, bucket: int, i: int) -> Cursor:
+        """Returns a cursor to the node at ``i``, or to the first one of the next bucket that isn't empty."""
+        while i >= len(self._positions[bucket]):
+            bucket, i = (bucket + 1) % len(self._positions), 0
+        return (self._positions[bucket][i] - probe) & POSITION_MASK, probe, bucket, i
 
     def walk(self, caller: int) -> Iterator[str]:
-        """All servers, each once, by the distance of their nearest nodes from the caller's probes."""
+        """Yields all servers once, by the distance of their nearest node from any of the caller's probes."""
         if not self._size:
             return
         cursors = [
-            self._onward(p, p >> self._shift, bisect_left(self._places[p >> self._shift], p))
+            self._cursor_at(p, p >> self._shift, bisect_left(self._positions[p >> self._shift], p))
             for p in probe_positions(caller)
         ]
-        seen: set[int] = set()
+        yielded: set[int] = set()
         for _ in range(PROBES * self._size):
             nearest = min(cursors)
-            _, probe, at, i = nearest
-            number = self._owners[at][i]
-            if number not in seen:
-                seen.add(number)
+            _, probe, bucket, i = nearest
+            number = self._owners[bucket][i]
+            if number not in yielded:
+                yielded.add(number)
                 yield self._ids[number]
-                if len(seen) == len(self._nodes):
+                if len(yielded) == len(self._nodes):
                     return
-            cursors[cursors.index(nearest)] = self._onward(probe, at, i + 1)
+            cursors[cursors.index(nearest)] = self._cursor_at(probe, bucket, i + 1)
