--- a/larklb/balancing/choice.py
+++ b/larklb/balancing/choice.py
@@ -19,8 +19,8 @@
 
 # The estimate of a server is computed again after this time.
 ESTIMATE_MAX_AGE_MS = 250.0
-# A server that is new, warm or back for less than this is expected to have as much load as the others have,
-# because all limiters see it idle at the same moment.
+# A server that was added, warmed up or recovered less than this ago is expected to have the same load as the
+# others, because all limiters see it idle at the same moment.
 NEW_SERVER_MS = 4_000.0
 # Time constant of the mean number of requests in flight that is reported to the other limiters.
 IN_FLIGHT_MEAN_MS = 3_000.0
@@ -98,7 +98,7 @@
     shared_mean: float | None = None  # requests of the others by their reports, None without recent reports
     mean_load: float = 0.0  # requests of the limiters whose requests in flight aren't known just now
     overdue_observers: int = 0  # other limiters with an overdue request at the server
-    # When the server was last new, warm or back; -inf for those that are there at the start.
+    # When the server was last added, warmed up or recovered; -inf for those present at the start.
     ready_since: float = -math.inf
     estimated_at: float = -math.inf
     in_flight_at: float = -math.inf
