--- a/larklb/admission/__init__.py
+++ b/larklb/admission/__init__.py
@@ -1,6 +1,6 @@
-"""Admission and balancing: a tenant's quota over all limiters, the budget of further tries, the choice of
-server.
+"""Admission of requests: tenant quotas across all limiters, retry budgets and the selection of a server.
 
-Events in, decisions and words to send out, time as an argument in milliseconds; nothing here reads a clock,
-a socket or a file.
+The modules of this package are deterministic state machines without input or output.  Events and the current
+time (in milliseconds) are passed in as arguments; decisions and messages to send are returned.  No module
+reads a clock, a socket or a file.
 """
--- a/larklb/admission/cancellation.py
+++ b/larklb/admission/cancellation.py
@@ -1,7 +1,8 @@
-"""What ends a client's request before its answer, and what that does to its work: one table for all causes.
+"""Rules for ending a request early: which causes there are, and what each does to work in progress.
 
-No input or output. ``RequestWork`` in the gateway carries out what stands here. Routes are safe or unsafe; an
-answer is held until its last byte, so a long one is treated as its route says.
+This module does no input or output; ``RequestWork`` in the gateway carries out its decisions.  A route is
+safe or unsafe.  Answers are buffered until their last byte has arrived, so a large answer is treated like any
+other answer of its route.
 """
 
 from __future__ import annotations
@@ -10,38 +11,51 @@
 
 
 class Cause(Enum):
-    """What ends the work on a request."""
+    """The reason for which work on a request ends early."""
 
-    CLIENT_GONE = "client_gone"  # its client has closed or reset the connection
-    DEADLINE = "deadline"  # the time that its client gave is used up
-    ROUTE_TIMEOUT = "route_timeout"  # the time that its route allows is used up
-    OTHER_ANSWERED = "other_answered"  # of two attempts the other one has brought the answer
-    SHUTDOWN = "shutdown"  # the grace of an orderly stop is used up
+    # The client has closed or reset its connection.
+    CLIENT_GONE = "client_gone"
+    # The deadline set by the client has passed.
+    DEADLINE = "deadline"
+    # The timeout of the route has passed.
+    ROUTE_TIMEOUT = "route_timeout"
+    # Another attempt of the same request has returned the answer.
+    OTHER_ANSWERED = "other_answered"
+    # The grace period of a graceful shutdown is over.
+    SHUTDOWN = "shutdown"
 
 
 class Phase(Enum):
-    """How far a request, or one attempt of it, has come."""
+    """The progress of a request, or of one of its attempts."""
 
-    QUOTA = "quota"  # its tenant's quota is asked
-    CHOOSING = "choosing"  # before an attempt, or between two
-    DIALLING = "dialling"  # an attempt has no connection yet: nothing has been sent
-    WAITING = "waiting"  # an attempt was sent, at least in part, and is not answered
+    # Waiting for the decision on the tenant's quota.
+    QUOTA = "quota"
+    # Before the first attempt, or between two attempts.
+    CHOOSING = "choosing"
+    # An attempt is opening its connection: nothing has been sent.
+    DIALLING = "dialling"
+    # An attempt has been sent, at least in part, and has not been answered.
+    WAITING = "waiting"
 
 
 class Action(Enum):
-    """What becomes of the work. In each case no further attempt follows."""
+    """What happens to the work.  In each case no further attempt is made."""
 
-    STOP = "stop"  # nothing is out, and nothing will be sent
-    ABORT = "break_off"  # the connection to the server is closed: it may drop the work
-    FINISH = "finish"  # the attempt goes on to its end
+    # Nothing has been sent, and nothing will be.
+    STOP = "stop"
+    # Close the connection to the server, which may then drop the work.
+    ABORT = "break_off"
+    # Let the attempt run to its end.
+    FINISH = "finish"
 
 
 TIMEOUT_CAUSES = frozenset({Cause.DEADLINE, Cause.ROUTE_TIMEOUT})
 
-# An unsafe request that was sent goes on without its client: it may run only once, and broken off it could be
-# neither counted on nor sent again. Its server stops by itself at the time left that it was told.
-_SENT: dict[Cause, tuple[Action, Action]] = {
-    #                      safe              unsafe
+# An unsafe request that has been sent continues without its client.  It must run at most once, and after an
+# abort it would be unknown whether it has run, so that it could be neither relied on nor sent again.  The
+# server stops by itself when the remaining time that was sent along with the request is used up.
+_ACTIONS_AFTER_SEND: dict[Cause, tuple[Action, Action]] = {
+    #                      safe          unsafe
     Cause.CLIENT_GONE: (Action.ABORT, Action.FINISH),
     Cause.DEADLINE: (Action.ABORT, Action.ABORT),
     Cause.ROUTE_TIMEOUT: (Action.ABORT, Action.ABORT),
@@ -51,7 +65,7 @@
 
 
 def action_for(cause: Cause, phase: Phase, *, safe: bool) -> Action:
-    """What ``cause`` does to a request, or to one attempt of it, in ``phase``."""
+    """Return what ``cause`` does to a request, or to one attempt of it, in ``phase``."""
     if phase is not Phase.WAITING:
         return Action.STOP
-    return _SENT[cause][0 if safe else 1]
+    return _ACTIONS_AFTER_SEND[cause][0 if safe else 1]
--- a/larklb/admission/errors.py
+++ b/larklb/admission/errors.py
@@ -1,11 +1,11 @@
-"""What can go wrong in this package; errors from below leave it as one of these."""
+"""Exceptions of the admission package.  Errors of lower layers are raised again as one of these."""
 
 from __future__ import annotations
 
 
 class AdmissionError(Exception):
-    """The base of all errors of the package."""
+    """Base class of all exceptions of the package."""
 
 
 class InvalidMessageError(AdmissionError):
-    """A word of another limiter that makes no sense."""
+    """A quota message of another limiter is malformed or has a value out of range."""
--- a/larklb/admission/tries.py
+++ b/larklb/admission/tries.py
@@ -1,7 +1,7 @@
-"""What follows when an attempt at a server has ended: the answer, another attempt, or which refusal.
+"""What follows an attempt at a server: forwarding the answer, a retry, or an error response.
 
-The table is the rule: an unsafe request goes out again only after it certainly has not run, and 503 is
-answered only where it certainly has not.
+Two rules govern the table: an unsafe request is sent again only if it certainly has not run, and 503 is
+answered only if the request certainly has not run.
 """
 
 from __future__ import annotations
@@ -14,26 +14,39 @@
 class AttemptOutcome(Enum):
     """How an attempt ended."""
 
-    ANSWER = "answer"  # a whole answer of the server, to be passed on
-    ERROR = "error"  # the same, a server's error: it has run
-    NOT_RUN = "not run"  # the server says that it has not run it
-    UNSENT = "unsent"  # no byte of it was written
-    BROKEN = "broken"  # written, and no whole answer came: it may have run
-    TIMED_OUT = "silent"  # the same, for want of time
-    ABANDONED = "abandoned"  # the same: it was broken off here, as nobody waits for it
+    # A complete answer arrived, to be forwarded.
+    ANSWER = "answer"
+    # A complete answer that reports a server error: the request has run.
+    ERROR = "error"
+    # The server states that it has not run the request.
+    NOT_RUN = "not run"
+    # No byte of the request was written.
+    UNSENT = "unsent"
+    # The request was written but no complete answer came: it may have run.
+    BROKEN = "broken"
+    # As BROKEN, because time ran out.
+    TIMED_OUT = "silent"
+    # As BROKEN, because this limiter aborted the attempt when nobody waited for it any more.
+    ABANDONED = "abandoned"
 
 
 class NextStep(Enum):
-    """What follows."""
-
-    FORWARD = "pass"  # the server's answer goes on
-    RETRY = "again"  # another server, where tries, time and budget allow it; else ...
-    REFUSE = "refuse"  # 503: it has not run
-    FAIL = "fail"  # 502: it may have run
-    TIME_OUT = "late"  # 504: it may have run, and there is no time
-
-
-#                 safe                        unsafe
+    """What the limiter does after an attempt."""
+
+    # Forward the server's answer.
+    FORWARD = "pass"
+    # Send the request to another server if attempts, time and budget allow it; otherwise the alternative
+    # applies.
+    RETRY = "again"
+    # Answer 503: the request has not run.
+    REFUSE = "refuse"
+    # Answer 502: the request may have run.
+    FAIL = "fail"
+    # Answer 504: the request may have run, and there is no time left.
+    TIME_OUT = "late"
+
+
+# For safe and for unsafe requests: the next step, and the alternative if a retry is not possible.
 NEXT_STEPS: dict[AttemptOutcome, tuple[tuple[NextStep, NextStep], tuple[NextStep, NextStep]]] = {
     AttemptOutcome.ANSWER: ((NextStep.FORWARD, NextStep.FORWARD), (NextStep.FORWARD, NextStep.FORWARD)),
     AttemptOutcome.ERROR: ((NextStep.RETRY, NextStep.FORWARD), (NextStep.FORWARD, NextStep.FORWARD)),
@@ -44,36 +57,41 @@
     AttemptOutcome.ABANDONED: ((NextStep.FAIL, NextStep.FAIL), (NextStep.FAIL, NextStep.FAIL)),
 }
 
-MAX_UNSENT_ATTEMPTS = 4  # attempts of one request that reach no server at all
+# Attempts of one request that may end before any byte is written.
+MAX_UNSENT_ATTEMPTS = 4
 
 
 @define
 class AttemptHistory:
-    """One request's attempts so far."""
+    """The attempts of one request so far.
+
+    ``max_attempts`` bounds the attempts that are sent to a server; ``sent`` and ``unsent`` count the attempts
+    that were and were not sent.
+    """
 
     safe: bool
-    max_attempts: int  # servers that it may be sent to
+    max_attempts: int
     sent: int = 0
     unsent: int = 0
     may_have_run: bool = False
 
-    def record_outcome(self, end: AttemptOutcome) -> tuple[NextStep, NextStep]:
-        """What follows an attempt's end, and what where that can't be."""
-        if end is AttemptOutcome.UNSENT:
+    def record_outcome(self, outcome: AttemptOutcome) -> tuple[NextStep, NextStep]:
+        """Record the end of an attempt; return the next step and the alternative if that is not possible."""
+        if outcome is AttemptOutcome.UNSENT:
             self.unsent += 1
         else:
             self.sent += 1
-            if end is not AttemptOutcome.NOT_RUN:
+            if outcome is not AttemptOutcome.NOT_RUN:
                 self.may_have_run = True
-        first, otherwise = NEXT_STEPS[end][0 if self.safe else 1]
-        if first is NextStep.RETRY and (self.sent >= self.max_attempts or self.unsent >= MAX_UNSENT_ATTEMPTS):
-            first = otherwise
-        return self.without_false_refusal(first), self.without_false_refusal(otherwise)
+        step, alternative = NEXT_STEPS[outcome][0 if self.safe else 1]
+        if step is NextStep.RETRY and (self.sent >= self.max_attempts or self.unsent >= MAX_UNSENT_ATTEMPTS):
+            step = alternative
+        return self.without_false_refusal(step), self.without_false_refusal(alternative)
 
     def without_false_refusal(self, step: NextStep) -> NextStep:
-        """A refusal promises that nothing has run, so what may have run fails instead."""
+        """Return ``step``, or FAIL instead of REFUSE if the request may have run: 503 promises it has not."""
         return NextStep.FAIL if step is NextStep.REFUSE and self.may_have_run else step
 
     def needs_budget(self) -> bool:
-        """Whether the next attempt is one of those that the budget pays for."""
+        """Return whether the next attempt is a retry, which the retry budget must cover."""
         return self.sent > 0
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -383,7 +383,7 @@
     assert steady(60, 60).over(10_000.0) <= 0
 
     def whole_life(self: RetryBudget, now: float, counts: Any) -> bool:
-        return bool(1 + sum(counts.repeats) <= 0.85 * 0.2 * sum(counts.firsts))
+        return bool(1 + sum(counts.retries) <= 0.85 * 0.2 * sum(counts.requests))
 
     monkeypatch.setattr(RetryBudget, "_within_budget", whole_life)
     assert steady(60, 60).over(10_000.0) > 0
