--- a/larklb/gateway/main.py
+++ b/larklb/gateway/main.py
@@ -314,7 +314,7 @@
                 s.address,
                 s.zone,
                 s.slots,
-                cold_until=now + s.cold_ms if s.cold_ms else -1e18,
+                cold_until=now + s.warmup_left_ms if s.warmup_left_ms else -1e18,
                 draining=s.state != registry.STEADY,
                 silent=s.silent,
             )
--- a/larklb/registry/__init__.py
+++ b/larklb/registry/__init__.py
@@ -1,5 +1,5 @@
-"""Registry of servers, homes and subscriptions (registry: where the water leaves the works).
+"""Service registry: server instances under leases, and the tables from which limiters learn of them.
 
-It owns lives of servers under leases and the tables by which limiters learn of them; it must never touch a
-socket, a clock or a disk, and never chooses a server for a request.
+Core machines hold a replica of the registry and every limiter subscribes to one of them, its home.  The
+package uses no socket, clock or disk, and it doesn't choose a server for a request.
 """
--- a/larklb/registry/messages.py
+++ b/larklb/registry/messages.py
@@ -1,7 +1,8 @@
-"""The messages by which limiters and core machines tell each other of limiters and servers.
+"""Messages between limiters and core machines about members and servers.
 
-Decoding checks their shapes; rows are read where they are taken. ``life`` is always the incarnation of the
-core machine's process that a message belongs to: what was meant for the process before counts for nothing.
+Decoding checks the types of the fields; the rows inside are parsed by the receiver.  Unless stated otherwise,
+``incarnation`` is that of the core machine's process that a message concerns; messages for an earlier
+incarnation are ignored.
 """
 
 from __future__ import annotations
@@ -10,25 +11,27 @@
 
 from larklb.membership.messages import Message, Row, Rows
 
-TableId = tuple[str, int]  # a core machine's node name and life, of whose table a revision is meant
-ConfigVersion = tuple[int, str]  # the newest configuration: version and digest
+# Identifies a table: the node name and the incarnation of the core machine that holds it.
+TableId = tuple[str, int]
+# The version number and the digest of the newest configuration.
+ConfigVersion = tuple[int, str]
 
 
 class Hello(Message, frozen=True, kw_only=True, tag="hello"):
-    """A limiter looks for core machines; ``member``: its own row."""
+    """Sent by a limiter that looks for core machines; ``member`` is its own row."""
 
     member: Row = msgspec.field(name="m")
 
 
 class Cores(Message, frozen=True, kw_only=True, tag="cores"):
-    """The core machines that a limiter knows, in answer to ``Hello``."""
+    """The answer to ``Hello``: the core machines that the sender knows."""
 
     cores: Rows = msgspec.field(name="c")
 
 
 class MemberHeartbeat(Message, frozen=True, kw_only=True, tag="beat"):
-    """A subscriber's heartbeat to its home: its own row, and the revision that it ``have`` of the table
-    ``of`` this home."""
+    """A subscriber's heartbeat to its home: its own row, and the revision ``have`` up to which it has the
+    table ``of``."""
 
     member: Row = msgspec.field(name="m")
     of: TableId
@@ -36,17 +39,19 @@
 
 
 class DeltaAck(Message, frozen=True, kw_only=True, tag="has"):
-    """A subscriber has taken all changes up to a revision."""
+    """A subscriber has applied all changes of the table ``of`` up to the revision ``have``."""
 
     of: TableId
     have: int
 
 
 class Delta(Message, frozen=True, kw_only=True, tag="delta"):
-    """Changes of a home's table after revision ``start``, up to ``to``; ``head`` is its newest revision.
+    """Changes of a home's table after ``start_revision`` up to the revision ``to``; ``head`` is the newest
+    revision of the table.
 
-    ``rows``: kind ('m' member, 's' server), key, and the row, None where it was removed; ``you``: the
-    receiver's ring number, the grant of it, and the life of the receiver that this home knows."""
+    Each entry of ``rows`` has a kind ('m' for a member, 's' for a server), a key, and the row, which is None
+    if the entry was removed.  ``you`` has the receiver's ring number, the grant under which it was assigned,
+    and the receiver's incarnation as the home knows it."""
 
     incarnation: int = msgspec.field(name="l")
     start_revision: int = msgspec.field(name="from")
@@ -58,12 +63,15 @@
 
 
 class NotReady(Message, frozen=True, kw_only=True, tag="not_ready"):
-    """A home has just started, or is cut off from the majority: another one knows more."""
+    """The home can't serve its table: it has just started, or it has lost contact with a majority of the
+    core.  The subscriber should use another one."""
 
 
 class RowsUpdate(Message, frozen=True, kw_only=True, tag="rows"):
-    """Rows that a core machine has just heard. With ``ask``, the number of a pending acknowledgement, the
-    receiver answers ``RowsAck`` once it has them."""
+    """Rows that a core machine has just received.
+
+    ``ask`` is the number of a pending acknowledgement; if it is set, the receiver answers with ``RowsAck``
+    once it has the rows in memory."""
 
     members: Rows = msgspec.field(name="m")
     servers: Rows = msgspec.field(name="v")
@@ -72,7 +80,7 @@
 
 
 class RowsAck(Message, frozen=True, kw_only=True, tag="known"):
-    """The core machine with ``disk`` has the rows that were sent with ``ask``."""
+    """The core machine with ``disk`` has in memory the rows of the ``RowsUpdate`` with the same ``ask``."""
 
     ask: int
     incarnation: int = msgspec.field(name="l")
@@ -80,9 +88,11 @@
 
 
 class Sync(Message, frozen=True, kw_only=True, tag="sync"):
-    """A core machine's regular message to the others: its own row, whether its table may be told, when it
-    was sent (ms of the sender's clock), whom it has heard since the one before (lives of limiters, sequences
-    of servers), and a digest of each range of its table."""
+    """The periodic message of a core machine to the others.
+
+    It has the sender's own row (``me``), whether its table may be served (``ready``), the time of sending in
+    ms on the sender's clock, the incarnations of the limiters and the sequence numbers of the servers that
+    it has heard from since the last ``Sync``, and a digest of each range of its table."""
 
     me: Row
     ready: bool
@@ -93,7 +103,8 @@
 
 
 class SyncAck(Message, frozen=True, kw_only=True, tag="synced"):
-    """The core machine with ``disk`` echoes when a ``Sync`` of the receiver's was sent."""
+    """The answer to ``Sync`` from the core machine with ``disk``: echoes the incarnation of its sender and
+    the time at which it was sent."""
 
     disk: str = msgspec.field(name="d")
     incarnation: int = msgspec.field(name="l")
@@ -101,9 +112,11 @@
 
 
 class RangeRows(Message, frozen=True, kw_only=True, tag="range"):
-    """All rows of some ranges, whose digests differed: those of the receiver were of its life ``compared``;
-    ``life``: the sender's; ``ready``: its table may be told; ``again``: the receiver is to send its own
-    back."""
+    """All rows of the ranges whose digests differed.
+
+    ``incarnation`` is the sender's, ``compared`` that of the receiver whose digests were compared.
+    ``ready``: the sender's table may be served.  ``again``: the receiver should answer with its own rows of
+    these ranges."""
 
     ranges: list[int] = msgspec.field(name="r")
     members: Rows = msgspec.field(name="m")
@@ -114,8 +127,8 @@
     again: bool
 
 
-CoreMessage = (
-    MemberHeartbeat | DeltaAck | RowsUpdate | RowsAck | Sync | SyncAck | RangeRows
-)  # at a core machine
-SubscriberMessage = Hello | Cores | Delta | NotReady  # at any limiter
+# Messages that only core machines handle.
+CoreMessage = MemberHeartbeat | DeltaAck | RowsUpdate | RowsAck | Sync | SyncAck | RangeRows
+# Messages that every limiter handles.
+SubscriberMessage = Hello | Cores | Delta | NotReady
 RegistryMessage = CoreMessage | SubscriberMessage
--- a/larklb/registry/registry.py
+++ b/larklb/registry/registry.py
@@ -1,5 +1,8 @@
-"""Lives of servers as a core machine knows them: merged by id, state and sequence, so that order does no
-harm."""
+"""Server instances that a core machine knows, each under a lease.
+
+Records of the same instance are merged by state and sequence number, so that the order in which they arrive
+doesn't matter.  All times are in milliseconds.
+"""
 
 from __future__ import annotations
 
@@ -8,8 +11,10 @@
 
 from attrs import define, evolve, field
 
-LEASE_PERIODS = 3.5  # beats missed in a row until a server is taken for silent
-FORGET_MS = 30_000.0  # a server that has left, or is silent, is forgotten after so long
+# Heartbeat periods without a heartbeat until the lease of a server has run out.
+LEASE_PERIODS = 3.5
+# Without news for this long, a server's record is deleted, whether it has left or is silent.
+FORGET_MS = 30_000.0
 MAX_SERVERS = 100_000
 
 STEADY, DRAINING, GONE = "s", "d", "g"
@@ -18,8 +23,10 @@
 
 @define(frozen=True)
 class Server:
-    """One life of a server.  ``cold``: it was still slow from its start when it last told; ``silent``: its
-    lease has run out, which is each core machine's own view and never merged."""
+    """One instance of a server.
+
+    ``warmup_left_ms`` is what was left of its warm-up at its last heartbeat, 0 if it is warm.  ``silent``
+    means that its lease has run out; each core machine decides this by itself, and it is never merged."""
 
     id: str
     target: str
@@ -29,11 +36,11 @@
     version: str = ""
     state: str = STEADY
     sequence: int = 0
-    cold_ms: float = 0.0  # ms
+    warmup_left_ms: float = 0.0
     silent: bool = False
 
     def to_row(self) -> dict[str, Any]:
-        """As it travels."""
+        """Returns the row that stands for this server in messages; it lacks the id."""
         row = {
             "t": self.target,
             "a": self.address,
@@ -43,15 +50,15 @@
             "s": self.state,
             "q": self.sequence,
         }
-        if self.cold_ms:
-            row["w"] = self.cold_ms
+        if self.warmup_left_ms:
+            row["w"] = self.warmup_left_ms
         if self.silent:
             row["x"] = 1
         return row
 
 
 def server_from_row(key: str, row: Mapping[str, Any]) -> Server:
-    """From a row; KeyError, TypeError or ValueError where it is none."""
+    """Parses a row; raises KeyError, TypeError or ValueError if it is malformed."""
     return Server(
         key,
         str(row["t"]),
@@ -67,50 +74,58 @@
 
 
 def merge_servers(one: Server, other: Server) -> Server:
-    """Of two records of a life: the further state, else the higher sequence; whatever the order, the same."""
+    """Returns the newer of two records of an instance: the more advanced state (steady, draining, gone), then
+    the higher sequence number.  The order of the arguments doesn't matter."""
     return max(one, other, key=lambda s: (_RANK.get(s.state, 0), s.sequence))
 
 
 @define
 class ServerRecord:
-    """A server, and when it was last heard of here or by another core machine."""
+    """A server with the state of its lease."""
 
     server: Server
+    # When it was last heard from, by this core machine or by another.
     last_heard: float
+    # When a heartbeat last arrived at this core machine.
     last_direct: float = -1e18
-    stale: bool = False  # not heard of for so long that others are not told any more
+    # Without news for so long that the record is no longer sent to other core machines.
+    stale: bool = False
 
 
 @define
 class Registry:
-    """All servers that a core machine knows; ``period``: ms between a server's beats."""
+    """All servers that a core machine knows; ``period_ms`` is the time between heartbeats of a server."""
 
     period_ms: float
     by_id: dict[str, ServerRecord] = field(factory=dict)
 
-    def update(self, now: float, told: Server, direct: bool, fresh: bool = True) -> bool:
-        """A record came, from the server (``direct``) or from a core machine; whether others must know."""
-        known = self.by_id.get(told.id)
+    def update(self, now: float, received: Server, direct: bool, fresh: bool = True) -> bool:
+        """Merges a record and returns whether others have to be told of a change.
+
+        ``direct``: it comes from the server itself, not from another core machine.  ``fresh``: the server
+        has just been heard from, so that its lease is renewed."""
+        known = self.by_id.get(received.id)
         if known is None:
             if len(self.by_id) >= MAX_SERVERS:
                 return False
-            self.by_id[told.id] = ServerRecord(
-                evolve(told, silent=told.silent and not fresh),
+            self.by_id[received.id] = ServerRecord(
+                evolve(received, silent=received.silent and not fresh),
                 now if fresh else now - self.period_ms,
                 now if direct else -1e18,
             )
             return True
         before = known.server
-        if fresh and told.sequence >= before.sequence:
+        if fresh and received.sequence >= before.sequence:
             known.last_heard, known.stale = now, False
             known.last_direct = now if direct else known.last_direct
-        known.server = evolve(merge_servers(told, before), silent=before.silent and not fresh)
-        return _matters(before) != _matters(known.server)
+        known.server = evolve(merge_servers(received, before), silent=before.silent and not fresh)
+        return _published_fields(before) != _published_fields(known.server)
 
     def mark_gone(self, now: float, name: str) -> bool:
-        """A server has left; whether that is news."""
+        """Notes that a server has left; returns whether this is a change."""
         known = self.by_id.get(name)
-        if known is None and len(self.by_id) < MAX_SERVERS:  # others may know it, and are to be told
+        # An unknown server is recorded as gone too, because other core machines may know it.
+        if known is None and len(self.by_id) < MAX_SERVERS:
             self.by_id[name] = ServerRecord(Server(name, "", "", "", 1, state=GONE), now)
             return True
         if known is None or known.server.state == GONE:
@@ -119,7 +134,8 @@
         return True
 
     def renew(self, now: float, name: str, sequence: int) -> bool:
-        """Another core machine hears it; whether it was taken for silent here."""
+        """Renews a lease because another core machine receives the server's heartbeats; returns whether the
+        server was silent here."""
         known = self.by_id.get(name)
         if known is None:
             return False
@@ -131,29 +147,31 @@
         return True
 
     def expire(self, now: float) -> list[str]:
-        """The servers whose lease has just run out, or that are forgotten."""
-        over = []
+        """Ends leases and deletes old records; returns the ids of the servers whose record has changed."""
+        expired = []
         for name, known in list(self.by_id.items()):
-            quiet = now - known.last_heard
-            if quiet > FORGET_MS:
+            age = now - known.last_heard
+            if age > FORGET_MS:
                 del self.by_id[name]
-                over.append(name)
-            elif quiet > self.period_ms * LEASE_PERIODS and not known.server.silent:
+                expired.append(name)
+            elif age > self.period_ms * LEASE_PERIODS and not known.server.silent:
                 known.server = evolve(known.server, silent=True)
-                over.append(name)
-            elif quiet > FORGET_MS / 2 and not known.stale:
-                known.stale = True  # or those who forget it first would be told of it again by the others
-                over.append(name)
-        return over
+                expired.append(name)
+            elif age > FORGET_MS / 2 and not known.stale:
+                # Otherwise those that delete it first would receive it again from the others.
+                known.stale = True
+                expired.append(name)
+        return expired
 
 
-def _matters(server: Server) -> tuple[object, ...]:
+def _published_fields(server: Server) -> tuple[object, ...]:
+    """The fields whose change has to be sent to other core machines at once."""
     return (
         server.target,
         server.address,
         server.zone,
         server.slots,
         server.state,
-        server.cold_ms > 0,
+        server.warmup_left_ms > 0,
         server.silent,
     )
--- a/larklb/registry/replica.py
+++ b/larklb/registry/replica.py
@@ -1,7 +1,10 @@
-"""A core machine's duty as a home: it keeps limiters and servers under leases, tells its subscribers what has
-changed, and agrees with the other core machines.  Messages in, messages out; time is an argument in ms.
+"""A core machine's replica of the registry.
 
-``out`` collects what is to be sent, as (address, message); the caller empties it after each call.
+It holds limiters and servers under leases, pushes changes to its subscribers (the limiters that use it as
+their home), and synchronizes its rows with the other core machines.
+
+There is no I/O: messages are passed in, messages to be sent are collected in ``outbox`` as (address,
+message), which the caller empties after each call, and the current time in ms is an argument.
 """
 
 from __future__ import annotations
@@ -32,45 +35,56 @@
 )
 from larklb.registry.registry import Registry, Server, server_from_row
 
-QUORUM_TIMEOUT_MS = 1_000.0  # without an echo from a majority for so long, this machine counts as cut off
-SYNC_INTERVAL_FRACTION = 0.4  # of that time passes between two messages to each other core machine
-PUSH_RETRY_MS = 250.0  # what a subscriber has not shown to have is pushed again after so long, ...
-MAX_PUSH_RETRY_MS = 1_000.0  # ... after twice as long each time, up to this: its link may be narrow
-SUBSCRIPTION_TIMEOUT_HEARTBEATS = (
-    3.6  # a subscriber that has not beaten for so many beats has another home, or is down
-)
-RANGE_COUNT = 16  # of ids, each with a digest
-MAX_DELTA_ROWS = 300  # of a delta at the most: a large table goes in pieces
-READY_DELAY_MS = 250.0  # in which a home that starts hears of another one that knows more ...
-READY_DELAY_WITHOUT_PEERS_MS = 1_000.0  # ... and in which it waits for any other
-MAX_SYNC_RENEWALS = 2_000  # renewals in one message at the most; the rest follows in another
-
-ACKNOWLEDGE_TIMEOUT_MS = 800.0  # for a majority to know a change: callers wait a second
-
-Outgoing = list[tuple[str, Message]]  # by the receiver's address
+# Without an answered ``Sync`` from a majority for this long, a core machine is fenced.
+QUORUM_TIMEOUT_MS = 1_000.0
+# Time between two ``Sync`` messages, as a fraction of the quorum timeout.
+SYNC_INTERVAL_FRACTION = 0.4
+# A push that wasn't acknowledged is repeated after this time, which doubles with each repetition up to the
+# maximum, because the subscriber's link may be slow.
+PUSH_RETRY_MS = 250.0
+MAX_PUSH_RETRY_MS = 1_000.0
+# A subscription ends after this many heartbeat intervals without a heartbeat.
+SUBSCRIPTION_TIMEOUT_HEARTBEATS = 3.6
+# Number of ranges of ids; each has a digest.
+RANGE_COUNT = 16
+# A larger delta is split.
+MAX_DELTA_ROWS = 300
+# A replica that starts waits this long for a peer that is ready, before it serves its own table: the first
+# value once it has heard from a peer, the second until then.
+READY_DELAY_MS = 250.0
+READY_DELAY_WITHOUT_PEERS_MS = 1_000.0
+# Renewals beyond this number follow in another ``Sync``.
+MAX_SYNC_RENEWALS = 2_000
+# Time for a majority to acknowledge a change; callers wait for one second.
+ACKNOWLEDGE_TIMEOUT_MS = 800.0
+
+# Messages to be sent, each with the receiver's address.
+Outgoing = list[tuple[str, Message]]
 
 
 def range_index(key: str) -> int:
-    """Which of the ranges an id falls in."""
+    """Returns the number of the range that an id belongs to."""
     return digest(key) * RANGE_COUNT >> 64
 
 
 @define
 class Subscription:
-    """A limiter that has this home, and what it has shown to have."""
+    """A limiter that uses this replica as its home, with the revision that it has acknowledged."""
 
     ip: str
     incarnation: int
     last_heartbeat: float
     revision: int = 0
-    pushed_revision: int = 0  # the revision that it was last told up to, ...
-    pushed_at: float = -math.inf  # ... and when
-    retry_ms: float = PUSH_RETRY_MS  # how long to wait for it to show that it has that
+    # The last revision that was pushed, when, and how long to wait for its acknowledgement.
+    pushed_revision: int = 0
+    pushed_at: float = -math.inf
+    retry_ms: float = PUSH_RETRY_MS
 
 
 @define
 class PendingAcknowledgement:
-    """A change that is to be known by a majority of the core before it is acknowledged."""
+    """A server's change that is acknowledged once a majority of the core has it; ``done`` is called with the
+    result."""
 
     row: Row
     key: str
@@ -81,26 +95,35 @@
 
 @define
 class RegistryReplica:
-    """Of one life of a core machine."""
+    """The replica of one incarnation of a core machine."""
 
     local_member: Member
-    period_ms: float  # ms between a server's beats
+    # Time between heartbeats of a server.
+    period_ms: float
     started_at: float
-    time_scale: float = 1.0  # of the times between core machines and limiters: see ``consensus.timing``
-    bootstrap: bool = True  # the whole system starts for the first time: there is no group of voters yet
+    # Factor of the times between core machines and limiters; see ``consensus.timing``.
+    time_scale: float = 1.0
+    # Whether the whole system starts for the first time, so that there is no group of voters yet.
+    bootstrap: bool = True
     members: Members = field(factory=Members)
     registry: Registry = field(init=False)
     table: Table = field(factory=Table)
     subscribers: dict[str, Subscription] = field(factory=dict)
-    voters: Mapping[str, str] = field(factory=dict)  # disk ids and nodes, of the group
-    ready: bool = False  # its table may be told
-    last_echo: dict[str, float] = field(factory=dict)  # when sent what each core disk has echoed last
+    # The voters of the consensus group: disk ids with node names.
+    voters: Mapping[str, str] = field(factory=dict)
+    # Whether the table is complete enough to be served.
+    ready: bool = False
+    # By disk id: the time of sending of the newest ``Sync`` that was answered.
+    last_echo: dict[str, float] = field(factory=dict)
     outbox: Outgoing = field(factory=list)
     pending: dict[int, PendingAcknowledgement] = field(factory=dict)
     last_request: int = 0
     last_sync_at: float = -math.inf
-    ready_cores: dict[str, float] = field(factory=dict)  # when a core machine last said it is ready
-    peer_seen: bool = False  # another core machine has been heard of
+    # By node: when another core machine last reported that it is ready.
+    ready_cores: dict[str, float] = field(factory=dict)
+    # Whether a ``Sync`` of another core machine has arrived.
+    peer_seen: bool = False
+    # The digest of each range, None if rows have changed since it was computed.
     range_digests: list[str] | None = None
 
     def __attrs_post_init__(self) -> None:
@@ -109,17 +132,17 @@
 
     @property
     def quorum_timeout_ms(self) -> float:
-        """Without an echo from a majority for so long, this machine counts as cut off."""
+        """Without an answer from a majority for this long, this core machine is fenced."""
         return QUORUM_TIMEOUT_MS * self.time_scale
 
     @property
     def core_present_ms(self) -> float:
-        """A core machine that was heard of within this is there."""
+        """A core machine that was heard from within this time is considered present."""
         return membership.CORE_PRESENT_MS * self.time_scale
 
     @property
     def subscription_timeout_ms(self) -> float:
-        """A subscriber that has not beaten for so long has another home, or is down."""
+        """A subscriber without a heartbeat for this long has another home, or is down."""
         return SUBSCRIPTION_TIMEOUT_HEARTBEATS * membership.HEARTBEAT_INTERVAL_MS * self.time_scale
 
     # Tables -------------------------------------------------------------------------------
@@ -134,45 +157,50 @@
         self.range_digests = None
         row = known.server.to_row() if known is not None else None
         if row is not None and (old := self.table.get("s", name)) is not None:
-            row = {**row, "q": old["q"]}  # a beat that changes nothing else is no change
+            # A heartbeat that changes nothing but the sequence number is not a change.
+            row = {**row, "q": old["q"]}
             if row != old:
                 row["q"] = known.server.sequence if known is not None else 0
         self.table.put("s", name, row)
 
     def _other_cores(self, now: float, within: float) -> list[MemberRecord]:
-        """The other core machines that were heard of within so many ms."""
+        """Returns the other core machines that were heard from within the last ``within`` ms."""
         return [
-            heard
-            for node, heard in self.members.core_machines.items()
-            if node != self.local_member.node and now - heard.last_heard <= within
+            record
+            for node, record in self.members.core_machines.items()
+            if node != self.local_member.node and now - record.last_heard <= within
         ]
 
     def present_cores(self, now: float) -> list[MemberRecord]:
-        """The other core machines that were heard of lately."""
+        """Returns the other core machines that are considered present."""
         return self._other_cores(now, self.core_present_ms)
 
     def _broadcast(self, now: float, message: Message) -> None:
         receivers = self._other_cores(now, membership.FORGET_MS / 2)
-        self.outbox.extend((heard.member.ip, message) for heard in receivers)
+        self.outbox.extend((record.member.ip, message) for record in receivers)
 
     # Limiters -----------------------------------------------------------------------------
 
     def update_member(self, now: float, member: Member, direct: bool) -> None:
-        """A limiter's record came in its own message."""
+        """Merges a limiter's own record and sends it to the other core machines if it is a change.
+
+        ``direct``: this core machine has heard from the limiter itself, and its ``Sync`` reports that."""
         if self.members.update(now, member, direct):
             self._publish_member(member.node)
             row = self.members.by_node[member.node].member.to_row()
             self._broadcast(now, RowsUpdate(members=[(member.node, row)], servers=[]))
 
     def add_core(self, now: float, core: Member) -> None:
-        """A core machine was named by somebody: it is spoken to, and shows itself whether it is there."""
+        """Adds a core machine that somebody has named, so that it gets messages; its answers show whether
+        it is present."""
         if core.node not in self.members.by_node and core.node != self.local_member.node:
             self.members.update(now, core, False, False)
             self._publish_member(core.node)
             self.last_sync_at = -math.inf
 
-    def handle_heartbeat(self, now: float, message: MemberHeartbeat, offer: ConfigVersion) -> None:
-        """A limiter's beat, as its home: what has changed goes back, at least that this home lives."""
+    def handle_heartbeat(self, now: float, message: MemberHeartbeat, config: ConfigVersion) -> None:
+        """Handles a subscriber's heartbeat: answers with the changes that it lacks, with an empty delta, or
+        with ``NotReady``."""
         node, ip = message.sender, message.address
         member = member_from_row(node, message.member)
         self.update_member(now, member, True)
@@ -185,22 +213,22 @@
             sub = self.subscribers[node] = Subscription(ip, member.incarnation, now)
         sub.ip, sub.last_heartbeat = ip, now
         have = message.have if message.of == (self.local_member.node, self.local_member.incarnation) else 0
-        if have < sub.revision:  # it begins anew
+        if have < sub.revision:  # the subscriber starts from an earlier revision
             sub.pushed_at = -math.inf
         sub.revision = have
         if have >= self.table.revision or self._push_is_due(now, sub):
-            self._push_delta(now, sub, known.member, offer)
-        else:  # what it lacks is under way
-            self.outbox.append((sub.ip, self._make_delta(known.member, have, have, [], offer)))
+            self._push_delta(now, sub, known.member, config)
+        else:  # the missing changes were pushed a moment ago
+            self.outbox.append((sub.ip, self._make_delta(known.member, have, have, [], config)))
 
     def handle_delta_ack(self, message: DeltaAck) -> None:
-        """A subscriber has taken changes up to a revision."""
+        """Notes the revision up to which a subscriber has applied the changes."""
         sub = self.subscribers.get(message.sender)
         if sub is not None and message.of == (self.local_member.node, self.local_member.incarnation):
             sub.revision = max(sub.revision, message.have)
             sub.retry_ms = PUSH_RETRY_MS
 
-    def _push_delta(self, now: float, sub: Subscription, member: Member, offer: ConfigVersion) -> None:
+    def _push_delta(self, now: float, sub: Subscription, member: Member, config: ConfigVersion) -> None:
         events = self.table.changes_since(sub.revision)
         start = sub.revision
         if events is None:
@@ -208,15 +236,13 @@
         part = events[:MAX_DELTA_ROWS]
         to = part[-1].revision if len(part) < len(events) else self.table.revision
         if part:
-            if (
-                sub.pushed_revision > sub.revision
-            ):  # that was told before, and did not come or is still on its way
+            if sub.pushed_revision > sub.revision:  # a repetition: the last push is lost or not yet answered
                 sub.retry_ms = min(MAX_PUSH_RETRY_MS, 2.0 * sub.retry_ms)
             sub.pushed_revision, sub.pushed_at = to, now
-        self.outbox.append((sub.ip, self._make_delta(member, start, to, part, offer)))
+        self.outbox.append((sub.ip, self._make_delta(member, start, to, part, config)))
 
     def _make_delta(
-        self, member: Member, start: int, to: int, part: list[Event], offer: ConfigVersion
+        self, member: Member, start: int, to: int, part: list[Event], config: ConfigVersion
     ) -> Delta:
         return Delta(
             incarnation=self.local_member.incarnation,
@@ -224,64 +250,71 @@
             to=to,
             head=self.table.revision,
             rows=[(event.kind, event.key, event.row) for event in part],
-            config=offer,
+            config=config,
             you=(member.ring_number, member.grant, member.incarnation),
         )
 
     @staticmethod
     def _push_is_due(now: float, sub: Subscription) -> bool:
-        """Whether all that it was told has been taken, or should have been."""
+        """Whether the last push was acknowledged, or its acknowledgement is overdue."""
         return sub.revision >= sub.pushed_revision or now - sub.pushed_at >= sub.retry_ms
 
     def fenced(self, now: float) -> bool:
-        """Whether this machine is cut off from a majority of the voters, in either direction: it can't know
-        what is new, tells its subscribers to go elsewhere, and acknowledges nothing.
+        """Returns whether this core machine has lost contact with a majority of the voters, in either
+        direction.  Its table may then be outdated: it sends its subscribers to another home and acknowledges
+        nothing.
 
-        An echo counts by the time at which the message that it answers was sent here: what lay in a buffer
-        while this machine stood still proves nothing."""
+        An answer counts from the time at which the ``Sync`` was sent.  Its time of arrival proves nothing, as
+        it may have waited in a buffer while this process was suspended."""
         if not self.voters:
-            return not self.bootstrap  # a newcomer may have met none but machines that are cut off themselves
-        heard = sum(
+            # All the peers that a new core machine has met may be fenced themselves.
+            return not self.bootstrap
+        in_contact = sum(
             disk == self.local_member.disk
             or now - self.last_echo.get(disk, self.started_at) <= self.quorum_timeout_ms
             for disk in self.voters
         )
-        return heard * 2 <= len(self.voters)
+        return in_contact * 2 <= len(self.voters)
+
+    def push(self, now: float, config: ConfigVersion, at_once: bool = False) -> None:
+        """Pushes changes to the subscribers that lack them, unless the last push still awaits its
+        acknowledgement.
 
-    def push(self, now: float, offer: ConfigVersion, at_once: bool = False) -> None:
-        """Tells each subscriber that lacks something, again after a while; ``at_once``: the configuration is
-        a new one, and all are told."""
-        silent = not self.ready or self.fenced(now)
+        ``at_once``: pushes to all subscribers, as the configuration is new."""
+        withheld = not self.ready or self.fenced(now)
         for node, sub in list(self.subscribers.items()):
             known = self.members.by_node.get(node)
             if known is None or now - sub.last_heartbeat > self.subscription_timeout_ms:
                 del self.subscribers[node]
                 continue
             if at_once or sub.revision < self.table.revision and self._push_is_due(now, sub):
-                if not silent and known.member.state != membership.DOWN:
-                    self._push_delta(now, sub, known.member, offer)
+                if not withheld and known.member.state != membership.DOWN:
+                    self._push_delta(now, sub, known.member, config)
 
     # Servers ------------------------------------------------------------------------------
 
-    def server_heartbeat(self, now: float, told: Server, done: Callable[[bool], object]) -> None:
-        """A server's beat; ``done`` is called when it may be acknowledged, with False where it can't be
-        now: while this machine is cut off, so that the server turns to one that others hear."""
-        changed = self.registry.update(now, told, True)
-        known = self.registry.by_id.get(told.id)
+    def server_heartbeat(self, now: float, received: Server, done: Callable[[bool], object]) -> None:
+        """Handles a server's heartbeat and calls ``done`` with whether it is acknowledged.
+
+        A drain is acknowledged once a majority of the core has it.  A fenced core machine acknowledges no
+        heartbeat, so that the server tries another one."""
+        changed = self.registry.update(now, received, True)
+        known = self.registry.by_id.get(received.id)
         if known is None:
             done(False)
             return
         if changed:
-            self._publish_server(told.id)
-        if known.server.state == servers.DRAINING and told.state == servers.DRAINING:
+            self._publish_server(received.id)
+        if known.server.state == servers.DRAINING and received.state == servers.DRAINING:
             self._acknowledge_on_quorum(now, known.server, done)
             return
         if changed:
-            self._broadcast(now, RowsUpdate(members=[], servers=[(told.id, known.server.to_row())]))
+            self._broadcast(now, RowsUpdate(members=[], servers=[(received.id, known.server.to_row())]))
         done(not self.fenced(now))
 
     def server_leave(self, now: float, name: str, done: Callable[[bool], object]) -> None:
-        """A server has ended in order."""
+        """Handles the sign-off of a server and calls ``done`` with whether a majority of the core has
+        it."""
         if self.registry.mark_gone(now, name):
             self._publish_server(name)
         known = self.registry.by_id.get(name)
@@ -292,9 +325,9 @@
 
     def _acknowledge_on_quorum(self, now: float, server: Server, done: Callable[[bool], object]) -> None:
         self.last_request += 1
-        until = now + ACKNOWLEDGE_TIMEOUT_MS
+        deadline = now + ACKNOWLEDGE_TIMEOUT_MS
         acknowledgement = PendingAcknowledgement(
-            server.to_row(), server.id, done, until, {self.local_member.disk}
+            server.to_row(), server.id, done, deadline, {self.local_member.disk}
         )
         self.pending[self.last_request] = acknowledgement
         self._request_acks(now, self.last_request, acknowledgement)
@@ -308,7 +341,7 @@
         )
 
     def handle_rows_ack(self, message: RowsAck) -> None:
-        """Another core machine has a change in its memory."""
+        """Notes that another core machine has the rows of a pending acknowledgement."""
         acknowledgement = self.pending.get(message.ask)
         if acknowledgement is not None and message.incarnation == self.local_member.incarnation:
             acknowledgement.acknowledged_by.add(message.disk)
@@ -316,7 +349,7 @@
 
     def _complete_on_quorum(self, number: int, acknowledgement: PendingAcknowledgement) -> None:
         core_machines = self.members.core_machines
-        voters = self.voters or {heard.member.disk: node for node, heard in core_machines.items()}
+        voters = self.voters or {record.member.disk: node for node, record in core_machines.items()}
         if len(acknowledgement.acknowledged_by & voters.keys()) * 2 > len(voters):
             del self.pending[number]
             acknowledgement.done(True)
@@ -324,11 +357,11 @@
     # Other core machines ------------------------------------------------------------------
 
     def handle_rows_update(self, now: float, message: RowsUpdate) -> None:
-        """Rows that another core machine has just heard."""
+        """Merges rows that another core machine has just received, and acknowledges them on request."""
         self._merge_rows(now, message.members, message.servers, True)
         if message.ask is not None:
-            known = RowsAck(ask=message.ask, incarnation=message.incarnation, disk=self.local_member.disk)
-            self.outbox.append((message.address, known))
+            ack = RowsAck(ask=message.ask, incarnation=message.incarnation, disk=self.local_member.disk)
+            self.outbox.append((message.address, ack))
 
     def _merge_rows(self, now: float, members: Rows, servers: Rows, fresh: bool) -> None:
         for node, row in members:
@@ -339,59 +372,60 @@
                 self._publish_server(name)
 
     def handle_sync(self, now: float, message: Sync) -> None:
-        """Another core machine's regular message: whom it hears, and its digests."""
+        """Handles the periodic message of another core machine: renews the leases that it reports, and
+        answers with the rows of the ranges whose digests differ."""
         sender = member_from_row(message.sender, message.me)
-        echo = SyncAck(disk=self.local_member.disk, incarnation=sender.incarnation, sent_at=message.sent_at)
-        self.outbox.append((message.address, echo))
+        ack = SyncAck(disk=self.local_member.disk, incarnation=sender.incarnation, sent_at=message.sent_at)
+        self.outbox.append((message.address, ack))
         self.update_member(now, sender, False)
         if message.ready:
             self.ready_cores[sender.node] = now
         self.peer_seen = True
-        for node, life in message.incarnations:
-            if self.members.renew(now, node, life):
+        for node, incarnation in message.incarnations:
+            if self.members.renew(now, node, incarnation):
                 self._publish_member(node)
         for name, sequence in message.sequences:
             if self.registry.renew(now, name, sequence):
                 self._publish_server(name)
-        mine, theirs = self._current_digests(), dict(enumerate(message.digests))
-        differ = [r for r in range(RANGE_COUNT) if mine[r] != theirs.get(r)]
-        if differ:
-            ranges = self._make_range_rows(now, differ, compared=sender.incarnation, again=True)
-            self.outbox.append((message.address, ranges))
+        local_digests, remote_digests = self._current_digests(), dict(enumerate(message.digests))
+        differing = [r for r in range(RANGE_COUNT) if local_digests[r] != remote_digests.get(r)]
+        if differing:
+            range_rows = self._make_range_rows(now, differing, compared=sender.incarnation, again=True)
+            self.outbox.append((message.address, range_rows))
         elif message.ready:
             self.ready = True
 
     def handle_sync_ack(self, message: SyncAck) -> None:
-        """Another core machine echoes the time at which a message of this life was sent."""
+        """Notes that another core machine has answered a ``Sync`` of this incarnation."""
         if message.incarnation == self.local_member.incarnation:
             before = self.last_echo.get(message.disk, self.started_at)
             self.last_echo[message.disk] = max(before, message.sent_at)
 
     def handle_range_rows(self, now: float, message: RangeRows) -> None:
-        """All rows that another core machine has in some ranges: the newer of each stays.
+        """Merges all rows that another core machine has in some ranges.
 
-        If its table may be told, then so may this one's: in all other ranges the two were the same, in this
-        life of this machine. To wait for equal digests could take long, as each machine drops old rows from
-        its own by itself."""
+        If the sender is ready, so is this replica: the digests of all other ranges were equal, in this
+        incarnation.  Waiting until all digests are equal could take long, because each core machine decides
+        by itself when a row is stale and no longer part of its digest."""
         self._merge_rows(now, message.members, message.servers, False)
         if message.ready and message.compared == self.local_member.incarnation:
             self.ready = True
         if message.again:
-            ranges = self._make_range_rows(now, message.ranges, compared=message.incarnation, again=False)
-            self.outbox.append((message.address, ranges))
+            range_rows = self._make_range_rows(now, message.ranges, compared=message.incarnation, again=False)
+            self.outbox.append((message.address, range_rows))
 
     def _make_range_rows(self, now: float, ranges: Iterable[int], compared: int, again: bool) -> RangeRows:
         wanted = set(ranges)
-        members = {n: h.member for n, h in self.members.by_node.items() if not h.stale}
-        known = {n: k.server for n, k in self.registry.by_id.items() if not k.stale}
+        members = {node: r.member for node, r in self.members.by_node.items() if not r.stale}
+        servers = {name: r.server for name, r in self.registry.by_id.items() if not r.stale}
         return RangeRows(
             ranges=sorted(wanted),
             incarnation=self.local_member.incarnation,
             compared=compared,
             ready=self._may_serve(now),
             again=again,
-            members=[(n, member.to_row()) for n, member in members.items() if range_index(n) in wanted],
-            servers=[(n, server.to_row()) for n, server in known.items() if range_index(n) in wanted],
+            members=[(node, m.to_row()) for node, m in members.items() if range_index(node) in wanted],
+            servers=[(name, s.to_row()) for name, s in servers.items() if range_index(name) in wanted],
         )
 
     def _current_digests(self) -> list[str]:
@@ -405,7 +439,9 @@
                 )
             for name in sorted(n for n, k in self.registry.by_id.items() if not k.stale):
                 s = self.registry.by_id[name].server
-                hashes[range_index(name)].update(f"{name} {s.state} {s.address} {s.cold_ms > 0};".encode())
+                hashes[range_index(name)].update(
+                    f"{name} {s.state} {s.address} {s.warmup_left_ms > 0};".encode()
+                )
             self.range_digests = [h.hexdigest() for h in hashes]
         return self.range_digests
 
@@ -414,16 +450,20 @@
 
     def _send_sync(self, now: float) -> None:
         last, self.last_sync_at = max(self.last_sync_at, self.started_at), now
-        heard = [(n, h.member.incarnation) for n, h in self.members.by_node.items() if h.last_direct >= last]
-        beats = [(n, k.server.sequence) for n, k in self.registry.by_id.items() if k.last_direct >= last]
-        for start in range(0, max(1, len(heard), len(beats)), MAX_SYNC_RENEWALS):
+        incarnations = [
+            (node, r.member.incarnation) for node, r in self.members.by_node.items() if r.last_direct >= last
+        ]
+        sequences = [
+            (name, r.server.sequence) for name, r in self.registry.by_id.items() if r.last_direct >= last
+        ]
+        for start in range(0, max(1, len(incarnations), len(sequences)), MAX_SYNC_RENEWALS):
             part = slice(start, start + MAX_SYNC_RENEWALS)
             sync = Sync(
                 me=self.local_member.to_row(),
                 ready=self._may_serve(now),
                 sent_at=now,
-                incarnations=heard[part],
-                sequences=beats[part],
+                incarnations=incarnations[part],
+                sequences=sequences[part],
                 digests=self._current_digests(),
             )
             self._broadcast(now, sync)
@@ -431,13 +471,20 @@
     # Time ---------------------------------------------------------------------------------
 
     def tick(
-        self, now: float, me: Member, voters: Mapping[str, str], epoch: int | None, offer: ConfigVersion
+        self,
+        now: float,
+        local_member: Member,
+        voters: Mapping[str, str],
+        epoch: int | None,
+        config: ConfigVersion,
     ) -> None:
-        """Called every 50 ms or so; ``epoch`` where this one has the leader's duty, ``offer``: the newest
-        configuration."""
-        self.local_member, self.voters = me, voters
+        """Does the periodic work; called about every 50 ms.
+
+        ``epoch`` is set if this core machine is the leader, which assigns ring numbers; ``config`` is the
+        newest configuration."""
+        self.local_member, self.voters = local_member, voters
         self.last_echo = {disk: at for disk, at in self.last_echo.items() if disk in voters}
-        self.update_member(now, me, True)
+        self.update_member(now, local_member, True)
         if now - self.last_sync_at >= SYNC_INTERVAL_FRACTION * self.quorum_timeout_ms:
             for node in self.members.expire(now):
                 self._publish_member(node)
@@ -458,6 +505,7 @@
             and now - self.started_at > (READY_DELAY_MS if self.peer_seen else READY_DELAY_WITHOUT_PEERS_MS)
             and not any(now - at < self.core_present_ms for at in self.ready_cores.values())
         ):
-            # Nobody knows more.  Limiters keep for a while what a former home knew and this one does not.
+            # No peer has a more complete table.  Subscribers keep rows of a former home that are missing here
+            # for a while.
             self.ready = True
-        self.push(now, offer)
+        self.push(now, config)
--- a/larklb/registry/subscriber.py
+++ b/larklb/registry/subscriber.py
@@ -1,6 +1,10 @@
-"""How a limiter learns of the others and of servers: from its home, the first live core machine in its order.
+"""A limiter's subscription to the registry.
 
-Messages in, messages out; time is an argument in ms.  ``out`` collects what is to be sent, with its address.
+A limiter learns of the other limiters and of servers from its home, which is the first core machine of its
+preference order that is alive.
+
+There is no I/O: messages are passed in, messages to be sent are collected in ``outbox`` with their address,
+and the current time in ms is an argument.
 """
 
 from __future__ import annotations
@@ -17,12 +21,18 @@
 from larklb.registry.registry import GONE, Server, merge_servers, server_from_row
 from larklb.registry.replica import Outgoing
 
-HELLO_INTERVAL_MS = 120.0  # between messages to the seeds while there is no home, ...
-HELLO_WITH_HOME_INTERVAL_MS = 2_000.0  # ... and while there is one, from a core machine: others must find it
-HOME_TIMEOUT_MS = 1_100.0  # without a message, two beats lost, until another home is tried
-HOME_RETRY_MS = 2_500.0  # a home that was silent is not tried again for so long
-UNCONFIRMED_TTL_MS = 5_000.0  # what a new home does not know is kept for so long: it may know more soon
-CORE_TTL_MS = 30_000.0  # a core machine of which nothing was heard for so long is no home
+# Time between messages to the seeds until the table of a home is complete.
+HELLO_INTERVAL_MS = 120.0
+# The same afterwards.  Only core machines go on sending, so that other limiters can find them.
+HELLO_WITH_HOME_INTERVAL_MS = 2_000.0
+# Without a message from the home for this long, another one is tried: two heartbeats are lost.
+HOME_TIMEOUT_MS = 1_100.0
+# A home that timed out is not tried again for this long.
+HOME_RETRY_MS = 2_500.0
+# Rows of a former home that a new home lacks are kept for this long, because it may still receive them.
+UNCONFIRMED_TTL_MS = 5_000.0
+# A core machine that wasn't heard of for this long can't become the home.
+CORE_TTL_MS = 30_000.0
 
 
 @define
@@ -36,36 +46,41 @@
 
 @define
 class Subscriber:
-    """Of one life of a limiter."""
+    """The subscription of one incarnation of a limiter."""
 
     local_member: Member
-    seeds: list[str]  # addresses of limiters that may know core machines
-    time_scale: float = (
-        1.0  # of the times below: less than 1 where machines count as in touch sooner than 3 s
-    )
+    # Addresses of limiters that may know core machines.
+    seeds: list[str]
+    # Factor of the times above, less than 1 if the contact bound is below 3 s; see ``consensus.timing``.
+    time_scale: float = 1.0
     outbox: Outgoing = field(factory=list)
     cores: dict[str, CoreCandidate] = field(factory=dict)
     home: str = ""
-    home_incarnation: int = 0  # of the home
+    home_incarnation: int = 0
+    # The revision of the home's table up to which all changes are applied.
     revision: int = 0
-    complete: bool = False  # the table of this home has been seen to its end
-    ever_complete: bool = False  # ... or of any home
-    home_heard_at: float = -math.inf  # a message of the home
+    # Whether the whole table of this home has been received, and whether that of any home has.
+    complete: bool = False
+    ever_complete: bool = False
+    home_heard_at: float = -math.inf
     last_heartbeat_at: float = -math.inf
     last_hello_at: float = -math.inf
     members: dict[str, Member] = field(factory=dict)
     servers: dict[str, Server] = field(factory=dict)
-    unconfirmed_servers: dict[str, float] = field(factory=dict)  # servers, and until when
+    # Rows of a former home that the present one lacks, with the time at which they are dropped.
+    unconfirmed_servers: dict[str, float] = field(factory=dict)
     unconfirmed_members: dict[str, float] = field(factory=dict)
-    loading_servers: dict[str, Server] = field(factory=dict)  # while a table is seen for the first time
+    # The rows that have been received until the table of a new home is complete.
+    loading_servers: dict[str, Server] = field(factory=dict)
     loading_members: dict[str, Member] = field(factory=dict)
     offered_config: ConfigVersion = (0, "")
-    on_change: Callable[[], object] = bool  # called after members or servers have changed
+    # Called after members or servers have changed.
+    on_change: Callable[[], object] = bool
 
     # Core machines ------------------------------------------------------------------------
 
     def add_core(self, now: float, member: Member) -> None:
-        """A core machine was heard of."""
+        """Notes that a core machine exists, as a candidate for the home."""
         known = self.cores.get(member.node)
         if known is None:
             self.cores[member.node] = CoreCandidate(member, now)
@@ -77,14 +92,14 @@
             known.last_heard = max(known.last_heard, now)
 
     def handle_hello(self, now: float, message: Hello) -> None:
-        """Another limiter looks for core machines."""
-        told = member_from_row(message.sender, message.member)
-        if told.disk:
-            self.add_core(now, told)
+        """Answers a limiter that looks for core machines with those that are known here."""
+        sender = member_from_row(message.sender, message.member)
+        if sender.disk:
+            self.add_core(now, sender)
         self.outbox.append((message.address, Cores(cores=self._known_cores(now))))
 
     def handle_cores(self, now: float, message: Cores) -> None:
-        """Core machines that another limiter knows."""
+        """Adds the core machines that another limiter knows, and tries one if there is no home."""
         for node, row in message.cores:
             if node not in self.cores:
                 self.add_core(now, member_from_row(node, row))
@@ -97,36 +112,36 @@
         return [(n, c.member.to_row()) for n, c in self.cores.items() if now - c.last_heard < CORE_TTL_MS]
 
     def _reported_up(self, node: str) -> bool:
-        """Whether the home told of it as up: it says so once, and again only when that changes."""
+        """Whether the home has reported a member as up.  It does so once, and again only after a change."""
         member = self.members.get(node)
         return member is not None and member.state == UP
 
     def _reported_down(self, node: str) -> bool:
-        """Whether the last home that told of it took it for down, or about to end."""
+        """Whether the last home that reported a member had it as down or leaving."""
         member = self.members.get(node)
         return member is not None and member.state != UP
 
     def _next_home(self, now: float) -> str:
-        known = {
+        candidates = {
             n: c for n, c in self.cores.items() if now - c.last_heard < CORE_TTL_MS or self._reported_up(n)
         }
         ranked = home_order(
-            self.local_member.node, self.local_member.zone, (c.member for c in known.values())
+            self.local_member.node, self.local_member.zone, (c.member for c in candidates.values())
         )
-        free = [m.node for m in ranked if known[m.node].excluded_until <= now]
-        if free:
-            # One that is down costs the time until it counts as silent: only where no other is left.
-            return next((node for node in free if not self._reported_down(node)), free[0])
-        return min(ranked, key=lambda m: known[m.node].excluded_until).node if ranked else ""
+        eligible = [m.node for m in ranked if candidates[m.node].excluded_until <= now]
+        if eligible:
+            # Trying a core machine that is down costs the home timeout, so it is the last resort.
+            return next((node for node in eligible if not self._reported_down(node)), eligible[0])
+        return min(ranked, key=lambda m: candidates[m.node].excluded_until).node if ranked else ""
 
-    # Beats --------------------------------------------------------------------------------
+    # Heartbeats ---------------------------------------------------------------------------
 
     def tick(self, now: float) -> None:
-        """Called every 50 ms or so."""
+        """Does the periodic work: sends heartbeats and changes the home; called every 50 to 100 ms."""
         if self.local_member.disk:
             self.add_core(now, self.local_member)
-        every = HELLO_WITH_HOME_INTERVAL_MS if self.complete else HELLO_INTERVAL_MS
-        if (not self.complete or self.local_member.disk) and now - self.last_hello_at >= every:
+        interval = HELLO_WITH_HOME_INTERVAL_MS if self.complete else HELLO_INTERVAL_MS
+        if (not self.complete or self.local_member.disk) and now - self.last_hello_at >= interval:
             self.last_hello_at = now
             hello = Hello(member=self.local_member.to_row())
             self.outbox.extend((seed, hello) for seed in self.seeds if seed != self.local_member.ip)
@@ -137,20 +152,20 @@
         elif not self.home:
             self._switch_home(now, self._next_home(now))
         elif now - self.last_heartbeat_at >= self.time_scale * HEARTBEAT_INTERVAL_MS:
-            best = self._next_home(now)  # the first in the order is back
+            best = self._next_home(now)  # a preferred core machine may be back
             if best and best != self.home:
                 self._switch_home(now, best)
         if self.home and now - self.last_heartbeat_at >= self.time_scale * HEARTBEAT_INTERVAL_MS:
             self.send_heartbeat(now)
         changed = False
-        kept: dict[str, float]
+        unconfirmed: dict[str, float]
         table: dict[str, Any]
-        for kept, table in (
+        for unconfirmed, table in (
             (self.unconfirmed_servers, self.servers),
             (self.unconfirmed_members, self.members),
         ):
-            for name in [name for name, until in kept.items() if now >= until]:
-                del kept[name]
+            for name in [name for name, until in unconfirmed.items() if now >= until]:
+                del unconfirmed[name]
                 changed = table.pop(name, None) is not None or changed
         if changed:
             self.on_change()
@@ -164,31 +179,33 @@
         self.home_heard_at, self.last_heartbeat_at = now, -math.inf
 
     def send_heartbeat(self, now: float) -> None:
-        """Tells the home of this limiter, and what it has."""
+        """Sends the home this limiter's row and the revision that it has."""
         if self.home not in self.cores:
             return
         self.last_heartbeat_at = now
         of = (self.home, self.home_incarnation)
-        beat = MemberHeartbeat(member=self.local_member.to_row(), of=of, have=self.revision)
-        self.outbox.append((self.cores[self.home].member.ip, beat))
+        heartbeat = MemberHeartbeat(member=self.local_member.to_row(), of=of, have=self.revision)
+        self.outbox.append((self.cores[self.home].member.ip, heartbeat))
+
+    def other_core_ip(self, now: float, fraction: float) -> str:
+        """Returns the address of a core machine other than the home, or "" if none is known.
 
-    def other_core_ip(self, now: float, chance: float) -> str:
-        """The address of some core machine beside the home, empty where none is known."""
+        ``fraction``, which is random and in [0, 1), selects it."""
         others = sorted(
             c.member.ip
             for n, c in self.cores.items()
             if n not in (self.home, self.local_member.node) and now - c.last_heard < CORE_TTL_MS
         )
-        return others[int(chance * len(others))] if others else ""
+        return others[int(fraction * len(others))] if others else ""
 
     def home_ip(self) -> str:
-        """The home's address, empty where there is none."""
+        """Returns the address of the home, or "" if there is none."""
         return self.cores[self.home].member.ip if self.home in self.cores else ""
 
-    # What comes back ----------------------------------------------------------------------
+    # Messages of the home -----------------------------------------------------------------
 
     def _note_home_message(self, now: float, sender: str) -> bool:
-        """A message came; whether it is of the home."""
+        """Notes the arrival of a message and returns whether it came from the home."""
         if sender != self.home:
             return False
         self.home_heard_at = now
@@ -197,7 +214,7 @@
         return True
 
     def handle_not_ready(self, now: float, message: NotReady) -> None:
-        """The home sends its subscribers to another one that knows more, where there is one."""
+        """Turns to another home, if there is one, because this one can't serve its table."""
         if not self._note_home_message(now, message.sender):
             return
         if any(c.excluded_until <= now for n, c in self.cores.items() if n != self.home):
@@ -205,34 +222,36 @@
             self._switch_home(now, self._next_home(now))
 
     def handle_delta(self, now: float, message: Delta) -> None:
-        """The home's table has changed, or the home shows that it lives."""
+        """Applies changes of the home's table; an empty delta only shows that the home is alive.
+
+        Raises KeyError, TypeError or ValueError if a row is malformed."""
         if not self._note_home_message(now, message.sender):
             return
-        life, start = message.incarnation, message.start_revision
-        if life != self.home_incarnation or not start and self.revision:
+        incarnation, start = message.incarnation, message.start_revision
+        if incarnation != self.home_incarnation or not start and self.revision:
             if start:
-                return  # of a life of which nothing is known yet
-            self.home_incarnation, self.revision, self.complete = life, 0, False
+                return  # the beginning of this incarnation's table hasn't arrived yet
+            self.home_incarnation, self.revision, self.complete = incarnation, 0, False
             self.loading_servers, self.loading_members = {}, {}
-        number, granted, known_life = message.you
-        if (
-            known_life > self.local_member.incarnation
-        ):  # this node's clock went back: a former life looks newer
-            self.local_member = evolve(self.local_member, incarnation=known_life + 1)
-        if granted > self.local_member.grant:
-            self.local_member = evolve(self.local_member, ring_number=number, grant=granted)
+        ring_number, grant, known_incarnation = message.you
+        # The home knows a higher incarnation if the clock of this node was set back before the last start.
+        if known_incarnation > self.local_member.incarnation:
+            self.local_member = evolve(self.local_member, incarnation=known_incarnation + 1)
+        if grant > self.local_member.grant:
+            self.local_member = evolve(self.local_member, ring_number=ring_number, grant=grant)
         if message.config[0] > self.offered_config[0]:
             self.offered_config = message.config
         if start != self.revision:
             return
         for kind, key, row in message.rows:
             self._apply_row(now, kind, key, row)
-        self.revision = message.to  # not before: rows that can't be read are to come again
+        # Only after all rows were parsed, so that a delta with a malformed row is sent again.
+        self.revision = message.to
         if self.revision >= message.head and not self.complete:
             self._complete_table(now)
         if message.rows:
-            has = DeltaAck(of=(self.home, self.home_incarnation), have=self.revision)
-            self.outbox.append((self.home_ip(), has))
+            ack = DeltaAck(of=(self.home, self.home_incarnation), have=self.revision)
+            self.outbox.append((self.home_ip(), ack))
             if self.complete:
                 self.on_change()
 
@@ -247,21 +266,25 @@
             if member.disk and member.state == UP:
                 self.add_core(now, member)
             elif member.state == LEAVING and key in self.cores and key != self.local_member.node:
-                self.cores[key].excluded_until = math.inf  # until its next life: it is about to end
+                # It is about to end; ``add_core`` lifts the exclusion for its next incarnation.
+                self.cores[key].excluded_until = math.inf
         elif kind == "s":
             table = self.servers if self.complete else self.loading_servers
             if row is None:
                 table.pop(key, None)
                 return
-            told = server_from_row(key, row)
-            if key in self.servers:  # what a former home said of a drain holds
-                told = evolve(
-                    merge_servers(told, self.servers[key]), silent=told.silent, cold_ms=told.cold_ms
+            server = server_from_row(key, row)
+            if key in self.servers:  # a drain that a former home has reported remains in force
+                server = evolve(
+                    merge_servers(server, self.servers[key]),
+                    silent=server.silent,
+                    warmup_left_ms=server.warmup_left_ms,
                 )
-            table[key] = told
+            table[key] = server
             self.unconfirmed_servers.pop(key, None)
 
     def _complete_table(self, now: float) -> None:
+        """Puts the new home's table in use, together with the rows of the former one that it lacks."""
         for name, server in self.servers.items():
             if name not in self.loading_servers and server.state != GONE:
                 self.loading_servers[name] = server
@@ -276,9 +299,9 @@
         self.on_change()
 
     def nodes_by_ring_number(self) -> dict[int, str]:
-        """Ring numbers of the limiters that are up, with their nodes."""
-        found: dict[int, str] = {}
+        """Returns the nodes of the limiters that are up, by ring number."""
+        nodes: dict[int, str] = {}
         for node, member in self.members.items():
-            if member.ring_number >= 0 and member.state == UP and node <= found.get(member.ring_number, node):
-                found[member.ring_number] = node
-        return found
+            if member.ring_number >= 0 and member.state == UP and node <= nodes.get(member.ring_number, node):
+                nodes[member.ring_number] = node
+        return nodes
