--- a/larklb/changefeed/__init__.py
+++ b/larklb/changefeed/__init__.py
@@ -1,5 +1,4 @@
-"""Journal of events in memory, and the table with revisions that is folded from it (gauge: where the level
-is read).
+"""Change feed: a table whose rows have revisions, and the changes since a given revision.
 
-It owns the order of changes and who has seen how many; it must never know what its rows mean.
+The package orders changes; it doesn't interpret the contents of rows.
 """
--- a/larklb/changefeed/table.py
+++ b/larklb/changefeed/table.py
@@ -1,8 +1,8 @@
-"""A table of rows, each with the revision of its last change, folded from a bounded journal of events.
+"""An in-memory table of rows, each with the revision of its last change.
 
-Whoever has seen the table at one revision is told what has changed since: the rows whose revision is higher,
-and the removals, which the journal alone remembers.  Who has seen it longer ago than the journal reaches, or
-another life of it, begins at revision 0 and gets all rows.
+A reader that has the table at some revision gets the changes since then: the rows with a higher revision, and
+the removals, of which a bounded number is kept.  A reader that is further behind than the removals reach, or
+that has another incarnation of the table, starts at revision 0 and gets all rows.
 """
 
 from __future__ import annotations
@@ -13,14 +13,15 @@
 
 from attrs import define, field
 
-MAX_REMOVALS = 20_000  # removals older than these are forgotten: whoever is further behind starts anew
+# Older removals are dropped; a reader that is further behind gets the whole table.
+MAX_REMOVALS = 20_000
 
 Row = dict[str, Any]
 
 
 @define(frozen=True)
 class Event:
-    """One change: the row of a kind and key as it is from this revision on; None where it was removed."""
+    """One change: the row of a kind and key from this revision on, or None if it was removed."""
 
     revision: int
     kind: str
@@ -30,16 +31,17 @@
 
 @define
 class Table:
-    """The rows now, in the order of their last change."""
+    """The current rows, in the order of their last change, and the latest removals."""
 
     max_removals: int = MAX_REMOVALS
     revision: int = 0
-    complete_since: int = 0  # changes after this revision are all known
+    # All removals after this revision are still known.
+    complete_since: int = 0
     rows: dict[tuple[str, str], Event] = field(factory=dict)
     removed: deque[Event] = field(factory=deque)
 
     def put(self, kind: str, key: str, row: Row | None) -> bool:
-        """Appends a change and folds it; False where it would change nothing."""
+        """Sets a row, or removes it if ``row`` is None; returns whether this is a change."""
         known = self.rows.get((kind, key))
         if (known.row if known is not None else None) == row:
             return False
@@ -55,33 +57,33 @@
         return True
 
     def get(self, kind: str, key: str) -> Row | None:
-        """The row now, None where there is none."""
+        """Returns the current row, or None if there is none."""
         event = self.rows.get((kind, key))
         return event.row if event is not None else None
 
     def rows_of(self, kind: str) -> Iterator[tuple[str, Row]]:
-        """All rows of a kind with their keys."""
-        for (kind_, key), event in self.rows.items():
-            if kind_ == kind and event.row is not None:
+        """Iterates over all rows of a kind with their keys."""
+        for (row_kind, key), event in self.rows.items():
+            if row_kind == kind and event.row is not None:
                 yield key, event.row
 
-    def changes_since(self, rev: int) -> list[Event] | None:
-        """What has changed after a revision, in order; None where that can't be told any more.
+    def changes_since(self, revision: int) -> list[Event] | None:
+        """Returns the changes after a revision in order, or None if they are no longer known.
 
-        After 0 these are all rows, without removals."""
-        if rev > self.revision or 0 < rev < self.complete_since:
+        For revision 0 these are all rows, without removals."""
+        if revision > self.revision or 0 < revision < self.complete_since:
             return None
-        found = []
+        events = []
         for event in reversed(self.rows.values()):
-            if event.revision <= rev:
+            if event.revision <= revision:
                 break
-            found.append(event)
-        if rev:
+            events.append(event)
+        if revision:
             for event in reversed(self.removed):
-                if event.revision <= rev:
+                if event.revision <= revision:
                     break
                 if (event.kind, event.key) not in self.rows:
-                    found.append(event)
-            found.sort(key=lambda e: -e.revision)
-        found.reverse()
-        return found
+                    events.append(event)
+            events.sort(key=lambda e: -e.revision)
+        events.reverse()
+        return events
--- a/larklb/membership/__init__.py
+++ b/larklb/membership/__init__.py
@@ -1,5 +1,5 @@
-"""Membership: which limiters there are, under leases (membership: the pumping membership of the works).
+"""Membership: the limiters of the system, under leases.
 
-It owns lives of limiters, their ring numbers and the order in which duties fall to them; it must never touch
-a socket, a clock or a disk, and never speaks of servers or configurations.
+It holds the incarnations of limiters, their ring numbers and each limiter's preference order of core
+machines.  The package uses no socket, clock or disk, and it knows nothing of servers and configurations.
 """
--- a/larklb/membership/members.py
+++ b/larklb/membership/members.py
@@ -1,5 +1,7 @@
-"""Lives of limiters as a core machine knows them: told by beats, kept under leases, merged between core
-machines."""
+"""Limiters that a core machine knows, each under a lease that its heartbeats renew.
+
+The records are merged between core machines.  All times are in milliseconds.
+"""
 
 from __future__ import annotations
 
@@ -10,12 +12,18 @@
 
 from larklb.quota.ring import digest
 
-HEARTBEAT_INTERVAL_MS = 500.0  # between two beats of a limiter to its home
-LEASE_MS = 2_600.0  # a limiter not heard of for so long is taken for down: five beats, some lost
-CORE_PRESENT_MS = 1_500.0  # a core machine heard of within this is there
-FORGET_MS = 60_000.0  # ... and its number is free for another after so long
-GRANTS_PER_EPOCH = 1 << 24  # numbers handed out under one epoch: each has a grant of its own
-MAX_MEMBERS = 20_000  # more are refused: the table must not grow with nonsense
+# Time between heartbeats of a limiter to its home.
+HEARTBEAT_INTERVAL_MS = 500.0
+# Without news for this long, a limiter is considered down: five heartbeats, some of which may be lost.
+LEASE_MS = 2_600.0
+# A core machine that was heard from within this time is considered present.
+CORE_PRESENT_MS = 1_500.0
+# Without news for this long, a limiter's record is deleted and its ring number is free for another.
+FORGET_MS = 60_000.0
+# Ring numbers that can be assigned under one epoch; each assignment has a grant of its own.
+GRANTS_PER_EPOCH = 1 << 24
+# Further members are refused, so that invalid messages can't make the table grow without bound.
+MAX_MEMBERS = 20_000
 
 UP, LEAVING, DOWN = "up", "leaving", "down"
 _RANK: Final = {UP: 0, DOWN: 0, LEAVING: 1}
@@ -23,19 +31,24 @@
 
 @define(frozen=True)
 class Member:
-    """One life of a limiter, as it tells of itself; ``number`` was handed out under the epoch ``granted``."""
+    """One incarnation of a limiter, as it describes itself.
+
+    ``grant`` identifies the assignment of the ring number and rises with each; that of a later epoch is
+    higher.  Both are -1 until a number is assigned."""
 
     node: str
     ip: str
     zone: str
-    incarnation: int  # its incarnation: a higher one replaces a lower one
-    disk: str = ""  # its disk's id, where it is a core machine
+    # A higher incarnation replaces a lower one.
+    incarnation: int
+    # The id of the disk, if it is a core machine.
+    disk: str = ""
     state: str = UP
-    ring_number: int = -1  # on the ring; -1: none yet
+    ring_number: int = -1
     grant: int = -1
 
     def to_row(self) -> dict[str, Any]:
-        """As it travels."""
+        """Returns the row that stands for this member in messages; it lacks the node's name."""
         return {
             "ip": self.ip,
             "z": self.zone,
@@ -48,7 +61,7 @@
 
 
 def member_from_row(node: str, row: Mapping[str, Any]) -> Member:
-    """From a row; KeyError, TypeError or ValueError where it is none."""
+    """Parses a row; raises KeyError, TypeError or ValueError if it is malformed."""
     return Member(
         node,
         str(row["ip"]),
@@ -62,15 +75,15 @@
 
 
 def merge_members(one: Member, other: Member) -> Member:
-    """The newer of two records of a node, with the number of the higher epoch; whatever the order, the
-    same."""
+    """Returns the newer of two records of a node, with the ring number of the higher grant.  The order of the
+    arguments doesn't matter."""
     newer, older = (one, other) if _age(one) >= _age(other) else (other, one)
     if older.grant > newer.grant:
         newer = evolve(newer, ring_number=older.ring_number, grant=older.grant)
     return newer
 
 
-def _up(member: Member) -> Member:
+def _without_down(member: Member) -> Member:
     return evolve(member, state=UP) if member.state == DOWN else member
 
 
@@ -80,49 +93,57 @@
 
 @define
 class MemberRecord:
-    """A member, and when it was last heard of here or by another core machine."""
+    """A member with the state of its lease."""
 
     member: Member
+    # When it was last heard from, by this core machine or by another.
     last_heard: float
-    last_direct: float = -1e18  # when a beat of its own came here
-    stale: bool = False  # not heard of for so long that others are not told any more
+    # When a heartbeat last arrived at this core machine.
+    last_direct: float = -1e18
+    # Without news for so long that the record is no longer sent to other core machines.
+    stale: bool = False
 
 
 @define
 class Members:
-    """All limiters that a core machine knows, by node; ``lease`` in ms.
+    """All limiters that a core machine knows, by node.
 
-    ``core_machines`` are those of them that have a disk: few, and asked for far more often."""
+    ``core_machines`` indexes those that have a disk, which are few and looked up far more often."""
 
     by_node: dict[str, MemberRecord] = field(factory=dict)
     lease_ms: float = LEASE_MS
     core_machines: dict[str, MemberRecord] = field(factory=dict)
 
-    def update(self, now: float, told: Member, direct: bool, fresh: bool = True) -> bool:
-        """A record came, from the limiter itself (``direct``) or from a core machine, ``fresh`` where that
-        has just heard it; whether anything changed that others must know."""
-        known = self.by_node.get(told.node)
+    def update(self, now: float, received: Member, direct: bool, fresh: bool = True) -> bool:
+        """Merges a record and returns whether others have to be told of a change.
+
+        ``direct``: it comes from the limiter itself, not from another core machine.  ``fresh``: the limiter
+        has just been heard from, so that its lease is renewed."""
+        known = self.by_node.get(received.node)
         if known is None:
             if len(self.by_node) >= MAX_MEMBERS:
                 return False
-            known = MemberRecord(told, now if fresh else now - self.lease_ms / 2, now if direct else -1e18)
-            self.by_node[told.node] = known
+            known = MemberRecord(
+                received, now if fresh else now - self.lease_ms / 2, now if direct else -1e18
+            )
+            self.by_node[received.node] = known
             self._index(known)
             return True
         before = known.member
-        # Who is down is each core machine's own view, by its lease: it travels to limiters alone.
-        merge = merge_members(_up(told), _up(before))
+        # Each core machine decides by its own lease whether a member is down.  That state is sent to
+        # subscribers, but not merged between core machines.
+        merged = merge_members(_without_down(received), _without_down(before))
         if (
             before.state == DOWN
-            and merge.state == UP
-            and merge.incarnation == before.incarnation
+            and merged.state == UP
+            and merged.incarnation == before.incarnation
             and not fresh
         ):
-            merge = evolve(merge, state=DOWN)
-        if fresh and told.incarnation >= before.incarnation:
+            merged = evolve(merged, state=DOWN)
+        if fresh and received.incarnation >= before.incarnation:
             known.last_heard, known.stale = now, False
             known.last_direct = now if direct else known.last_direct
-        changed, known.member = merge != before, merge
+        changed, known.member = merged != before, merged
         self._index(known)
         return changed
 
@@ -132,10 +153,11 @@
         else:
             self.core_machines.pop(known.member.node, None)
 
-    def renew(self, now: float, node: str, life: int) -> bool:
-        """Another core machine hears it; whether it was taken for down here."""
+    def renew(self, now: float, node: str, incarnation: int) -> bool:
+        """Renews a lease because another core machine receives the limiter's heartbeats; returns whether the
+        limiter was down here."""
         known = self.by_node.get(node)
-        if known is None or known.member.incarnation != life:
+        if known is None or known.member.incarnation != incarnation:
             return False
         known.last_heard, known.stale = now, False
         if known.member.state != DOWN:
@@ -144,63 +166,70 @@
         return True
 
     def expire(self, now: float) -> list[str]:
-        """The nodes whose lease has just run out."""
-        down = []
+        """Ends leases and deletes old records; returns the nodes whose record has changed."""
+        expired = []
         for node, known in list(self.by_node.items()):
-            silent = now - known.last_heard
-            if silent > FORGET_MS:
+            age = now - known.last_heard
+            if age > FORGET_MS:
                 del self.by_node[node]
                 self.core_machines.pop(node, None)
-                down.append(node)
-            elif silent > self.lease_ms and known.member.state == UP:
+                expired.append(node)
+            elif age > self.lease_ms and known.member.state == UP:
                 known.member = evolve(known.member, state=DOWN)
-                down.append(node)
-            elif silent > FORGET_MS / 2 and not known.stale:
-                known.stale = True  # or those who forget it first would be told of it again by the others
-                down.append(node)
-        return down
+                expired.append(node)
+            elif age > FORGET_MS / 2 and not known.stale:
+                # Otherwise those that delete it first would receive it again from the others.
+                known.stale = True
+                expired.append(node)
+        return expired
 
     def assign_ring_numbers(self, epoch: int) -> list[str]:
-        """The leader's duty: whoever has no number of its own gets one; the nodes that did."""
+        """Assigns a free ring number to each member that has none or shares one with a later assignment.
+
+        Only the leader does this; ``epoch`` is its term.  Returns the nodes that got a number."""
         taken: dict[int, str] = {}
-        without = []
+        unassigned = []
         for node in sorted(self.by_node, key=lambda n: (-self.by_node[n].member.grant, n)):
             member = self.by_node[node].member
             if member.ring_number < 0 or member.ring_number in taken:
-                without.append(node)
+                unassigned.append(node)
             else:
                 taken[member.ring_number] = node
-        free, granted = 0, max([epoch * GRANTS_PER_EPOCH, *(h.member.grant for h in self.by_node.values())])
-        for node in without:
-            granted += 1
+        free, grant = 0, max([epoch * GRANTS_PER_EPOCH, *(r.member.grant for r in self.by_node.values())])
+        for node in unassigned:
+            grant += 1
             while free in taken:
                 free += 1
             taken[free] = node
-            self.by_node[node].member = evolve(self.by_node[node].member, ring_number=free, grant=granted)
-        return without
+            self.by_node[node].member = evolve(self.by_node[node].member, ring_number=free, grant=grant)
+        return unassigned
 
     def cores_by_disk(self, now: float, within: float) -> dict[str, str]:
-        """Disk ids and names of the core machines that were heard of within so many ms and aren't down."""
+        """Returns the nodes, by disk id, of the core machines that were heard from within the last ``within``
+        ms and aren't down."""
         return {
-            heard.member.disk: node
-            for node, heard in self.core_machines.items()
-            if now - heard.last_heard <= within and heard.member.state != DOWN
+            record.member.disk: node
+            for node, record in self.core_machines.items()
+            if now - record.last_heard <= within and record.member.state != DOWN
         }
 
     def leaving_disks(self) -> frozenset[str]:
-        """Disk ids of the core machines that were told to end, or have ended so."""
+        """Returns the disk ids of the core machines that are shutting down in order or have done so."""
         return frozenset(
-            heard.member.disk for heard in self.core_machines.values() if heard.member.state == LEAVING
+            record.member.disk for record in self.core_machines.values() if record.member.state == LEAVING
         )
 
     def address_of_disk(self, disk: str) -> str | None:
-        """The address of the core machine with this disk, None where none is known."""
-        for heard in self.core_machines.values():
-            if heard.member.disk == disk:
-                return heard.member.ip
+        """Returns the address of the core machine with this disk, or None if none is known."""
+        for record in self.core_machines.values():
+            if record.member.disk == disk:
+                return record.member.ip
         return None
 
 
-def home_order(me: str, zone: str, cores: Iterable[Member]) -> list[Member]:
-    """The agreed order of homes of a limiter: core machines of its zone first, each limiter's own turn."""
-    return sorted(cores, key=lambda m: (m.node != me, m.zone != zone, digest(f"{me} {m.node}")))
+def home_order(node: str, zone: str, cores: Iterable[Member]) -> list[Member]:
+    """Returns the core machines in the order in which a limiter prefers them as its home.
+
+    The limiter itself comes first if it is a core machine, then those of its zone.  Otherwise the order
+    follows a hash that differs from limiter to limiter, which spreads the subscribers."""
+    return sorted(cores, key=lambda m: (m.node != node, m.zone != zone, digest(f"{node} {m.node}")))
--- a/larklb/membership/messages.py
+++ b/larklb/membership/messages.py
@@ -1,4 +1,4 @@
-"""What every message between limiters has in common."""
+"""The base of all messages between limiters, and the rows that they carry."""
 
 from __future__ import annotations
 
@@ -6,13 +6,17 @@
 
 import msgspec
 
-Row = dict[str, Any]  # a member or a server as it travels: see ``Member.row`` and ``Server.row``
-Rows = list[tuple[str, Row]]  # by node name or server id
+# A member or a server in a message: see ``Member.to_row`` and ``Server.to_row``.
+Row = dict[str, Any]
+# Rows with their keys: node names or server ids.
+Rows = list[tuple[str, Row]]
 
 
 class Message(msgspec.Struct, frozen=True, kw_only=True, tag_field="k"):
-    """One way, and it may be lost. ``sender`` is a node's name and ``address`` its IP address; the transport
-    fills in both, and the version of the protocol, as it sends a message."""
+    """A one-way message, which may be lost.
+
+    ``sender`` is the name of the sending node, ``address`` its IP address and ``protocol`` the version of the
+    protocol.  The transport fills in all three when it sends a message."""
 
     sender: str = msgspec.field(default="", name="s")
     address: str = msgspec.field(default="", name="f")
