--- a/larklb/quota/__init__.py
+++ b/larklb/quota/__init__.py
@@ -1,5 +1,5 @@
-"""What the module asks about quotas: plan versions, reservations, buckets; it never does input or output.
+"""Quotas of customers: plan versions, reservations, token buckets, shares and settlement.
 
-Time is an argument: milliseconds on the module's clock.  What has to survive a restart leaves as an action
-(``interface.Drawn``) or is handed in at the start.
+The modules do no input or output.  Time is passed in as milliseconds on the decision module's clock.  State
+that must survive a restart leaves as an action (``interface.Drawn``) and is handed in at the start.
 """
--- a/larklb/quota/shares.py
+++ b/larklb/quota/shares.py
@@ -1,17 +1,18 @@
-"""What is decided while the owner of a customer and others of its limiters cannot hear each other.
+"""Shares of a customer's quota, for the time in which its owner and other limiters cannot reach each other.
 
-Shares.  While all are heard, the owner watches what each limiter of a customer is asked for, and tells
-each with its verdicts which share of the customer's quota that is, and what all are asked for together.
-A limiter that cannot ask any more goes on with its share of the rate and of the tokens that its late copy
-shows; an owner that does not hear a limiter keeps the share that it told it out of its own bucket, in
-escrow.  So the shares of all sides make up the quota and no more.
+Shares.  While all limiters are reachable, the owner measures what each limiter of a customer is asked for.
+With its verdicts it tells each the share of the customer's quota that this demand amounts to, and the demand
+of all together.  A limiter that cannot reach the owner goes on with its share of the rate and of the tokens
+that its copy of the owner's bucket shows.  An owner that does not hear a limiter takes the share that it
+granted it out of its own bucket and holds it in escrow.  So the shares of all sides add up to the quota.
 
-Traffic that moves.  Where a side is asked for much more than its share would explain, its share follows,
-to what it sees over what all were asked for before, by ``reserve`` at the most: 0 errs on the side of the
-quota, 1 on that of service.
+Traffic that moves.  Where a side is asked for much more than its share would explain, its share grows to its
+own demand over the demand of all before the separation, by at most ``reserve``.  A reserve of 0 keeps to the
+quota and may refuse too much; a reserve of 1 serves all and may exceed the quota.
 
-Rejoin.  Counts of what was let in apart (``settlement.py``) are taken from the escrow first, then from the
-bucket; what is left of the escrow returns to the bucket some seconds after all are heard again.
+Rejoining.  Counts of what was admitted during the separation (``settlement.py``) are taken from the escrow
+first, then from the bucket.  What is left of the escrow returns to the bucket a short time after all
+limiters are reachable again.
 """
 
 from __future__ import annotations
@@ -22,18 +23,25 @@
 from larklb.quota.demand import SLOW_DECAY_MS, Demand, has_shifted
 from larklb.quota.table_limits import DEFAULT_MAX_CUSTOMERS, evict_oldest
 
-PEER_TIMEOUT_MS = 1200.0          # without a word from a limiter that has a share: it is taken to be apart
-ESCROW_RELEASE_DELAY_MS = 1500.0  # after all are heard again counts may still come: then the escrow returns
-DEMAND_EXPIRY_MS = 60_000.0       # demand of a customer that asks no more is forgotten
-SHARE_GROWTH_FACTOR = 1.5  # times what it sees lately: the average lags behind traffic that has just moved
-SLACK_UNITS = 1.0  # units that a side apart may use beyond its share of the tokens: chance is uneven
-SHARE_DEVIATIONS = 1.0  # standard deviations of a share that one who cannot ask may use beyond it
-MAX_DEBT_BURSTS = 1.0  # bursts that a bucket may be in debt after a settling: no customer pays for longer
+# A limiter that has a share and was not heard for this long counts as unreachable.
+PEER_TIMEOUT_MS = 1200.0
+# Counts may still arrive for this long after all limiters are reachable again.
+ESCROW_RELEASE_DELAY_MS = 1500.0
+# Demand of a customer that asks no more is dropped after this.
+DEMAND_EXPIRY_MS = 60_000.0
+# Times the recent demand: the average lags behind traffic that has just moved.
+SHARE_GROWTH_FACTOR = 1.5
+# Units that a separated side may use beyond its share of the tokens, as requests arrive unevenly.
+SLACK_UNITS = 1.0
+# Standard deviations of a share by which a limiter that cannot ask may exceed it.
+SHARE_DEVIATIONS = 1.0
+# Bursts that a bucket may be in debt after a settlement, so that no customer pays for longer.
+MAX_DEBT_BURSTS = 1.0
 
 
 @dataclass(slots=True)
 class PeerDemand:
-    """What a limiter told of its demand, and the share it was told."""
+    """Demand that a limiter reported, in units a second, and the share granted to it."""
 
     demand: float
     at: float
@@ -42,7 +50,7 @@
 
 @dataclass(slots=True)
 class GrantedShare:
-    """What the owner last told of a customer: this limiter's share, and the demand of all."""
+    """This limiter's share of a customer's quota and the demand of all, as the owner last reported them."""
 
     share: float
     total: float
@@ -55,14 +63,18 @@
     def __init__(self, reserve: float, max_customers: int = DEFAULT_MAX_CUSTOMERS) -> None:
         """``reserve``: how far a share may grow beyond what was granted, 0 to 1."""
         self.reserve, self.max_customers = reserve, max_customers
-        self.demand: dict[int, Demand] = {}                 # seen here, by customer
-        self.peer_demand: dict[int, dict[int, PeerDemand]] = {}  # told by others, by customer and limiter
-        self.granted: dict[int, GrantedShare] = {}                     # by owners, by customer
-        self.separated_since: dict[int, float] = {}  # customers whose owner here is apart from some
-        self.initial_demand: dict[int, float] = {}  # demand of all when they were last together
+        # Demand at this limiter, by customer.
+        self.demand: dict[int, Demand] = {}
+        # Reported by others to this owner, by customer and limiter.
+        self.peer_demand: dict[int, dict[int, PeerDemand]] = {}
+        # Granted by owners, by customer.
+        self.granted: dict[int, GrantedShare] = {}
+        # Customers owned here with unreachable limiters: since when, and the demand of all at that time.
+        self.separated_since: dict[int, float] = {}
+        self.initial_demand: dict[int, float] = {}
 
     def record_request(self, now: float, key: int, units: float) -> None:
-        """A request came in here."""
+        """Counts a request that came in here."""
         demand = self.demand.get(key)
         if demand is None:
             evict_oldest(self.demand, self.max_customers)
@@ -70,13 +82,14 @@
         demand.add(now, units)
 
     def average_demand(self, now: float, key: int) -> float:
+        """Average demand of a customer at this limiter, in units a second."""
         demand = self.demand.get(key)
         return demand.average_rate(now) if demand is not None else 0.0
 
-    # The owner ----------------------------------------------------------------------------
+    # As the owner -------------------------------------------------------------------------
 
     def record_peer_demand(self, now: float, key: int, sender: int, demand: float) -> None:
-        """A limiter asked, and told its demand."""
+        """Notes the demand that a limiter reported with an ask, in units a second."""
         if key not in self.peer_demand:
             evict_oldest(self.peer_demand, self.max_customers)
         others = self.peer_demand.setdefault(key, {})
@@ -87,86 +100,98 @@
             known.demand, known.at = demand, now
 
     def share_for(self, now: float, key: int, sender: int) -> tuple[float, float]:
-        """The share of a limiter that asks, and the demand of all, in units a second."""
+        """Grants a limiter its share; returns it with the demand of all in units a second."""
         total = self.total_demand(now, key)
-        asked = self.peer_demand.get(key, {}).get(sender)
-        if asked is None or total <= 0:
+        peer = self.peer_demand.get(key, {}).get(sender)
+        if peer is None or total <= 0:
             return 0.0, total
-        asked.share = min(1.0, asked.demand * math.exp((asked.at - now) / SLOW_DECAY_MS) / total)
-        return asked.share, total
+        peer.share = min(1.0, peer.demand * math.exp((peer.at - now) / SLOW_DECAY_MS) / total)
+        return peer.share, total
 
     def total_demand(self, now: float, key: int) -> float:
-        return self.average_demand(now, key) + sum(a.demand * math.exp((a.at - now) / SLOW_DECAY_MS)
-                                                   for a in self.peer_demand.get(key, {}).values())
+        """Demand of a customer at all its limiters, in units a second; older reports count less."""
+        return self.average_demand(now, key) + sum(peer.demand * math.exp((peer.at - now) / SLOW_DECAY_MS)
+                                                   for peer in self.peer_demand.get(key, {}).values())
 
-    def owner_part(self, now: float, key: int, apart: frozenset[int]) -> float:
-        """The part of a customer's quota that its owner has, while it does not hear some limiters."""
+    def owner_part(self, now: float, key: int, unreachable: frozenset[int]) -> float:
+        """The part of a customer's quota, 0 to 1, that its owner may use while limiters are unreachable."""
         others = self.peer_demand.get(key)
-        if not others or not apart:
+        if not others or not unreachable:
             self.separated_since.pop(key, None)
             return 1.0
-        away = sum(a.share for g, a in others.items() if g in apart and now - a.at < DEMAND_EXPIRY_MS)
-        if away <= 0:
+        set_aside = sum(peer.share for limiter, peer in others.items()
+                        if limiter in unreachable and now - peer.at < DEMAND_EXPIRY_MS)
+        if set_aside <= 0:
             return 1.0
         if key not in self.separated_since:
             self.separated_since[key], self.initial_demand[key] = now, self.total_demand(now, key)
-        mine = max(0.0, 1.0 - away)
+        rest = max(0.0, 1.0 - set_aside)
         demand = self.demand.get(key)
-        lately = (demand.recent_rate(now) if demand is not None else 0.0) + sum(
-            a.demand for g, a in others.items() if g not in apart and now - a.at < SLOW_DECAY_MS)
-        return self._grown(mine, lately, self.initial_demand.get(key, 0.0))
-
-    def _grown(self, share: float, lately: float, total: float) -> float:
-        if self.reserve <= 0 or total <= 0 or not has_shifted(lately, share * total):
+        recent = (demand.recent_rate(now) if demand is not None else 0.0) + sum(
+            peer.demand for limiter, peer in others.items()
+            if limiter not in unreachable and now - peer.at < SLOW_DECAY_MS)
+        return self._grown(rest, recent, self.initial_demand.get(key, 0.0))
+
+    def _grown(self, share: float, recent: float, total: float) -> float:
+        """The share, grown within the reserve where recent demand exceeds what it would explain."""
+        if self.reserve <= 0 or total <= 0 or not has_shifted(recent, share * total):
             return share
-        return min(1.0, share + self.reserve, max(share, SHARE_GROWTH_FACTOR * lately / total))
+        return min(1.0, share + self.reserve, max(share, SHARE_GROWTH_FACTOR * recent / total))
 
-    # One who cannot ask -------------------------------------------------------------------
+    # As a limiter that cannot ask ---------------------------------------------------------
 
     def accept_share(self, now: float, key: int, share: float, total: float) -> None:
-        """What an owner told."""
+        """Stores the share and the demand of all that an owner's verdict reported."""
         self.granted.pop(key, None)
         evict_oldest(self.granted, self.max_customers)
         self.granted[key] = GrantedShare(share, total, now)
 
     def local_share(self, now: float, key: int, spread: int) -> float:
-        """This limiter's part of a customer's quota while it cannot ask."""
-        told, demand = self.granted.get(key), self.demand.get(key)
-        if told is None or told.total <= 0:
+        """This limiter's part of a customer's quota, 0 to 1, while it cannot ask the owner."""
+        granted, demand = self.granted.get(key), self.demand.get(key)
+        if granted is None or granted.total <= 0:
             return 1.0 / spread
-        # A share that few requests have shaped is a rough guess: refusing by it would be the larger fault.
-        rough = SHARE_DEVIATIONS * math.sqrt(
-            max(told.share, 0.02) / (2.0 * SLOW_DECAY_MS / 1000.0 * told.total))
-        lately = demand.recent_rate(now) if demand is not None else 0.0
-        return max(min(1.0, told.share + min(rough, self.reserve)),
-                   self._grown(told.share, lately, told.total))
+        # A share derived from few requests is uncertain, and refusing by it would be the larger error.
+        deviation = SHARE_DEVIATIONS * math.sqrt(
+            max(granted.share, 0.02) / (2.0 * SLOW_DECAY_MS / 1000.0 * granted.total))
+        recent = demand.recent_rate(now) if demand is not None else 0.0
+        return max(min(1.0, granted.share + min(deviation, self.reserve)),
+                   self._grown(granted.share, recent, granted.total))
 
     def forget_peer(self, sender: int) -> list[int]:
-        """A limiter has started anew: it has no share, and nobody will tell what it had let in."""
+        """Drops the shares of a restarted limiter; returns the customers concerned.
+
+        What it had admitted before is lost with it, so nothing will be settled from the escrow.
+        """
         keys = [key for key, others in self.peer_demand.items() if sender in others]
         for key in keys:
             del self.peer_demand[key][sender]
         return keys
 
     def expire(self, now: float) -> None:
-        self.demand = {k: d for k, d in self.demand.items() if now - d.at < DEMAND_EXPIRY_MS}
-        self.granted = {k: t for k, t in self.granted.items()
-                        if now - t.at < DEMAND_EXPIRY_MS or k in self.demand}
+        """Drops what belongs to customers without recent demand."""
+        self.demand = {key: demand for key, demand in self.demand.items()
+                       if now - demand.at < DEMAND_EXPIRY_MS}
+        self.granted = {key: granted for key, granted in self.granted.items()
+                        if now - granted.at < DEMAND_EXPIRY_MS or key in self.demand}
         for key, others in list(self.peer_demand.items()):
-            for g in [g for g, a in others.items() if now - a.at >= DEMAND_EXPIRY_MS]:
-                del others[g]
+            for limiter in [limiter for limiter, peer in others.items()
+                            if now - peer.at >= DEMAND_EXPIRY_MS]:
+                del others[limiter]
             if not others:
                 del self.peer_demand[key]
-        self.separated_since = {k: at for k, at in self.separated_since.items() if k in self.peer_demand}
-        self.initial_demand = {k: d for k, d in self.initial_demand.items() if k in self.separated_since}
+        self.separated_since = {key: at for key, at in self.separated_since.items()
+                                if key in self.peer_demand}
+        self.initial_demand = {key: demand for key, demand in self.initial_demand.items()
+                               if key in self.separated_since}
 
 
-# The bound --------------------------------------------------------------------------------
+# The bound of the error -------------------------------------------------------------------
 
 
 @dataclass(frozen=True)
 class ErrorBound:
-    """How far off one customer's count may be, in units: let in too much, and refused wrongly."""
+    """How far one customer's count may be off, in units: admitted too much, and refused wrongly."""
 
     over: float
     under: float
@@ -174,22 +199,24 @@
 
 def error_bound(rate: float, burst: float, spread: int, *, loss: float, apart_s: float, reserve: float,
                 restarts: int = 0, cuts: int = 1) -> ErrorBound:
-    """The most that ``let in`` may lead or lag one perfect bucket at any instant, in units.
-
-    Derived in ``docs/design/losing-the-counter.md``; it holds whatever is asked for, so that it is wide where
-    demand is small.  Over: until a cut is noticed, each limiter but the owner goes by its late copy (a burst
-    and the rate for APART_MS) and the slack; then shares make up one quota, and each limiter alone may grow
-    by ``reserve``.  Lost messages leave each of them a copy's worth that is not settled yet; a restart costs
-    a burst.  Under: what a perfect bucket could have granted while apart, what is in escrow until all has
-    been settled, and a debt.
+    """The most by which the units admitted may exceed or fall short of one perfect bucket, at any instant.
+
+    Derived in ``docs/design/losing-the-counter.md``.  It holds for any demand, and so is wide where demand
+    is small.
+
+    Over: until a cut is noticed, each limiter but the owner goes by its copy of the bucket (a burst, and the
+    rate for PEER_TIMEOUT_MS) and the slack.  Then the shares add up to one quota, and each limiter may grow
+    by ``reserve``.  Lost messages leave each limiter one copy's worth of unsettled units; a restart costs a
+    burst.  Under: what a perfect bucket could have granted during the separation, what is in escrow until
+    all is settled, and a debt.
     """
     others = max(0, spread - 1)
     if not others:
         return ErrorBound(restarts * burst, 0.0)
     copies = burst + rate * PEER_TIMEOUT_MS / 1000.0 + SLACK_UNITS
-    blind = others * copies if apart_s > 0 or loss > 0 else 0.0
+    unnoticed = others * copies if apart_s > 0 or loss > 0 else 0.0
     cuts = max(1, cuts)
-    over = blind * cuts + others * reserve * rate * apart_s * cuts + restarts * burst + 1.0
+    over = unnoticed * cuts + others * reserve * rate * apart_s * cuts + restarts * burst + 1.0
     under = (MAX_DEBT_BURSTS + 1.0) * burst * (cuts if apart_s > 0 else 1) + rate * cuts * (
         apart_s + ESCROW_RELEASE_DELAY_MS / 1000.0) + restarts * burst + 1.0
     return ErrorBound(over, under)
