--- a/larklb/quota/breaker.py
+++ b/larklb/quota/breaker.py
@@ -1,24 +1,32 @@
-"""The circuit breaker of one owner, as the design has it."""
+"""The circuit breaker that keeps a limiter from asking an owner that does not answer."""
 
 from __future__ import annotations
 
 import math
 from dataclasses import dataclass
 
-BREAKER_FAILURES = 3       # asks failed in a row that open a breaker (design)
-BREAKER_OPEN_MS = 30000.0  # how long it stays open (design) ...
-BREAKER_JITTER = 0.2       # ... and up to this much longer, so that trials do not come together (design)
+# The values are those of the design.
+# Consecutive failed asks that open the breaker.
+BREAKER_FAILURES = 3
+BREAKER_OPEN_MS = 30000.0
+# Up to this part more, so that the limiters' trial asks do not coincide.
+BREAKER_JITTER = 0.2
 
 
 @dataclass
 class CircuitBreaker:
-    """Of one owner: three failures open it, then one trial decides; any word drops it."""
+    """The breaker for one owner.
+
+    BREAKER_FAILURES failures in a row open it; after BREAKER_OPEN_MS one trial ask decides whether it stays
+    open.  Whoever holds the breaker drops it at any message from the owner.
+    """
 
     failures: int = 0
     open_until: float = -math.inf
     trial: bool = False
 
     def allows(self, now: float) -> bool:
+        """Whether the owner may be asked; the answer that ends an open period starts the trial."""
         if self.failures < BREAKER_FAILURES:
             return True
         if now < self.open_until or self.trial:
@@ -27,6 +35,7 @@
         return True
 
     def record_failure(self, now: float, jitter: float) -> None:
+        """Counts a failed ask; ``jitter`` is a random number from 0 to 1 that lengthens the open period."""
         self.failures += 1
         if self.failures >= BREAKER_FAILURES and (self.trial or now >= self.open_until):
             self.open_until = now + BREAKER_OPEN_MS * (1 + BREAKER_JITTER * jitter)
--- a/larklb/quota/ring.py
+++ b/larklb/quota/ring.py
@@ -1,16 +1,18 @@
-"""Who owns a customer: consistent hashing over the limiters of its set (Chronon; see the design)."""
+"""Assignment of customers to owners by consistent hashing over the limiters of a customer's set."""
 
 from __future__ import annotations
 
 import hashlib
 from collections.abc import Sequence
 
-VIRTUAL_NODES = 128        # per gateway, from the design: evens out the shares of the ring
-ARC = (1 << 64) // VIRTUAL_NODES                  # of the ring, for one virtual node of each gateway
+# Per gateway, from the design: evens out the gateways' shares of the ring.
+VIRTUAL_NODES = 128
+# Length of the arc of the ring in which each gateway has one virtual node.
+ARC = (1 << 64) // VIRTUAL_NODES
 
 
 def digest(text: str) -> int:
-    """The same 64 bits in every process."""
+    """A 64-bit hash of a text, the same in every process."""
     return int.from_bytes(hashlib.blake2b(text.encode(), digest_size=8).digest(), "big")
 
 
@@ -25,5 +27,5 @@
 
 
 def members(first: int, spread: int, gateways: int) -> list[int]:
-    """A customer's set: ``spread`` consecutive limiters from number ``first``, wrapping round (protocol)."""
+    """A customer's set: ``spread`` consecutive limiters from number ``first``, modulo ``gateways``."""
     return [(first + i) % gateways for i in range(spread)]
--- a/larklb/quota/table_limits.py
+++ b/larklb/quota/table_limits.py
@@ -1,7 +1,7 @@
-"""How much a limiter keeps of customers: tables that grow with them have a bound, whoever comes.
+"""Limits on the number of customers that a limiter keeps state of.
 
-A customer that comes once leaves a bucket, a copy or a count.  They age out; but where plans fill slowly that
-takes hours, and then it is memory that ends.
+A customer that comes once leaves a bucket, a copy or a count.  They expire, but with plans that fill slowly
+that takes hours, so memory needs a limit of its own.
 """
 
 from __future__ import annotations
@@ -10,42 +10,48 @@
 
 from larklb.quota.bucket import TokenBucket
 
-DEFAULT_MAX_CUSTOMERS = 20_000  # customers in each table, where nothing says how much memory there is
-BYTES_PER_CUSTOMER = 2_400              # of one customer in all tables together (measured; the tests hold it)
-PROCESS_BASE_MB = 26            # the program itself with its connections
-CUSTOMER_MEMORY_PART = 0.75                # of the rest is for customers
+# Customers in each table where the memory of the process is not configured.
+DEFAULT_MAX_CUSTOMERS = 20_000
+# Memory of one customer in all tables together; a test checks it.
+BYTES_PER_CUSTOMER = 2_400
+# Memory of the program itself with its connections.
+PROCESS_BASE_MB = 26
+# Part of the remaining memory that customers' state may take.
+CUSTOMER_MEMORY_PART = 0.75
 MIN_CUSTOMERS = 1_000
-EVICTION_DIVISOR = 8              # one in so many goes at once: looking for them costs a sort
+# One bucket in so many is evicted at once, because finding them costs a sort.
+EVICTION_DIVISOR = 8
 
 K = TypeVar("K")
 V = TypeVar("V", bound=tuple[Any, ...])
 
 
 def customers_for_memory(memory_mb: float) -> int:
-    """How many customers to keep in each table where a process may have so many MB."""
+    """How many customers to keep in each table of a process that may use ``memory_mb`` megabytes."""
     return max(MIN_CUSTOMERS,
                int((memory_mb - PROCESS_BASE_MB) * 1e6 * CUSTOMER_MEMORY_PART / BYTES_PER_CUSTOMER))
 
 
-def evict_oldest(table: dict[K, Any], most: int) -> None:
-    """Before one more goes in: the oldest goes, as far as there are too many."""
-    while len(table) >= most:
+def evict_oldest(table: dict[K, Any], max_customers: int) -> None:
+    """Makes room for one more entry by deleting the oldest ones."""
+    while len(table) >= max_customers:
         del table[next(iter(table))]
 
 
-def evict_fullest(buckets: dict[int, V], now: float, most: int) -> None:
-    """The same for buckets, which stand second in their rows: the fullest go.
+def evict_fullest(buckets: dict[int, V], now: float, max_customers: int) -> None:
+    """Makes room for one more row by deleting those with the fullest buckets; a row's second item is one.
 
-    A customer whose bucket is forgotten begins with a full one: it gets what was missing twice.  So those go
-    that miss least, and none with a share of those apart or, where attempts are counted, with one out.
+    A customer whose bucket is deleted starts again with a full one and so gets the missing tokens twice.
+    Hence those go that lack the fewest tokens.  Last of all go buckets that are shared with unreachable
+    limiters and, without a rate, those with an open grant.
     """
-    if len(buckets) < most:
+    if len(buckets) < max_customers:
         return
 
     def missing(bucket: TokenBucket) -> float:
         lack = bucket.burst - bucket.fill(now) if bucket.rate > 0 else 1e9 * (bucket.open > 0)
         return lack + 1e9 * (bucket.part < 1.0 or bucket.escrow > 0)
 
-    rows = sorted(buckets, key=lambda k: missing(buckets[k][1]))
-    for key in rows[:max(1, most // EVICTION_DIVISOR)]:
+    rows = sorted(buckets, key=lambda key: missing(buckets[key][1]))
+    for key in rows[:max(1, max_customers // EVICTION_DIVISOR)]:
         del buckets[key]
