--- a/benchmarks/fleet_limits.py
+++ b/benchmarks/fleet_limits.py
@@ -60,7 +60,7 @@
         super().begin(i)
         if self.spaced:
             g = self.gateways[i]
-            g.pace = g.words.pace = Spaced(g.s.inbox_per_s, g.s.tick, g.aim)
+            g.pace = g.words.pace = Spaced(g.settings.inbox_per_s, g.settings.tick, g.min_aim)
 
     def feed(self, i: int, event: io.Event) -> None:
         if isinstance(event, io.Request):
--- a/larklb/benchlink.py
+++ b/larklb/benchlink.py
@@ -16,9 +16,9 @@
     """The input is not what the wire promises."""
 
 
-_STATE = {"up": io.State.UP, "draining": io.State.DRAINING, "removed": io.State.GONE}
-_LIST = {"incr": io.ListKind.CHANGES, "total": io.ListKind.WHOLE,
-         "warm_copy": io.ListKind.RECALLED, "lost": io.ListKind.LOST}
+_STATE = {"up": io.ServerState.UP, "draining": io.ServerState.DRAINING, "removed": io.ServerState.GONE}
+_LIST = {"incr": io.ListKind.CHANGES, "total": io.ListKind.FULL,
+         "warm_copy": io.ListKind.CACHED, "lost": io.ListKind.LOST}
 
 
 def _result(word: str) -> io.Result:
@@ -41,7 +41,7 @@
         m[2], io.Result.OK if m[3] == "ok" else _result(m[3]), m[4] or 0.0, m[5] or 0.0),
     "verdict": lambda m: io.Outcome(
         request=m[2], attempt=m[3], server=m[4], result=_result(m[5]), took=m[6] or 0.0,
-        complete=bool(m[7]), true_units=m[9] or None),
+        complete=bool(m[7]), actual_units=m[9] or None),
     "vanished": lambda m: io.ClientGone(m[2]),
     "probed": lambda m: io.ProbeResult(m[2], _result(m[3]), m[4] or 0.0),
     "note_from": lambda m: io.PeerMessage(m[2], bytes.fromhex(m[3])),
@@ -59,15 +59,15 @@
             return ["drop_request", instance, a.request]
         case io.Cancel():
             return ["abandon", instance, a.request, a.attempt]
-        case io.Tell():
+        case io.SendToPeer():
             return ["tell", instance, a.peer, a.data.hex()]
         case io.SetTimer():
-            return ["timer", instance, a.after, a.mark]
+            return ["timer", instance, a.after, a.timer_id]
         case io.Subscribe():
             return ["keep_informed", instance, a.on]
         case io.Log():
             return ["print", instance, a.text]
-        case io.Grant() | io.Drawn():
+        case io.Grant() | io.RecordDraw():
             raise WireError("a grant or draw: the wire asks no questions and knows no reservations")
 
 
--- a/larklb/cli/fleet.py
+++ b/larklb/cli/fleet.py
@@ -34,7 +34,7 @@
           apart: Annotated[float, typer.Option(help="Seconds for which two sides hear nothing.")] = 15.0,
           as_json: AsJson = False) -> None:
     """Print how old verdicts may be, how soon a lost link is noticed, how far over and under limits go."""
-    from larklb.decision_constants import GIVE_UP_AIM
+    from larklb.decision_constants import ASK_TIMEOUT_AIMS
     from larklb.fleet import bound as stated
     from larklb.quota.shares import error_bound as quota
     from larklb.settings import load_operator
@@ -43,7 +43,7 @@
         settings = instance_of(operator, loaded.instance[0]).settings
     n = limiters or settings.gateways
     aim = min(c.aim for c in settings.classes)
-    age, seen = stated.age(n, loss), stated.noticed(n, loss, aim, GIVE_UP_AIM)
+    age, seen = stated.age(n, loss), stated.noticed(n, loss, aim, ASK_TIMEOUT_AIMS)
     words = stated.words(settings.inbox_per_s, n - 1)
     rows: list[dict[str, Any]] = [
         {"what": "verdict on a node, half of the limiters", "unit": "ms", "linked": round(age.median)},
--- a/larklb/core.py
+++ b/larklb/core.py
@@ -71,7 +71,7 @@
         self.plans = {p.name for p in settings.plans}           # that requests may name
         self.jobs: dict[str, Job] = {}
         self.tell: Callable[[int, bytes], None] = lambda peer, data: None
-        self.keep: Callable[[io.Drawn], None] = lambda drawn: None
+        self.keep: Callable[[io.RecordDraw], None] = lambda drawn: None
         self.ledger: Ledger | None = None
         self.step: Callable[[str], object] = bool    # named steps at which tests end it
 
@@ -80,22 +80,22 @@
 
     def call(self) -> None:
         """A word goes to each other limiter, and comes back where the way is open."""
-        self._carry_out(self.gateway.call(self.wheel.now()))
+        self._carry_out(self.gateway.ping_peers(self.wheel.now()))
 
     def zones_moved(self) -> None:
         """An operator has left a zone, or come back to it."""
-        self._carry_out(self.gateway.zones_moved(self.wheel.now()))
+        self._carry_out(self.gateway.zones_changed(self.wheel.now()))
 
     def renew(self, settings: io.Settings) -> None:
         """Other settings count from now on, for all that comes; ValueError, and nothing changes, where they
         cannot be taken over in service."""
         kept = in_service(self.settings, settings, self.gateway.topics)
-        if not self.gateway.book.extended:        # else plans are the catalogue's
-            self.gateway.book.replace_catalogue(self.wheel.now(), settings_catalogue(kept.plans))
+        if not self.gateway.entitlements.extended:        # else plans are the catalogue's
+            self.gateway.entitlements.replace_catalogue(self.wheel.now(), settings_catalogue(kept.plans))
         self.settings = kept
         self.classes = {c.name: c for c in kept.classes}
         self.plans = {p.name for p in settings.plans}
-        self.gateway.renew(self.wheel.now(), kept)
+        self.gateway.apply_settings(self.wheel.now(), kept)
 
     def feed(self, event: io.Event) -> None:
         try:
@@ -124,10 +124,10 @@
             try:
                 match a:
                     case io.SetTimer():
-                        self.wheel.after(a.after, self.feed, io.Timer(a.mark))
-                    case io.Drawn():
+                        self.wheel.after(a.after, self.feed, io.Timer(a.timer_id))
+                    case io.RecordDraw():
                         self.keep(a)           # before what tells of it leaves
-                    case io.Tell():
+                    case io.SendToPeer():
                         self.tell(a.peer, a.data)
                     case io.Cancel():
                         job = self.jobs.get(a.request)
@@ -171,7 +171,7 @@
 
     def spent(self, job: Job) -> None:
         """What the job brings cannot be sent again."""
-        self.feed(io.Spent(job.id))
+        self.feed(io.BodyConsumed(job.id))
 
     def owed_by(self, job: Job, due: float) -> None:
         """The job's last byte has come: its time runs from now."""
@@ -193,21 +193,25 @@
         number, job.attempts, job.stop = job.attempts - 1, job.attempts, None
         complete = job.gone or result is io.Result.OK
         self.counters.add(f"outcome.{result.value}")
-        self.feed(io.Outcome(job.id, number, server, result, took, complete, spoilt=spoilt, stale=stale))
+        self.feed(
+            io.Outcome(
+                job.id, number, server, result, took, complete, unreadable=spoilt, server_blameless=stale
+            )
+        )
 
     def let_go(self, job: Job, send: io.Send) -> None:
         """An attempt that the module decided on must not leave: the job is not this limiter's any more."""
         self.feed(io.ClientGone(job.id))
         job.attempts += 1
-        self.outcome(job, send.server, io.Result.MOOT, 0.0)
+        self.outcome(job, send.server, io.Result.NOT_SENT, 0.0)
 
     async def count(self, job: Job, stamp: io.Stamp | None) -> None:
         """The job's use stands in the ledger on return: its first byte, or its grant, may go out."""
         ledger, r = self.ledger, job.request
-        if ledger is None or stamp is None or job.ticket is not None or r.paid:
+        if ledger is None or stamp is None or job.ticket is not None or r.charged:
             return
         key = ledger.key(r.customer, stamp.plan, stamp.version, r.service, stamp.reservation, stamp.beyond)
-        if r.question:
+        if r.quota_only:
             await ledger.use(key, r.units)
         else:
             job.ticket = await ledger.begin(job.id, key, r.units)
--- a/larklb/desk.py
+++ b/larklb/desk.py
@@ -177,7 +177,7 @@
         await asyncio.sleep(TIDY_S)
         reserved.tidy(self.wall())
 
-    def keep(self, drawn: io.Drawn) -> None:
+    def keep(self, drawn: io.RecordDraw) -> None:
         """A draw is on the disk before the answer that tells of it."""
         if self.reserved is None:
             return
@@ -343,7 +343,7 @@
         except MalformedError as error:
             raise AdminError(str(error)) from error
         gateway = self.core.gateway
-        found = gateway.alone.describe(self.core.wheel.now(), key, gateway.buckets.get(key))
+        found = gateway.fallback.describe(self.core.wheel.now(), key, gateway.buckets.get(key))
         return {"name": self.config.name, **found}
 
     async def fleet_state(self, q: dict[str, Any]) -> dict[str, Any]:
@@ -356,11 +356,11 @@
         g, now = self.core.gateway, self.core.wheel.now()
         topics = {number: name for name, number in g.topics.items()}
         topics |= {LIMITER: "limiter", ZONE: "zone", ALL_WORK: "all work"}
-        topics |= {io.MOST_TOPICS - n: f"plan {p.name}" for n, p in enumerate(g.s.plans)}
+        topics |= {io.MAX_TOPICS - n: f"plan {p.name}" for n, p in enumerate(g.settings.plans)}
         verdicts = []
 
         def name_of(short: int) -> str:
-            server = g.view.by_short.get(short)
+            server = g.server_pool.by_short_id.get(short)
             return server.entry.server if server is not None else f"{short:04x}"
 
         for row in g.verdicts.rows(now):
@@ -369,10 +369,10 @@
             if topic == ZONE:
                 node = g.zones.by_short[subject].name if subject in g.zones.by_short else f"{subject:04x}"
             verdicts.append({"node": node, "topic": topics.get(topic, str(topic)), **row})
-        return {"name": self.config.name, "number": g.s.number, "members": g.members.rows(now),
-                "ages_ms": {peer: round(now - at) for peer, at in g.alone.last_heard_at.items()},
-                "nodes": len(g.view.up), "reach": [s.entry.server for s in g.view.near],
-                "list": g.view.version,
+        return {"name": self.config.name, "number": g.settings.number, "members": g.members.rows(now),
+                "ages_ms": {peer: round(now - at) for peer, at in g.fallback.last_heard_at.items()},
+                "nodes": len(g.server_pool.up), "reach": [s.entry.server for s in g.server_pool.in_reach],
+                "list": g.server_pool.version,
                 "inbox": round(g.pace.inbox.now(now), 1), "verdicts": verdicts,
                 "slots": g.limits.rows(now, name_of)}
 
@@ -413,12 +413,14 @@
             raise AdminError(f"no node of a zone {name!r} was ever listed")
         out: Counter[tuple[str, str]] = Counter()
         for _ in range(SAMPLES):
-            for held in g.held.values():
-                out[held.cls.name, held.plan.name] += 1
+            for held in g.pending.values():
+                out[held.service_class.name, held.plan.name] += 1
             await asyncio.sleep(1.0 / SAMPLES)
-        asked = [Asked(c, p, n / SAMPLES, g.classes[c].worth * g.plans[p][1].price / g.usual[c])
+        asked = [Asked(c, p, n / SAMPLES, g.classes[c].worth * g.plans[p][1].price / g.usual_latency[c])
                  for (c, p), n in out.items() if c in g.classes and p in g.plans]
-        whole = g.room * len(g.view.able) * g.view.seen(self._wheel().now())
+        whole = (
+            g.server_limit * len(g.server_pool.available) * g.server_pool.visible_share(self._wheel().now())
+        )
         rest = sum(z.weight for z in zones.of.values() if z.name != name and z.state != "away")
         weight = sum(z.weight for z in zones.of.values() if z.state != "away") or 1.0
         return {"name": self.config.name, "room": round(whole, 1), "rest": round(whole * rest / weight, 1),
--- a/larklb/figures.py
+++ b/larklb/figures.py
@@ -11,23 +11,23 @@
 from larklb import interface as io
 from larklb.core import Core
 from larklb.decide import Gateway
-from larklb.decision_constants import SUSPECT
+from larklb.decision_constants import SUSPECT_SLOWNESS
 
 _WORDS = {"ok": "served", "shed": "refused", "errors": "failed"}
 
 
 def pool(gateway: Gateway, now: float) -> tuple[int, int]:
     """How many execute nodes are listed, and how many of these are avoided now: those that drain, and those
-    that look ``SUSPECT`` times slower than the median for every class."""
-    listed = [s for s in gateway.servers.values() if s.entry.state is not io.State.GONE]
+    that look ``SUSPECT_SLOWNESS`` times slower than the median for every class."""
+    listed = [s for s in gateway.servers.values() if s.entry.state is not io.ServerState.GONE]
     slow: dict[str, set[str]] = {}
-    for name, usual in gateway.usual.items():
+    for name, usual in gateway.usual_latency.items():
         topics = (gateway.topics[name], -1)
-        slows = {s.entry.server: s.slowness(now, usual, topics) for s in gateway.view.up}
+        slows = {s.entry.server: s.slowness(now, usual, topics) for s in gateway.server_pool.up}
         median = max(1e-3, sorted(slows.values())[len(slows) // 2]) if slows else 1.0
-        slow[name] = {server for server, value in slows.items() if value / median >= SUSPECT}
+        slow[name] = {server for server, value in slows.items() if value / median >= SUSPECT_SLOWNESS}
     shunned = set.intersection(*slow.values()) if slow else set()
-    return len(listed), len(listed) - len(gateway.view.up) + len(shunned)
+    return len(listed), len(listed) - len(gateway.server_pool.up) + len(shunned)
 
 
 def stats(core: Core, now: float) -> dict[str, Any]:
--- a/larklb/grpc/front.py
+++ b/larklb/grpc/front.py
@@ -42,7 +42,7 @@
     return io.Request(
         request=f"rls-{uuid.uuid4().hex}", service=cls.name, plan=entries["plan"],
         customer=account(entries["account"]), due=now + min(cls.deadline, within or cls.deadline),
-        units=float(hits or 1), first=first, spread=spread, question=True)
+        units=float(hits or 1), first=first, spread=spread, quota_only=True)
 
 
 class RateLimitFront:
--- a/larklb/handed.py
+++ b/larklb/handed.py
@@ -90,17 +90,19 @@
 def pack(gateway: Gateway, *, draining: bool, generation: int, discovery: tuple[str, int], offset: float,
          places: dict[str, Place]) -> bytes:
     """The state as bytes."""
-    g, alone = gateway, gateway.alone
+    g, alone = gateway, gateway.fallback
     shares, settling = alone.shares, alone.settlement
     return msgspec.msgpack.encode(Handed(
         version=VERSION, draining=draining, generation=generation, discovery=discovery, offset=offset,
         places=places,
-        servers=[Seen(s.entry, s.marks, s.heard, s.last_sent, s.turn) for s in g.servers.values()],
-        plans=[p.name for p in g.s.plans], topics=g.topics, usual=g.usual, room=g.room, busy=g.view.mean,
-        pressed=g.pressed, breakers=dict(g.breakers),
+        servers=[Seen(s.entry, s.judgements, s.last_answer_at, s.last_sent, s.wait_factor)
+                 for s in g.servers.values()],
+        plans=[p.name for p in g.settings.plans], topics=g.topics, usual=g.usual_latency,
+        room=g.server_limit, busy=g.server_pool.mean_in_flight,
+        pressed=g.last_queued_at, breakers=dict(g.breakers),
         buckets=[(key, plan, bucket) for key, (plan, bucket) in g.buckets.items()],
         # Its own leases belong to jobs that it finishes itself.
-        leases=[(name, lease) for name, lease in g.leases.items() if name[0] != g.s.number],
+        leases=[(name, lease) for name, lease in g.leases.items() if name[0] != g.settings.number],
         began=alone.started_at, copies=alone.copies, slices=alone.share_buckets, heard_at=alone.last_heard_at,
         ends=alone.reunited_at, demand=shares.demand, asked=shares.peer_demand, told=shares.granted,
         since=shares.separated_since, whole=shares.initial_demand, incarnation=settling.incarnation,
@@ -108,7 +110,7 @@
         unsettled={owner: list(keys) for owner, keys in settling.unconfirmed.items()},
         known=list(settling.peer_counts.items()), current=settling.incarnations,
         settled_at=settling.last_heard_at,
-        speak=g.book.extended_peers))
+        speak=g.entitlements.extended_peers))
 
 
 def unpack(data: bytes) -> Handed:
@@ -124,18 +126,18 @@
 
 def install(gateway: Gateway, handed: Handed, now: float) -> None:
     """Into a gateway that has just been made; its own settings count, where plans and classes differ."""
-    g, alone = gateway, gateway.alone
-    numbers = {name: n for n, name in enumerate(p.name for p in g.s.plans)}
+    g, alone = gateway, gateway.fallback
+    numbers = {name: n for n, name in enumerate(p.name for p in g.settings.plans)}
     to = {old: numbers[name] for old, name in enumerate(handed.plans) if name in numbers}
     topics = {old: g.topics[name] for name, old in handed.topics.items() if name in g.topics}
-    topics |= {io.MOST_TOPICS - old: io.MOST_TOPICS - new for old, new in to.items()} | {0: 0}
+    topics |= {io.MAX_TOPICS - old: io.MAX_TOPICS - new for old, new in to.items()} | {0: 0}
     for seen in handed.servers:
-        server = Server(seen.entry, g.s.number, g.forgive)
-        server.marks = {topics[t]: mark for t, mark in seen.marks.items() if t in topics}
-        server.heard, server.last_sent, server.turn = seen.heard, seen.last_sent, seen.turn
-        g.servers[seen.entry.server] = g.view.by_short[server.short] = server
-    g.usual.update({name: usual for name, usual in handed.usual.items() if name in g.topics})
-    g.room, g.view.mean, g.pressed = handed.room, handed.busy, handed.pressed
+        server = Server(seen.entry, g.settings.number, g.half_life)
+        server.judgements = {topics[t]: mark for t, mark in seen.marks.items() if t in topics}
+        server.last_answer_at, server.last_sent, server.wait_factor = seen.heard, seen.last_sent, seen.turn
+        g.servers[seen.entry.server] = g.server_pool.by_short_id[server.short_id] = server
+    g.usual_latency.update({name: usual for name, usual in handed.usual.items() if name in g.topics})
+    g.server_limit, g.server_pool.mean_in_flight, g.last_queued_at = handed.room, handed.busy, handed.pressed
     g.breakers.update(handed.breakers)
     g.buckets = {key: (to[plan], bucket) for key, plan, bucket in handed.buckets if plan in to}
     for name, lease in handed.leases:
@@ -158,9 +160,9 @@
                             for owner, keys in handed.unsettled.items()}
     settling.peer_counts = dict(handed.known)
     settling.incarnations, settling.last_heard_at = handed.current, handed.settled_at
-    g.book.extended_peers = handed.speak
+    g.entitlements.extended_peers = handed.speak
     for key, (told, bucket) in g.buckets.items():
-        g.book.update_bucket(now, key, told, bucket)
+        g.entitlements.update_bucket(now, key, told, bucket)
 
 
 def retired(settings: io.Settings) -> dict[str, Any]:
--- a/larklb/interface.py
+++ b/larklb/interface.py
@@ -13,13 +13,13 @@
 from typing import NamedTuple
 
 # The most that a peer message can say: settings beyond are refused, since cut figures would mislead peers.
-MOST_DEADLINE = 655350.0
-MOST_BURST = 2047.0
-MOST_OPEN = 65535
-MOST_TOPICS = 250          # of judgements: classes count up from 1, plans down from here
+MAX_DEADLINE_MS = 655350.0
+MAX_BURST = 2047.0
+MAX_OPEN = 65535
+MAX_TOPICS = 250          # of judgements: classes count up from 1, plans down from here
 
 
-class Repeat(Enum):
+class RepeatPolicy(Enum):
     """What a class allows once an attempt may have run."""
 
     SAFE = "safe"
@@ -27,7 +27,7 @@
     NEVER = "never"
 
 
-class Group(Enum):
+class DedupScope(Enum):
     """The servers that drop each other's repeats of a key."""
 
     ALL = "all"
@@ -45,14 +45,14 @@
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
     CANCELLED = "cancelled"
-    MOOT = "moot"
+    NOT_SENT = "moot"
 
 
 #: Outcomes that prove that the attempt never ran (stated by the servers' protocol).
-NEVER_RAN = frozenset({Result.FULL, Result.CONNECT_FAILED, Result.MOOT})
+NEVER_RAN = frozenset({Result.FULL, Result.CONNECT_FAILED, Result.NOT_SENT})
 
 
-class State(Enum):
+class ServerState(Enum):
     """What the list of servers says of one."""
 
     UP = "up"
@@ -63,9 +63,9 @@
 class ListKind(Enum):
     """How a list of servers is to be read."""
 
-    WHOLE = "whole"
+    FULL = "whole"
     CHANGES = "changes"
-    RECALLED = "recalled"
+    CACHED = "recalled"
     LOST = "lost"
 
 
@@ -76,8 +76,8 @@
     deadline: float
     worth: float = 1.0
     late_worth: float = 0.0
-    repeat: Repeat = Repeat.SAFE
-    group: Group = Group.ALL
+    repeat: RepeatPolicy = RepeatPolicy.SAFE
+    group: DedupScope = DedupScope.ALL
     window: float = 0.0
 
 
@@ -137,15 +137,15 @@
         need(self.tip_multiple > 0, "tip_multiple", self.tip_multiple)
         for c in self.classes:
             need(c.aim > 0, f"classes[{c.name}].aim", c.aim)
-            need(0 < c.deadline <= MOST_DEADLINE, f"classes[{c.name}].deadline", c.deadline)
+            need(0 < c.deadline <= MAX_DEADLINE_MS, f"classes[{c.name}].deadline", c.deadline)
         for p in self.plans:
             for name in ("rate", "burst", "most_open", "excess_cost", "beyond_earns",
                          "ceiling_rate", "ceiling_burst", "ceiling_slack"):
                 value = getattr(p, name)
                 need(value >= 0, f"plans[{p.name}].{name}", value)
-            need((p.rate == 0 or p.burst > 0) and p.burst <= MOST_BURST, f"plans[{p.name}].burst", p.burst)
-            need(p.most_open <= MOST_OPEN, f"plans[{p.name}].most_open", p.most_open)
-        need(len(self.classes) + len(self.plans) <= MOST_TOPICS, "classes and plans", len(self.plans))
+            need((p.rate == 0 or p.burst > 0) and p.burst <= MAX_BURST, f"plans[{p.name}].burst", p.burst)
+            need(p.most_open <= MAX_OPEN, f"plans[{p.name}].most_open", p.most_open)
+        need(len(self.classes) + len(self.plans) <= MAX_TOPICS, "classes and plans", len(self.plans))
 
 
 @dataclass(frozen=True)
@@ -155,7 +155,7 @@
     server: str
     zone: str = ""
     cell: int = 0
-    state: State = State.UP
+    state: ServerState = ServerState.UP
     weight: float = 1.0
     started: float | None = None
 
@@ -163,7 +163,7 @@
 # Events -------------------------------------------------------------------------------
 
 
-class Before(NamedTuple):
+class EarlierAttempt(NamedTuple):
     """An attempt that another limiter may have made for the same job: where, and how many ms ago."""
 
     zone: str
@@ -181,9 +181,9 @@
     units: float = 1.0
     first: int = 0
     spread: int = 1
-    question: bool = False      # asks for the quota's word alone: ends in a Grant instead of a Send
-    paid: bool = False          # its units were taken by an earlier try of the same job
-    before: tuple[Before, ...] = ()        # attempts of earlier tries, which may have run
+    quota_only: bool = False      # asks for the quota's word alone: ends in a Grant instead of a Send
+    charged: bool = False          # its units were taken by an earlier try of the same job
+    earlier_attempts: tuple[EarlierAttempt, ...] = ()        # attempts of earlier tries, which may have run
 
 
 @dataclass(frozen=True)
@@ -195,7 +195,7 @@
 
 @dataclass(frozen=True)
 class Timer:
-    mark: int
+    timer_id: int
 
 
 @dataclass(frozen=True)
@@ -206,9 +206,10 @@
     result: Result
     took: float
     complete: bool
-    true_units: float | None = None
-    spoilt: bool = False        # what came back cannot be read, though it came back
-    stale: bool = False         # no failing of the server's: its connection had been closed while it rested,
+    actual_units: float | None = None
+    unreadable: bool = False        # what came back cannot be read, though it came back
+    # no failing of the server's: its connection had been closed while it rested,
+    server_blameless: bool = False
                                 # or none could be opened here for want of descriptors or memory
 
 
@@ -226,7 +227,7 @@
 
 
 @dataclass(frozen=True)
-class Spent:
+class BodyConsumed:
     """What a request brings cannot be sent a second time: the attempt that is out is its last."""
 
     request: str
@@ -254,7 +255,7 @@
 
 
 Event = (Request | ServerList | Timer | Outcome | StreamStarted | ClientGone | ProbeResult
-         | Spent | PeerMessage | CounterResult)
+         | BodyConsumed | PeerMessage | CounterResult)
 
 
 # Actions ------------------------------------------------------------------------------
@@ -288,14 +289,14 @@
 
 
 @dataclass(frozen=True)
-class Drawn:
+class RecordDraw:
     """To be kept before what follows leaves: units drawn in all on a reservation, by its owner's verdicts or,
     with ``apart``, by limiter ``by`` (-1: this one) without asking."""
 
     tag: int
     units: float
-    apart: bool = False
-    by: int = -1
+    without_owner: bool = False
+    limiter: int = -1
 
 
 @dataclass(frozen=True)
@@ -321,7 +322,7 @@
 
 
 @dataclass(frozen=True)
-class Tell:
+class SendToPeer:
     peer: int
     data: bytes
 
@@ -329,7 +330,7 @@
 @dataclass(frozen=True)
 class SetTimer:
     after: float
-    mark: int
+    timer_id: int
 
 
 @dataclass(frozen=True)
@@ -342,4 +343,4 @@
     text: str
 
 
-Action = Drawn | Send | Grant | Refuse | Fail | Cancel | Tell | SetTimer | Subscribe | Log
+Action = RecordDraw | Send | Grant | Refuse | Fail | Cancel | SendToPeer | SetTimer | Subscribe | Log
--- a/larklb/lab/net.py
+++ b/larklb/lab/net.py
@@ -120,7 +120,7 @@
         seed = self.chance.randrange(1 << 30)
         gateway = self.gateways[i] = Gateway(self.settings(i), seed, self.now, self.book(i))
         self._carry_out(i, gateway.start(self.now))
-        self.feed(i, io.ServerList(io.ListKind.RECALLED, 1, self.servers))
+        self.feed(i, io.ServerList(io.ListKind.CACHED, 1, self.servers))
 
     def end(self, i: int) -> None:
         """Kills a limiter."""
@@ -142,12 +142,12 @@
         for a in actions:
             match a:
                 case io.SetTimer():
-                    later(a.after, io.Timer(a.mark))
+                    later(a.after, io.Timer(a.timer_id))
                 case io.Send():
                     self._send(i, a, later)
                 case io.Grant():
                     self._let(a.request)
-                case io.Tell():
+                case io.SendToPeer():
                     self._tell(i, a.peer, a.data)
                 case io.Cancel():
                     self._cancel(a, later)
--- a/larklb/net/execute.py
+++ b/larklb/net/execute.py
@@ -136,14 +136,14 @@
 
     def _links(self, short: int) -> int:
         """Connections to a node, by its short digest."""
-        server = self.core.gateway.view.by_short.get(short)
+        server = self.core.gateway.server_pool.by_short_id.get(short)
         return self.links[server.entry.server] if server is not None else 0
 
     def _beyond(self, place: Place, more: int) -> bool:
         """Whether ``more`` connections to a node would be beyond this limiter's share of the limit."""
         server = self.core.gateway.servers.get(place.server) if self.limits.node_attempts else None
         return server is not None and (
-            self.links[place.server] + more > self.limits.allowed(self.wheel.now(), server.short))
+            self.links[place.server] + more > self.limits.allowed(self.wheel.now(), server.short_id))
 
     def _pooled(self, place: Place) -> Link | None:
         """The connection that was used last, of those that have rested."""
@@ -217,7 +217,7 @@
         machine = self.machines.of.get(send.server)
         left = min(job.due - started, send.timeout or job.due - started)
         if machine is None or left <= 0:
-            return Ended(io.Result.MOOT, 0.0)
+            return Ended(io.Result.NOT_SENT, 0.0)
         place, attempt = Place(send.server, machine.place), _Attempt(send.server, started)
         job.stop = attempt.stop
         attempt.timer = self.wheel.after(left, attempt.stop, io.Result.TIMEOUT)
@@ -229,21 +229,21 @@
             if link is None:
                 link = await self._dial(place, min(left, self.dial_timeout), attempt)
             if link is None:
-                result = io.Result.CONNECT_FAILED if attempt.result is None else io.Result.MOOT
+                result = io.Result.CONNECT_FAILED if attempt.result is None else io.Result.NOT_SENT
                 return Ended(result, self.wheel.now() - started, stale=attempt.ours)
             await self.core.count(job, send.stamp)
             if attempt.result is not None:           # called off or out of time before a byte was written
                 kept = True
                 self._keep(place, link)
-                return Ended(io.Result.MOOT, self.wheel.now() - started)
+                return Ended(io.Result.NOT_SENT, self.wheel.now() - started)
             # The dial may have taken longer than the node's drain grace: nothing new goes there after it.
             if machine.closed_at is not None and self.wheel.now() - machine.closed_at > self.grace:
                 self.core.counters.add("held_back.drain")
-                return Ended(io.Result.MOOT, self.wheel.now() - started)
+                return Ended(io.Result.NOT_SENT, self.wheel.now() - started)
             if job.may_send is not None and not job.may_send():
                 kept = True
                 self._keep(place, link)
-                return Ended(io.Result.MOOT, self.wheel.now() - started)
+                return Ended(io.Result.NOT_SENT, self.wheel.now() - started)
             attempt.link = link
             wait = max(0.001, (started + left - self.wheel.now()) / 1000.0)
             head = h11.Request(method=content.method, target=content.target, headers=[
--- a/larklb/net/front.py
+++ b/larklb/net/front.py
@@ -87,9 +87,9 @@
     path = target.partition(b"?")[0].split(b"/")
     if len(path) < 2 or path[0] or path[1] != service.encode():
         raise MalformedError("the path does not begin with the class")
-    if head.method != (b"GET" if cls.repeat is io.Repeat.SAFE else b"POST"):
+    if head.method != (b"GET" if cls.repeat is io.RepeatPolicy.SAFE else b"POST"):
         raise MalformedError("the class has another method")
-    if cls.repeat is io.Repeat.KEYED and not headers.get(b"idempotency-key"):
+    if cls.repeat is io.RepeatPolicy.KEYED and not headers.get(b"idempotency-key"):
         raise MalformedError("the class needs a key")
     if _ID.fullmatch(name) is None:
         raise MalformedError("the request has no id")
--- a/larklb/net/keeper.py
+++ b/larklb/net/keeper.py
@@ -66,14 +66,14 @@
         return msgspec.structs.replace(self.record, state=state, left=self.due - now, sent=sent,
                                        paid=self.record.paid or bool(sent), answer=answer, why=why)
 
-    def before(self) -> tuple[io.Before, ...]:
+    def before(self) -> tuple[io.EarlierAttempt, ...]:
         """What an earlier holder may have sent, for the module."""
         now = self.keeper.now()
-        return tuple(io.Before(s.zone, s.cell, now - at) for s, at in self.sent)
+        return tuple(io.EarlierAttempt(s.zone, s.cell, now - at) for s, at in self.sent)
 
     def told(self, request: io.Request) -> io.Request:
         """The request as the module is to judge it."""
-        return replace(request, paid=self.record.paid, before=self.before())
+        return replace(request, charged=self.record.paid, earlier_attempts=self.before())
 
     async def sending(self, server: str) -> bool:
         """An attempt is about to leave: False where it must not, since this limiter cannot be sure any more
@@ -168,7 +168,7 @@
         """Whether a job of this class is for custody: one that must not run twice, and can be told by a
         key."""
         cls = self.core.classes.get(service)
-        return cls is not None and cls.repeat is io.Repeat.KEYED
+        return cls is not None and cls.repeat is io.RepeatPolicy.KEYED
 
     # A submitter's try --------------------------------------------------------------------
 
--- a/larklb/net/machines.py
+++ b/larklb/net/machines.py
@@ -17,7 +17,7 @@
 
 log = logging.getLogger(__name__)
 
-_STATES = {"up": io.State.UP, "draining": io.State.DRAINING, "removed": io.State.GONE}
+_STATES = {"up": io.ServerState.UP, "draining": io.ServerState.DRAINING, "removed": io.ServerState.GONE}
 RETRY_FIRST, RETRY_MOST = 50.0, 1000.0     # ms between tries to watch
 MOST_LINE = 4 * 1024 * 1024                # of a list; a longer one is not a list
 SILENCE = 2800.0                           # ms without a byte from a watch, which owes a line every 2 s
@@ -63,7 +63,7 @@
     def recall(self) -> None:
         """The list that this limiter held last, perhaps long ago."""
         if self.known is not None:
-            self.apply(self.known, io.ListKind.RECALLED)
+            self.apply(self.known, io.ListKind.CACHED)
 
     def restore(self, of: dict[str, Machine], offset: float, generation: int, where: tuple[str, int]) -> None:
         """The list as another process of this limiter held it, which was told it by discovery ``where``."""
@@ -84,7 +84,7 @@
                 self.core.counters.add("errors.list_entry")
                 continue
             known = self.of.get(i.instance_id)
-            closed_at = None if state is io.State.UP else now
+            closed_at = None if state is io.ServerState.UP else now
             if known is not None and known.closed_at is not None and closed_at is not None:
                 closed_at = known.closed_at
             if known is None:
@@ -104,7 +104,7 @@
             if machine.closed_at is not None and now - machine.closed_at > 60000.0:
                 del self.of[name]
         self.generation = news.generation
-        if kind is not io.ListKind.RECALLED:
+        if kind is not io.ListKind.CACHED:
             self.live.set()
         self.core.counters.add(f"list.{kind.value}")
         self.core.feed(io.ServerList(kind, news.generation, tuple(entries)))
@@ -167,4 +167,4 @@
     def _line(self, line: bytes) -> None:
         if line.strip():
             news = msgspec.json.decode(line, type=MachineList)
-            self.apply(news, io.ListKind.WHOLE if news.reset else io.ListKind.CHANGES)
+            self.apply(news, io.ListKind.FULL if news.reset else io.ListKind.CHANGES)
--- a/larklb/quota/catalogue.py
+++ b/larklb/quota/catalogue.py
@@ -158,8 +158,8 @@
     new = replace(plan, rate=plan.rate if f.rate is None else f.rate,
                   burst=plan.burst if f.burst is None else f.burst,
                   most_open=plan.most_open if f.most_open is None else f.most_open)
-    good = {"rate": 0 <= new.rate <= MAX_RATE, "most_open": 0 <= new.most_open <= io.MOST_OPEN,
-            "burst": 0 <= new.burst <= io.MOST_BURST and (new.rate == 0 or new.burst > 0)}
+    good = {"rate": 0 <= new.rate <= MAX_RATE, "most_open": 0 <= new.most_open <= io.MAX_OPEN,
+            "burst": 0 <= new.burst <= io.MAX_BURST and (new.rate == 0 or new.burst > 0)}
     for name, fine in good.items():
         if not fine:        # NaN compares false and ends here too
             raise CatalogueError(f"plans: {plan.name}: {name} makes no sense: {getattr(new, name)!r}")
--- a/larklb/quota/entitlements.py
+++ b/larklb/quota/entitlements.py
@@ -142,15 +142,15 @@
 
     # Reservations -------------------------------------------------------------------------
 
-    def draw(self, now: float, key: int, units: float) -> io.Drawn | None:
+    def draw(self, now: float, key: int, units: float) -> io.RecordDraw | None:
         """Draws reserved units at the owner, for a request that the bucket refuses; None without enough."""
         for r in self._open(now, key):
             if r.owned and r.remaining >= units - UNIT_TOLERANCE:
                 r.draw(units)
-                return io.Drawn(r.tag, r.drawn)
+                return io.RecordDraw(r.tag, r.drawn)
         return None
 
-    def draw_without_owner(self, now: float, key: int, units: float, number: int) -> io.Drawn | None:
+    def draw_without_owner(self, now: float, key: int, units: float, number: int) -> io.RecordDraw | None:
         """Draws reserved units from this limiter's part while the owner cannot be asked.
 
         ``number`` is this limiter's.  The draw is reported to the owner later.
@@ -161,16 +161,16 @@
                 and r.remaining >= units - UNIT_TOLERANCE):
                 r.remote_draws[number] = drawn + units
                 self.unconfirmed.setdefault(key, {})[r.tag] = drawn + units
-                return io.Drawn(r.tag, drawn + units, True)
+                return io.RecordDraw(r.tag, drawn + units, True)
         return None
 
-    def give_back(self, tag: int, units: float) -> io.Drawn | None:
+    def give_back(self, tag: int, units: float) -> io.RecordDraw | None:
         """Returns drawn units that were not used to their reservation, at the owner."""
         r = self.reservations.by_tag.get(tag) if self.reservations is not None else None
         if r is None or not r.owned or units <= 0:
             return None
         r.give_back(units)
-        return io.Drawn(tag, r.drawn)
+        return io.RecordDraw(tag, r.drawn)
 
     def reserved_units(self, now: float, key: int) -> float:
         """Most units that one reservation of a customer holds now, as far as this limiter knows."""
@@ -181,7 +181,7 @@
             return []
         return list(self.reservations.open_for(key, now + self.clock_offset))
 
-    def on_remote_draw(self, sender: int, report: pw.Drawn) -> io.Drawn | None:
+    def on_remote_draw(self, sender: int, report: pw.Drawn) -> io.RecordDraw | None:
         """Records another limiter's draws without its owner; None if nothing is new.
 
         A report carries the sum of all draws, so that repeated and late reports change nothing.
@@ -191,7 +191,7 @@
             return None
         r.remote_draws[sender] = report.units
         r.draw(0.0)
-        return io.Drawn(report.tag, report.units, True, sender)
+        return io.RecordDraw(report.tag, report.units, True, sender)
 
     def unconfirmed_draws(self, key: int) -> list[pw.Drawn]:
         """Draws of a customer that its owner has not confirmed yet."""
--- a/larklb/quota/fallback.py
+++ b/larklb/quota/fallback.py
@@ -24,7 +24,7 @@
     Shares,
 )
 from larklb.quota.table_limits import evict_fullest, evict_oldest
-from larklb.records import Copy, Held
+from larklb.records import Copy, PendingRequest
 
 # An older copy of the owner's bucket no longer stands in for the owner (from the design).
 COPY_MAX_AGE_MS = 1000.0
@@ -72,10 +72,10 @@
         # When the limiters of a customer reached each other again after a separation.
         self.reunited_at: dict[int, float] = {}
 
-    def record_request(self, now: float, request: Held) -> None:
+    def record_request(self, now: float, request: PendingRequest) -> None:
         """Counts a request that came in here towards the demand of its customer."""
         if self.enabled and request.plan.rate:
-            self.shares.record_request(now, request.key, request.units)
+            self.shares.record_request(now, request.customer_key, request.units)
 
     def is_starting(self, now: float) -> bool:
         """Whether this limiter has just started, so that others know more of its buckets than it does."""
@@ -186,15 +186,15 @@
     def _tokens_left(now: float, copy: Copy, plan: io.Plan) -> float:
         return min(plan.burst, copy.left - copy.let_in + (now - copy.at) * plan.rate / 1000.0)
 
-    def tokens_left(self, now: float, request: Held) -> float | None:
+    def tokens_left(self, now: float, request: PendingRequest) -> float | None:
         """Tokens that the copy shows now, or None without a copy or a rate.
 
         They are sent with each ask, so that a restarted owner's bucket is rebuilt by those who use it.
         """
-        copy = self.copies.get(request.key)
+        copy = self.copies.get(request.customer_key)
         return self._tokens_left(now, copy, request.plan) if copy is not None and request.plan.rate else None
 
-    def refusal_wait(self, now: float, request: Held, inbox: float, usual: float) -> float | None:
+    def refusal_wait(self, now: float, request: PendingRequest, inbox: float, usual: float) -> float | None:
         """Milliseconds to wait where the owner is expected to refuse, else None.
 
         It is expected to where a fresh copy shows too few tokens, or where it refused more than once in a
@@ -202,9 +202,10 @@
         fill the owner's inbox, which takes ``inbox`` messages a second.  Where the refusal was for want of
         a free slot, the wait is at most ``usual`` ms: the next answer frees one.
         """
-        copy = self.copies.get(request.key)
+        copy = self.copies.get(request.customer_key)
         if (copy is None
-            or max(copy.reserved, self.entitlements.reserved_units(now, request.key)) >= request.units):
+            or max(copy.reserved,
+                   self.entitlements.reserved_units(now, request.customer_key)) >= request.units):
             return None
         left, age = self.tokens_left(now, request), now - copy.at
         hold = request.spread * 1000.0 / max(1.0, inbox)
@@ -215,7 +216,7 @@
         empty = left is not None and age <= COPY_MAX_AGE_MS and left < request.units
         return (request.units - left) / request.plan.rate * 1000.0 if left is not None and empty else None
 
-    def decide(self, now: float, request: Held, out: int, failures: int) -> tuple[bool, float]:
+    def decide(self, now: float, request: PendingRequest, out: int, failures: int) -> tuple[bool, float]:
         """Whether a request is admitted without the owner, and the ms to wait if it is not.
 
         A fresh copy less what was admitted since decides, else this limiter's share.  ``out`` counts the
@@ -223,7 +224,7 @@
         One failure may be chance; after several, other limiters too go by their copies and together would
         admit too much.
         """
-        copy, plan = self.copies.get(request.key), request.plan
+        copy, plan = self.copies.get(request.customer_key), request.plan
         fresh = (copy is not None and now - copy.at <= COPY_MAX_AGE_MS
                  and not (self.enabled and failures >= MAX_COPY_FAILURES))
         if copy is not None and fresh:
@@ -238,48 +239,51 @@
         bucket.tokens -= request.units if admitted and plan.rate else 0.0
         return admitted, bucket.wait_for(request.units)
 
-    def _share_bucket(self, now: float, request: Held) -> TokenBucket:
+    def _share_bucket(self, now: float, request: PendingRequest) -> TokenBucket:
         """The bucket of this limiter's share of a customer's quota, with its figures up to date."""
-        part = (max(MIN_SHARE, self.shares.local_share(now, request.key, request.spread)) if self.enabled
+        part = (max(MIN_SHARE, self.shares.local_share(now, request.customer_key, request.spread))
+                if self.enabled
                 else 1.0 / request.spread)
-        if request.key not in self.share_buckets:
+        if request.customer_key not in self.share_buckets:
             evict_fullest(self.share_buckets, now, self.entitlements.max_customers)
-            bucket = self.entitlements.new_bucket(now, request.key, request.told, 1.0 / part)
+            bucket = self.entitlements.new_bucket(now, request.customer_key, request.named_plan, 1.0 / part)
             left = self.tokens_left(now, request)
             if self.enabled and left is not None:
                 bucket.tokens = min(bucket.tokens, part * max(0.0, left) + SLACK_UNITS)
         else:
-            bucket = self.share_buckets[request.key][1]
-        self.share_buckets[request.key] = (request.told, bucket, part)
-        self.entitlements.update_bucket(now, request.key, request.told, bucket, 1.0 / part)
+            bucket = self.share_buckets[request.customer_key][1]
+        self.share_buckets[request.customer_key] = (request.named_plan, bucket, part)
+        self.entitlements.update_bucket(now, request.customer_key, request.named_plan, bucket, 1.0 / part)
         if (bucket.rate, bucket.burst) != (request.plan.rate * part, request.plan.burst * part):
             # The share has changed since the last call.
             bucket.change(now, request.plan.rate * part, request.plan.burst * part)
         bucket.fill(now)
         return bucket
 
-    def record_admitted(self, now: float, request: Held) -> None:
+    def record_admitted(self, now: float, request: PendingRequest) -> None:
         """Counts a request admitted without the owner, to be settled with it."""
         if self.enabled and request.plan.rate:
-            self.settlement.record_admitted(now, request.key, request.told, request.owner, request.units)
+            self.settlement.record_admitted(now, request.customer_key, request.named_plan, request.owner,
+                                            request.units)
 
-    def on_verdict(self, now: float, request: Held, verdict: pw.Verdict) -> None:
+    def on_verdict(self, now: float, request: PendingRequest, verdict: pw.Verdict) -> None:
         """Replaces the copy by what the owner's verdict says; the share's bucket is dropped."""
-        previous = self.copies.pop(request.key, None)
+        previous = self.copies.pop(request.customer_key, None)
         evict_oldest(self.copies, self.entitlements.max_customers)
         refused = 0 if verdict.granted else 1 + (previous.refused if previous else 0)
-        self.copies[request.key] = Copy(request.told, request.owner, verdict.left, verdict.open, now, refused,
-                                        reserved=verdict.reserved)
+        self.copies[request.customer_key] = Copy(
+            request.named_plan, request.owner, verdict.left, verdict.open, now, refused,
+            reserved=verdict.reserved)
         if verdict.share is not None and self.enabled:
-            self.shares.accept_share(now, request.key, verdict.share, verdict.total)
-        self.share_buckets.pop(request.key, None)
+            self.shares.accept_share(now, request.customer_key, verdict.share, verdict.total)
+        self.share_buckets.pop(request.customer_key, None)
 
-    def count_to_report(self, now: float, request: Held) -> list[Count]:
+    def count_to_report(self, now: float, request: PendingRequest) -> list[Count]:
         """The customer's unconfirmed count, if there is one, to be sent in front of an ask."""
-        count = self.settlement.unconfirmed_count(request.key) if self.enabled else None
+        count = self.settlement.unconfirmed_count(request.customer_key) if self.enabled else None
         if count is None:
             return []
-        self.settlement.mark_sent(now, request.key)
+        self.settlement.mark_sent(now, request.customer_key)
         return [count]
 
     def piggybacked_items(self, now: float, peer: int, space: int) -> Iterator[bytes]:
--- a/larklb/records.py
+++ b/larklb/records.py
@@ -9,45 +9,46 @@
 
 
 @dataclass(eq=False)
-class Held:
+class PendingRequest:
     """A request until it is answered and none of its attempts is out."""
 
     request: str
-    cls: io.ServiceClass
+    service_class: io.ServiceClass
     plan: io.Plan
-    plan_number: int
-    key: int
+    plan_index: int
+    customer_key: int
     units: float
     due: float
-    came: float
+    arrived_at: float
     owner: int
     spread: int
-    told: int                              # number of the plan that the request names
-    version: int                           # of the plans, that it is judged under
-    question: bool = False                 # wants the quota's word, no server
+    named_plan: int                              # number of the plan that the request names
+    plan_version: int                      # of the plans, that it is judged under
+    quota_only: bool = False                 # wants the quota's word, no server
     reservation: int = 0                   # that it draws on
     grant: tuple[int, int] | None = None   # (owner, number of the ask) that its lease stands under
-    asking: int | None = None              # number of the ask that it waits for
+    pending_ask: int | None = None              # number of the ask that it waits for
     admitted: bool = False
-    void: bool = False                     # what the owner may still grant is to be given back unheard
-    beyond: bool = False                   # ... though its quota turned it down
-    spent: bool = False                    # it cannot be sent again
+    # what the owner may still grant is to be given back unheard
+    grant_released: bool = False
+    beyond_quota: bool = False                   # ... though its quota turned it down
+    not_repeatable: bool = False                    # it cannot be sent again
     ended: bool = False
     attempts: list[Attempt] = field(default_factory=list)
-    before: list[Attempt] = field(default_factory=list)      # of earlier tries at other limiters
+    earlier_attempts: list[Attempt] = field(default_factory=list)      # of earlier tries at other limiters
 
-    def out(self) -> bool:
-        return any(a.out for a in self.attempts)
+    def has_attempt_in_flight(self) -> bool:
+        return any(a.in_flight for a in self.attempts)
 
-    def unused(self) -> float:
+    def unused_units(self) -> float:
         """Units that no attempt and no answered question has used."""
-        return 0.0 if self.attempts or self.question and self.admitted else self.units
+        return 0.0 if self.attempts or self.quota_only and self.admitted else self.units
 
     def stamp(self) -> io.Stamp:
-        return io.Stamp(self.plan.name, self.version, self.reservation, self.beyond)
+        return io.Stamp(self.plan.name, self.plan_version, self.reservation, self.beyond_quota)
 
-    def ran(self) -> list[Attempt]:
-        return self.before + [a for a in self.attempts if a.may_have_run]
+    def possibly_run_attempts(self) -> list[Attempt]:
+        return self.earlier_attempts + [a for a in self.attempts if a.may_have_run]
 
 
 @dataclass
--- a/larklb/serve.py
+++ b/larklb/serve.py
@@ -22,7 +22,7 @@
 from larklb.counters import Counters
 from larklb.fleet.leases import Limits
 from larklb.handed import Handed, HandedError, unpack
-from larklb.interface import Repeat
+from larklb.interface import RepeatPolicy
 from larklb.net import peers
 from larklb.net.console import Console
 from larklb.net.execute import ExecuteNodes
@@ -216,7 +216,7 @@
     from larklb.fleet.custody import GROUP
     from larklb.net.keeper import Keeper
     s = config.settings
-    longest = max((c.window + c.deadline for c in s.classes if c.repeat is Repeat.KEYED), default=0.0)
+    longest = max((c.window + c.deadline for c in s.classes if c.repeat is RepeatPolicy.KEYED), default=0.0)
     if s.gateways < GROUP or config.peer_listen is None or len(config.peers) != s.gateways:
         raise ConfigError(f"custody needs {GROUP} limiters or more, with peers and peer_listen")
     if 2 * s.gateways > config.sockets * LINKS_PART:
--- a/larklb/state/reserved.py
+++ b/larklb/state/reserved.py
@@ -102,11 +102,11 @@
         self.log.append([_encode(_Cancelled(r.wanted.name))])
         self.log.sync()
 
-    def drew(self, d: io.Drawn, number: int) -> None:
+    def drew(self, d: io.RecordDraw, number: int) -> None:
         """Survives this process's death on return; no sync, for a request waits.  What LogError left out goes
         with the next draw, or when all is tidied: a draw is told as the sum of all."""
-        by = number if d.by < 0 else d.by
-        self.late[d.tag, d.apart, by] = _Drew(d.tag, d.units, d.apart, by)
+        by = number if d.limiter < 0 else d.limiter
+        self.late[d.tag, d.without_owner, by] = _Drew(d.tag, d.units, d.without_owner, by)
         self._flush()
 
     def _flush(self) -> None:
--- a/larklb/succession.py
+++ b/larklb/succession.py
@@ -128,7 +128,7 @@
         try:
             until = self.wheel.now() + QUIET
             while self.wheel.now() < until and any(
-                    h.asking is not None and not h.ended for h in self.core.gateway.held.values()):
+                    h.pending_ask is not None and not h.ended for h in self.core.gateway.pending.values()):
                 await self.wheel.sleep(LOOK)
             between = self.peers.release() if self.peers is not None else None
             await give(channel, Parcel(self._state(), listening, between))
@@ -158,7 +158,7 @@
 
     def _retire(self) -> None:
         gateway = self.core.gateway
-        gateway.s = replace(gateway.s, **retired(gateway.s))
+        gateway.settings = replace(gateway.settings, **retired(gateway.settings))
 
     def renewed(self) -> None:
         """Other settings have been taken: a process that has handed over stays one."""
@@ -177,7 +177,7 @@
             return
         log.error("the process that had taken our place has gone: we serve again")
         self.core.counters.add("errors.succession")
-        self.core.gateway.s = self.core.settings
+        self.core.gateway.settings = self.core.settings
         self.nodes.retire(False)
         self._do(self._go_on(*kept))
 
--- a/larklb/told.py
+++ b/larklb/told.py
@@ -9,7 +9,7 @@
 
 from larklb import interface as io
 
-_REPEAT = {"repeatable": io.Repeat.SAFE, "by_key": io.Repeat.KEYED, "once": io.Repeat.NEVER}
+_REPEAT = {"repeatable": io.RepeatPolicy.SAFE, "by_key": io.RepeatPolicy.KEYED, "once": io.RepeatPolicy.NEVER}
 
 
 def figure(value: Any, name: str) -> float:
@@ -30,7 +30,7 @@
     figures = {p.name: p for p in new.plans}
     plans = [figures.pop(p.name, p) for p in old.plans] + list(figures.values())
     classes = {*topics, *(c.name for c in new.classes)}
-    if len(classes) + len(plans) > io.MOST_TOPICS:
+    if len(classes) + len(plans) > io.MAX_TOPICS:
         raise ValueError("too many classes and plans have come and gone: a restart is needed")
     return replace(new, plans=tuple(plans), number=old.number, gateways=old.gateways, tick=old.tick)
 
@@ -43,7 +43,7 @@
         name=c["name"], aim=figure(c["aim"], "aim"),
         deadline=figure(c["deadline"], "deadline"), worth=c["gain"],
         late_worth=c.get("late_worth", 0.0), repeat=_REPEAT[c["semantics"]],
-        group=io.Group(c.get("group", "all")), window=c.get("window", 0.0)) for c in raw["classes"])
+        group=io.DedupScope(c.get("group", "all")), window=c.get("window", 0.0)) for c in raw["classes"])
     plans = tuple(io.Plan(
         name=t["name"], rate=t.get("quota_rate", 0.0), burst=t.get("depth", 0.0),
         most_open=t.get("concurrency", 0), price=t.get("pays", 1.0),
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -22,9 +22,9 @@
     yard._ports = iter(range(_first + _worker * _part, _first + (_worker + 1) * _part))
 
 SAFE = io.ServiceClass("read", aim=1000.0, deadline=4000.0)
-KEYED = io.ServiceClass("write", aim=1000.0, deadline=4000.0, repeat=io.Repeat.KEYED,
-                        group=io.Group.CELL, window=2000.0)
-ONCE = io.ServiceClass("lock", aim=1000.0, deadline=4000.0, repeat=io.Repeat.NEVER)
+KEYED = io.ServiceClass("write", aim=1000.0, deadline=4000.0, repeat=io.RepeatPolicy.KEYED,
+                        group=io.DedupScope.CELL, window=2000.0)
+ONCE = io.ServiceClass("lock", aim=1000.0, deadline=4000.0, repeat=io.RepeatPolicy.NEVER)
 RATE = io.Plan("rate", rate=1.0, burst=3.0)
 OPEN = io.Plan("open", most_open=2)
 FREE = io.Plan("free")
@@ -63,7 +63,7 @@
         heapq.heapify(self.queue)
         self.gateways[i] = Gateway(settings(number=i, **self.changes), 7 + i, self.now)
         self._act(i, self.gateways[i].start(self.now))
-        self.give(i, io.ServerList(io.ListKind.RECALLED, 1, self.entries))
+        self.give(i, io.ServerList(io.ListKind.CACHED, 1, self.entries))
 
     def give(self, i: int, event: io.Event) -> list[io.Action]:
         actions = self.gateways[i].handle(self.now, event)
@@ -97,13 +97,13 @@
             self.log.append((self.now, i, a))
             self.count += 1
             if isinstance(a, io.SetTimer):
-                heapq.heappush(self.queue, (self.now + a.after, self.count, i, io.Timer(a.mark)))
+                heapq.heappush(self.queue, (self.now + a.after, self.count, i, io.Timer(a.timer_id)))
             elif isinstance(a, io.Send) and self.serve is not None:
                 attempt = self.sent[i, a.request]
                 done = io.Outcome(a.request, attempt, a.server, io.Result.OK, self.serve, True)
                 heapq.heappush(self.queue, (self.now + self.serve, self.count, i, done))
                 self.sent[i, a.request] += 1
-            elif isinstance(a, io.Tell) and not self.cut and not self.drop(i, a.peer):
+            elif isinstance(a, io.SendToPeer) and not self.cut and not self.drop(i, a.peer):
                 heapq.heappush(self.queue, (self.now + self.delay, self.count, a.peer,
                                             io.PeerMessage(i, a.data)))
 
--- a/tests/test_bulk.py
+++ b/tests/test_bulk.py
@@ -170,7 +170,7 @@
 def test_what_cannot_be_sent_again_has_no_further_attempt(result: io.Result) -> None:
     bed = Bed(servers=3)
     bed.ask(0, "r", "write", "free")
-    bed.give(0, io.Spent("r"))
+    bed.give(0, io.BodyConsumed("r"))
     bed.run(400)                   # no review moves it either
     assert not bed.of(io.Cancel)
     bed.end(0, "r", result)
@@ -184,7 +184,7 @@
     for n in range(2):
         bed.ask(0, f"a{n}", plan="open")
         bed.give(0, io.StreamStarted(f"a{n}", 0, "s0", 10.0))
-    assert bed.gateways[0].servers["s0"].out() == 0
+    assert bed.gateways[0].servers["s0"].in_flight() == 0
     bed.ask(0, "b", plan="open")
     assert len(bed.of(io.Refuse, "b")) == 1, "two are still out"
     bed.end(0, "a0")
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -127,5 +127,5 @@
         nodes = execute.ExecuteNodes(config, core, machines)
         job = core.take(io.Request("r", "read", "free", "c", core.wheel.now() + 3000.0))
         ended = await nodes.attempt(job, io.Send("r", "s"), CONTENT, NOBODY)
-        assert ended.result is io.Result.MOOT and link.aborted and core.counters["held_back.drain"] == 1
+        assert ended.result is io.Result.NOT_SENT and link.aborted and core.counters["held_back.drain"] == 1
     asyncio.run(go())
--- a/tests/test_daily.py
+++ b/tests/test_daily.py
@@ -330,7 +330,7 @@
     assert [p.name for p in kept.plans] == ["rate", "open", "free", "new"] and kept.plans[1].most_open == 9
     assert (kept.number, kept.gateways) == (1, 3)
     with pytest.raises(ValueError, match="restart"):
-        in_service(old, new, [f"c{n}" for n in range(io.MOST_TOPICS)])
+        in_service(old, new, [f"c{n}" for n in range(io.MAX_TOPICS)])
 
 
 def test_a_plan_with_other_figures_keeps_what_its_buckets_hold(tmp_path: Path) -> None:
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -6,7 +6,7 @@
 
 from larklb import interface as io
 from larklb import peerwire as pw
-from larklb.decision_constants import SUSPECT
+from larklb.decision_constants import SUSPECT_SLOWNESS
 from larklb.health import ALL_WORK
 from larklb.quota.ring import digest, ring_owner
 from tests.conftest import Bed
@@ -74,9 +74,9 @@
         b.run(1000)
         b.ask(far, "knocks")
         b.run(100)
-        told = len(b.of(io.Tell))
+        told = len(b.of(io.SendToPeer))
         b.ask(far, "asks", customer=other)
-        assert any(isinstance(item, pw.Ask) for a in b.of(io.Tell)[told:] for item in pw.unpack(a.data))
+        assert any(isinstance(item, pw.Ask) for a in b.of(io.SendToPeer)[told:] for item in pw.unpack(a.data))
 
 
 def test_a_reset_or_spoilt_answer_makes_no_suspect_and_a_stale_connection_blames_nobody() -> None:
@@ -84,9 +84,12 @@
     for spoilt, stale in ((False, False), (True, False), (False, True)):
         b = Bed(servers=1)
         b.ask(0, "r", plan="free")
-        b.give(0, io.Outcome("r", 0, "s0", io.Result.RESET, 5.0, False, spoilt=spoilt, stale=stale))
-        slow = b.gateways[0].servers["s0"].faded(b.now, ALL_WORK)
-        assert slow == 1.0 if stale else 1.5 < slow < SUSPECT
+        b.give(
+            0,
+            io.Outcome("r", 0, "s0", io.Result.RESET, 5.0, False, unreadable=spoilt, server_blameless=stale),
+        )
+        slow = b.gateways[0].servers["s0"].decayed_slowness(b.now, ALL_WORK)
+        assert slow == 1.0 if stale else 1.5 < slow < SUSPECT_SLOWNESS
 
 
 def test_late_copies_take_nothing_from_a_customer_within_its_quota() -> None:
@@ -204,11 +207,11 @@
 
 def test_drained_and_missing_servers_get_nothing_new() -> None:
     b = Bed()
-    b.give(0, io.ServerList(io.ListKind.CHANGES, 2, (io.Entry("s0", state=io.State.DRAINING),)))
+    b.give(0, io.ServerList(io.ListKind.CHANGES, 2, (io.Entry("s0", state=io.ServerState.DRAINING),)))
     for i in range(4):
         b.ask(0, f"r{i}", plan="free")
     assert {a.server for a in b.of(io.Send)} == {"s1"}
-    b.give(0, io.ServerList(io.ListKind.WHOLE, 3, (io.Entry("s0"),)))
+    b.give(0, io.ServerList(io.ListKind.FULL, 3, (io.Entry("s0"),)))
     b.ask(0, "late", plan="free")
     assert b.of(io.Send, "late")[0].server == "s0"
 
@@ -285,7 +288,7 @@
     b.ask(0, "r0", plan="free")
     b.end(0, "r0")
     assert b.give(0, io.ClientGone("r0")) == []
-    assert not b.gateways[0].held
+    assert not b.gateways[0].pending
 
 
 def test_unknown_plan_or_class_is_named() -> None:
@@ -300,7 +303,7 @@
     b = Bed(gateways=3, can_tell=False)
     for i in range(6):
         b.ask(other_than("c", 3), f"r{i}")
-    assert len(b.of(io.Send)) == 1 and not b.of(io.Tell)
+    assert len(b.of(io.Send)) == 1 and not b.of(io.SendToPeer)
 
 
 def test_messages_fit_the_inbox_and_the_size() -> None:
@@ -309,7 +312,7 @@
     for i in range(300):
         b.ask(i % 3, f"r{i}", customer=f"k{i % 40}")
         b.run(5)
-    told = [a for _, _, a in b.log[before:] if isinstance(a, io.Tell)]
+    told = [a for _, _, a in b.log[before:] if isinstance(a, io.SendToPeer)]
     assert all(len(a.data) <= pw.MOST_BYTES for a in told)
     assert all(sum(a.peer == g for a in told) <= 40 * 1.5 + 4 for g in range(3))
 
@@ -319,7 +322,9 @@
     b.log.clear()
     b.give(0, io.ServerList(io.ListKind.LOST))
     b.run(1500.0)
-    assert b.of(io.Subscribe) == [io.Subscribe()] and b.gateways[0].view.up, "and the old list counts on"
+    assert b.of(io.Subscribe) == [io.Subscribe()] and b.gateways[0].server_pool.up, (
+        "and the old list counts on"
+    )
 
 
 def test_a_stream_that_has_begun_has_no_deadline_and_ends_once() -> None:
@@ -327,9 +332,9 @@
     b.ask(0, "r", plan="free", due=1000.0)
     b.give(0, io.StreamStarted("r", 0, b.of(io.Send)[0].server, 20.0))
     b.run(3000.0)
-    assert not b.of(io.Fail) and not b.of(io.Refuse) and "r" in b.gateways[0].held
+    assert not b.of(io.Fail) and not b.of(io.Refuse) and "r" in b.gateways[0].pending
     b.end(0, "r", took=3000.0)
-    assert not b.gateways[0].held and all(not s.attempts for s in b.gateways[0].servers.values())
+    assert not b.gateways[0].pending and all(not s.attempts for s in b.gateways[0].servers.values())
 
 
 def test_a_second_copy_goes_out_only_where_the_settings_allow_it() -> None:
--- a/tests/test_hardening.py
+++ b/tests/test_hardening.py
@@ -72,7 +72,7 @@
 # The module ---------------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("what", ["alone.expire", "alone.quiet_peers"])
+@pytest.mark.parametrize("what", ["fallback.expire", "fallback.quiet_peers"])
 def test_what_comes_round_comes_round_again_after_a_failure(what: str) -> None:
     """Cleaning up was set for its next round last of all: one failure, and state grew for good."""
     b = Driven(gateways=2)
@@ -92,16 +92,16 @@
         b.ask(0, f"r{b.count}", plan="free")
     for i in range(4):
         b.ask(0, f"w{i}", plan="free")
-    choose = Once(b.gateways[0]._choose)
-    b.gateways[0]._choose = choose      # type: ignore[method-assign]
+    choose = Once(b.gateways[0]._choose_server)
+    b.gateways[0]._choose_server = choose      # type: ignore[method-assign]
     b.end(0, "r0")
     assert choose.left < 0 and len(b.gateways[0].waiting) >= 4
 
 
-MEETS = ["larklb.quota.entitlements.Entitlements.new_bucket", "larklb.decide.Gateway._decide",
-         "larklb.decide.Gateway._choose",
-         "larklb.decide.Gateway._send", "larklb.quota.bucket.TokenBucket.fill",
-         "larklb.decide.Gateway._after"]
+MEETS = ["larklb.quota.entitlements.Entitlements.new_bucket", "larklb.decide.Gateway._owner_verdict",
+         "larklb.decide.Gateway._choose_server",
+         "larklb.decide.Gateway._send_attempt", "larklb.quota.bucket.TokenBucket.fill",
+         "larklb.decide.Gateway._set_timer"]
 
 
 @pytest.mark.parametrize("where", MEETS)
@@ -110,7 +110,7 @@
     """It fails at once, its units are not lost or taken twice, and nothing of it is left behind."""
     async def go(n: int) -> int:
         core = core_with()
-        core.feed(io.ServerList(io.ListKind.RECALLED, 1, (io.Entry("s0"), io.Entry("s1"))))
+        core.feed(io.ServerList(io.ListKind.CACHED, 1, (io.Entry("s0"), io.Entry("s1"))))
         kind, name = where.rsplit(".", 1)
         module, _, cls = kind.rpartition(".")
         owner = getattr(sys.modules[module], cls)
@@ -125,7 +125,7 @@
                     core.close(taken)
         sends = sum(isinstance(w, io.Send) for w in words)
         fails_told = sum(isinstance(w, io.Fail) for w in words)
-        assert sends == 3 and fails_told <= 1 and set(core.gateway.held) == set(core.jobs)
+        assert sends == 3 and fails_told <= 1 and set(core.gateway.pending) == set(core.jobs)
         assert fails.left >= 0 or core.counters["errors.module"] == 1
         return fails.left
 
@@ -142,22 +142,28 @@
     b.serve = 20.0
     most = 40
     for g in b.gateways.values():
-        g.book.max_customers = g.alone.shares.max_customers = most
+        g.entitlements.max_customers = g.fallback.shares.max_customers = most
     for i in range(3):
         b.ask(0, f"greedy{i}", plan="slow", customer="greedy", spread=1)
     for i in range(400):
         b.ask(i % 2, f"r{i}", plan="slow", customer=f"c{i}")
         b.run(20.0)
     for g in b.gateways.values():
-        shares = g.alone.shares
-        for table in (g.buckets, g.alone.copies, g.alone.share_buckets, shares.demand, shares.peer_demand,
-                      shares.granted):
+        shares = g.fallback.shares
+        for table in (
+            g.buckets,
+            g.fallback.copies,
+            g.fallback.share_buckets,
+            shares.demand,
+            shares.peer_demand,
+            shares.granted,
+        ):
             assert 0 <= len(table) <= most
         assert len(g.buckets) > most / 2 and len(g.leases) < 420 and len(g.owners) < 420
     b.ask(0, "more", plan="slow", customer="greedy", spread=1)
     assert b.of(io.Refuse, "more")
     b.run(9000.0)
-    assert not any(g.held or g.asks or g.leases for g in b.gateways.values())
+    assert not any(g.pending or g.unanswered_asks or g.leases for g in b.gateways.values())
 
 
 def test_a_judgement_outlasts_the_answers_it_comes_from_where_aims_are_long() -> None:
@@ -167,8 +173,10 @@
         b.ask(0, "r", plan="free", due=4 * aim)
         b.end(0, "r", io.Result.ERROR, took=aim)
         server = b.gateways[0].servers["s0"]
-        bad = server.faded(b.now, ALL_WORK) - 1.0
-        assert bad > 1.0 and server.faded(b.now + expected, ALL_WORK) - 1.0 == pytest.approx(bad / 2)
+        bad = server.decayed_slowness(b.now, ALL_WORK) - 1.0
+        assert bad > 1.0 and server.decayed_slowness(b.now + expected, ALL_WORK) - 1.0 == pytest.approx(
+            bad / 2
+        )
 
 
 def test_a_customer_takes_no_more_memory_than_is_planned_for() -> None:
@@ -224,7 +232,7 @@
 
     async def go() -> None:
         core = core_with()
-        core.feed(io.ServerList(io.ListKind.RECALLED, 1, (io.Entry("s"),)))
+        core.feed(io.ServerList(io.ListKind.CACHED, 1, (io.Entry("s"),)))
         monkeypatch.setattr(execute, "dial", none)
         nodes = nodes_of(core, s=Machine(("127.0.0.1", 1)))
         taken = core.take(io.Request("r", "read", "free", "c", core.wheel.now() + 3000.0))
@@ -234,7 +242,7 @@
         assert ended.result is io.Result.CONNECT_FAILED
         core.outcome(taken, "s", ended.result, ended.took, ended.spoilt, ended.stale)
         server = core.gateway.servers["s"]
-        assert server.faded(core.wheel.now(), ALL_WORK) == 1.0 and not core.gateway.verdicts.of
+        assert server.decayed_slowness(core.wheel.now(), ALL_WORK) == 1.0 and not core.gateway.verdicts.of
         assert core.counters["errors.no_descriptor"] == 1 and nodes.open == 0
     asyncio.run(go())
 
@@ -349,7 +357,7 @@
     """What the module believed to be sent was not: its node looked busy for good."""
     async def go() -> None:
         core = core_with()
-        core.feed(io.ServerList(io.ListKind.RECALLED, 1, (io.Entry("s"),)))
+        core.feed(io.ServerList(io.ListKind.CACHED, 1, (io.Entry("s"),)))
         core.wheel.after = Once(core.wheel.after, 1)      # type: ignore[method-assign]
         taken = core.take(io.Request("r", "read", "free", "c", core.wheel.now() + 3000.0))
         assert isinstance(await asyncio.wait_for(taken.next(), 0.5), io.Send)
@@ -363,11 +371,11 @@
         core.take = Once(core.take, 1)      # type: ignore[method-assign]
         front: Any = object.__new__(RateLimitFront)
         front.core = core
-        asked = [io.Request(f"q{i}", "read", "rate", "c", core.wheel.now() + 3000.0, question=True)
+        asked = [io.Request(f"q{i}", "read", "rate", "c", core.wheel.now() + 3000.0, quota_only=True)
                  for i in range(2)]
         with pytest.raises(MemoryError):
             await front._asked(asked)
-        assert not core.jobs and not core.gateway.held
+        assert not core.jobs and not core.gateway.pending
     asyncio.run(go())
 
 
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -144,7 +144,7 @@
     b = Bed(gateways=4, servers=1)
     for i, g in b.gateways.items():
         g.limits = Limits(i, 4, -1e6, 4000.0, 8)
-        g._lease(b.now)
+        g._renew_slots(b.now)
         b._act(i, g.actions)
     for n in range(6):
         b.ask(1, f"r{n}", plan="free")
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -155,8 +155,8 @@
 
 def with_books(b: Bed, *books: Entitlements) -> Bed:
     for gateway, book in zip(b.gateways.values(), books, strict=True):
-        gateway.book, gateway.alone = book, Fallback(gateway.s, book, b.now)
-        gateway.words.alone, gateway.members.heard_at = gateway.alone, gateway.alone.last_heard_at
+        gateway.entitlements, gateway.fallback = book, Fallback(gateway.settings, book, b.now)
+        gateway.words.alone, gateway.members.heard_at = gateway.fallback, gateway.fallback.last_heard_at
     b.log.clear()
     return b
 
@@ -175,9 +175,11 @@
     for i in range(6):
         b.ask(i % 2, f"r{i}")
     b.run(400)
-    tags = {type(item) for a in b.of(io.Tell) for item in pw.unpack(a.data)}
-    verdicts = [item for a in b.of(io.Tell) for item in pw.unpack(a.data) if isinstance(item, pw.Verdict)]
-    asks = [item for a in b.of(io.Tell) for item in pw.unpack(a.data) if isinstance(item, pw.Ask)]
+    tags = {type(item) for a in b.of(io.SendToPeer) for item in pw.unpack(a.data)}
+    verdicts = [
+        item for a in b.of(io.SendToPeer) for item in pw.unpack(a.data) if isinstance(item, pw.Verdict)
+    ]
+    asks = [item for a in b.of(io.SendToPeer) for item in pw.unpack(a.data) if isinstance(item, pw.Ask)]
     assert tags <= {pw.Ask, pw.Verdict, pw.Release, pw.Loads, pw.News}
     assert verdicts and all(v.plan is None for v in verdicts)
     assert asks and all(a.number < pw.SPEAKS for a in asks)
@@ -201,8 +203,8 @@
     b.ask(other, "t", customer=C)
     b.run(1000)
     assert stamps(b)["t"].version == (3 if knows[1] else 0), "a fallback stamps its own"
-    assert max(len(a.data) for a in b.of(io.Tell)) <= pw.MOST_BYTES
-    longer = [item for a in b.of(io.Tell) for item in pw.unpack(a.data)
+    assert max(len(a.data) for a in b.of(io.SendToPeer)) <= pw.MOST_BYTES
+    longer = [item for a in b.of(io.SendToPeer) for item in pw.unpack(a.data)
               if isinstance(item, pw.Verdict) and item.plan is not None]
     assert bool(longer) == (knows == (True, True)), "an older program would drop the whole message"
 
@@ -242,7 +244,7 @@
     rows = b.gateways[0].bucket_rows()
     b.run(400)                                 # 1000: version 1 has counted since 700
     b.begin(0)
-    b.gateways[0].book = Entitlements(PLANS, catalogue(version(1, 700, SLOWER)))
+    b.gateways[0].entitlements = Entitlements(PLANS, catalogue(version(1, 700, SLOWER)))
     assert b.gateways[0].restore(b.now, rows) == 1
     b.ask(0, "after")
     assert len(b.of(io.Send)) == 3 and b.of(io.Refuse)[0].request == "after"
@@ -312,7 +314,7 @@
 
 def test_reserved_units_serve_what_the_bucket_refuses_within_the_window_alone() -> None:
     b = with_books(Bed(), reserving(wanted(units=2.0)))
-    book = b.gateways[0].book.reservations
+    book = b.gateways[0].entitlements.reservations
     assert book is not None
     for at in (700, 1500, 9500):
         b.run(at - b.now)
@@ -321,7 +323,7 @@
     granted = [a.request for a in b.of(io.Send)]
     assert [sum(g.startswith(f"{at}-") for g in granted) for at in (700, 1500, 9500)] == [3, 2, 3]
     assert book.by_name["refit"].state is State.LAPSED
-    drawn = [(a.tag, a.units) for a in b.of(io.Drawn)]
+    drawn = [(a.tag, a.units) for a in b.of(io.RecordDraw)]
     assert drawn == [(book.by_name["refit"].tag, 1.0), (book.by_name["refit"].tag, 2.0)]
     assert [stamps(b)[f"1500-{i}"].reservation for i in range(2)] == [drawn[0][0]] * 2
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -39,9 +39,9 @@
     def classes(self) -> tuple[io.ServiceClass, ...]:
         a = self.aim
         return (io.ServiceClass("read", aim=a, deadline=3 * a, late_worth=0.2),
-                io.ServiceClass("write", aim=1.2 * a, deadline=3 * a, repeat=io.Repeat.KEYED,
-                                group=io.Group.CELL, window=0.4 * a),
-                io.ServiceClass("lock", aim=a, deadline=3 * a, repeat=io.Repeat.NEVER))
+                io.ServiceClass("write", aim=1.2 * a, deadline=3 * a, repeat=io.RepeatPolicy.KEYED,
+                                group=io.DedupScope.CELL, window=0.4 * a),
+                io.ServiceClass("lock", aim=a, deadline=3 * a, repeat=io.RepeatPolicy.NEVER))
 
     def plans(self) -> tuple[io.Plan, ...]:
         r = self.rate
@@ -88,7 +88,7 @@
         for n in range(SERVERS):
             self._node(f"s{n}", n % 3, None)
         for i in self.gateways:
-            self._list(i, list(self.nodes.values()), io.ListKind.WHOLE)
+            self._list(i, list(self.nodes.values()), io.ListKind.FULL)
         self.run(100.0)
 
     def _set(self, gateways: int) -> tuple[int, int]:
@@ -139,8 +139,8 @@
         for a in actions:
             match a:
                 case io.SetTimer():
-                    self._later(a.after, i, io.Timer(a.mark))
-                case io.Tell():
+                    self._later(a.after, i, io.Timer(a.timer_id))
+                case io.SendToPeer():
                     self._message(i, a)
                 case io.Send():
                     self._send(i, a)
@@ -151,7 +151,7 @@
                 case io.Fail():
                     self.rules.failed(self.now, a.request)
 
-    def _message(self, i: int, a: io.Tell) -> None:
+    def _message(self, i: int, a: io.SendToPeer) -> None:
         assert len(a.data) <= 256
         for _ in range(1 + (self.faults and self.chance.random() < 0.1)):
             second = (a.peer, int(self.now // 1000.0))
@@ -213,7 +213,7 @@
         if gateways is not None:
             self.changes["gateways"] = gateways
         super().begin(i)
-        self._list(i, old, io.ListKind.RECALLED)
+        self._list(i, old, io.ListKind.CACHED)
         self._list(i, list(self.nodes.values()))
 
     def resize(self) -> None:
@@ -245,21 +245,21 @@
         self.rules.excess[customer] += (restarts + moves) * plan.burst
 
     def drain(self) -> None:
-        up = [e for e in self.nodes.values() if e.state is io.State.UP]
+        up = [e for e in self.nodes.values() if e.state is io.ServerState.UP]
         if len(up) > 3:
             self._change(replace(self.chance.choice(up), state=self.chance.choice(
-                [io.State.DRAINING, io.State.GONE])))
+                [io.ServerState.DRAINING, io.ServerState.GONE])))
 
     def dark(self) -> None:
         """No node is up for longer than a deadline."""
-        up = [e for e in self.nodes.values() if e.state is io.State.UP]
-        self._change(*(replace(e, state=io.State.DRAINING) for e in up))
+        up = [e for e in self.nodes.values() if e.state is io.ServerState.UP]
+        self._change(*(replace(e, state=io.ServerState.DRAINING) for e in up))
         self.job(self.chance.choice(list(self.sets)))
         self.run(4.0 * self.size.aim)
         self._change(*up)
 
     def start_node(self) -> None:
-        away = [e for e in self.nodes.values() if e.state is not io.State.UP]
+        away = [e for e in self.nodes.values() if e.state is not io.ServerState.UP]
         name = self.chance.choice(away).server if away else f"s{len(self.nodes)}"
         self._change(self._node(name, int(name[1:]) % 3, self.now))
 
--- a/tests/test_running_out.py
+++ b/tests/test_running_out.py
@@ -237,9 +237,9 @@
             reservations.remove(refused)
             a.draw(4.0)
             with pytest.raises(LogError):
-                kept.drew(io.Drawn(a.tag, a.drawn), 0)
+                kept.drew(io.RecordDraw(a.tag, a.drawn), 0)
         b.draw(1.0)
-        kept.drew(io.Drawn(b.tag, b.drawn), 0)
+        kept.drew(io.RecordDraw(b.tag, b.drawn), 0)
         again, _ = reserved_log(folder)                    # killed, and started
         assert {r.wanted.name: r.drawn for r in again.by_name.values()} == {"a": 4.0, "b": 1.0}
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -13,7 +13,7 @@
 from larklb import interface as io
 from larklb.fleet.verdicts import Verdicts
 from larklb.quota.ring import digest, ring_owner
-from larklb.servers import COLD_PART, Servers
+from larklb.servers import COLD_CAPACITY_SHARE, Servers
 from tests.conftest import Bed, settings
 
 MANY = 400
@@ -57,7 +57,7 @@
             b.run(5)
     b.run(300)
     assert max(answered(b, name) - at for name, at in asked.items()) <= 0.1 * 1000.0
-    got = Counter((int(at // 1000), a.peer) for at, _, a in b.log[before:] if isinstance(a, io.Tell))
+    got = Counter((int(at // 1000), a.peer) for at, _, a in b.log[before:] if isinstance(a, io.SendToPeer))
     assert max(got.values()) <= 40
 
 
@@ -91,16 +91,16 @@
     many, servers, usual = 200, 100, 1000.0 / 6
     warm = [io.Entry(f"s{i}") for i in range(servers)]
     new, got = io.Entry("new", started=0.0), 0
-    listed = io.ServerList(io.ListKind.WHOLE, 1, (*warm, new))
+    listed = io.ServerList(io.ListKind.FULL, 1, (*warm, new))
     for i in range(many):
         view = Servers(settings(number=i, gateways=many), random.Random(i),
                        Verdicts(i, many, 4000.0))
-        view.listed(0.0, listed, 4000.0, lambda short: None)
+        view.apply_list(0.0, listed, 4000.0, lambda short: None)
         for at in range(0, 40_000, 50):
-            if view.cold_room(view.of["new"], float(at), 0.25, usual):
-                view.sent(float(at), view.of["new"])
+            if view.cold_server_has_room(view.by_name["new"], float(at), 0.25, usual):
+                view.attempt_sent(float(at), view.by_name["new"])
                 got += 1
-    stands = COLD_PART * 2.0 * 0.25 / usual * 40_000.0
+    stands = COLD_CAPACITY_SHARE * 2.0 * 0.25 / usual * 40_000.0
     assert 0.8 * stands <= got <= 1.1 * stands, (got, stands)
 
 
@@ -115,7 +115,7 @@
         few.ask(0, f"r{i}", plan="free")
         few.end(0, f"r{i}")
     assert 1 <= len(b.of(io.Send)) <= 6, "room of all servers x its part of the gateways"
-    reach = {s.entry.server for s in few.gateways[0].view.near}
+    reach = {s.entry.server for s in few.gateways[0].server_pool.in_reach}
     assert len(reach) < 12 and len({a.server for a in few.of(io.Send)} & reach) >= 6, "no fixed order in it"
     assert {a.server for a in few.of(io.Send)} <= reach, "while those in reach have room"
 
@@ -146,7 +146,7 @@
     for r in range(240):
         ask(b, 1 + r % 19, f"r{r}", "c")
         b.run(25)
-    late = [a for at, _, a in b.log if isinstance(a, io.Tell) and at > b.now - 1000
+    late = [a for at, _, a in b.log if isinstance(a, io.SendToPeer) and at > b.now - 1000
             and a.peer == owner_of("c", first_of("c"), 20, MANY)]
     assert len(late) <= 12, "of 40 requests a second"
 
--- a/tests/test_settling.py
+++ b/tests/test_settling.py
@@ -244,7 +244,7 @@
         b = net.bound_of(s, c, 1.0)
         assert c.most_over <= b.over and c.most_under <= b.under
         assert c.over <= most_over and c.refused <= most_refused
-    assert max(g for g in (len(x.alone.settlement.local_counts) for x in day.gateways.values())) <= 10
+    assert max(g for g in (len(x.fallback.settlement.local_counts) for x in day.gateways.values())) <= 10
 
 
 @pytest.mark.parametrize("name", ["loss30", "split", "flapping"])
@@ -269,10 +269,10 @@
     s = net.SCENARIOS["split"]
     day = net.Net(4, net.customers_of(s, 4, 10, 3, 5), net.link_of(s, 4), 5)
     day.run(34000.0)
-    assert any(g.alone.settlement.unconfirmed for g in day.gateways.values()), "something was let in apart"
+    assert any(g.fallback.settlement.unconfirmed for g in day.gateways.values()), "something was let in apart"
     day.run(35000.0 + PEER_TIMEOUT_MS + ESCROW_RELEASE_DELAY_MS + 1500.0)
     for g in day.gateways.values():
-        late = [m for waiting in g.alone.settlement.unconfirmed.values() for m in waiting.values()
+        late = [m for waiting in g.fallback.settlement.unconfirmed.values() for m in waiting.values()
                 if day.now - m.at > 2000.0]
         assert not late
         assert all(b.part == 1.0 and b.escrow == 0.0 for _, b in g.buckets.values())
@@ -312,7 +312,7 @@
         extra = 12.0 * (2 - 1 / 3) if c is who else 0.0
         assert c.let - c.ideal <= b.over + extra
     assert who.let - who.ideal > 5.0, "reserved units were drawn"
-    reserved = day.gateways[who.owner(4)].book.reservations
+    reserved = day.gateways[who.owner(4)].entitlements.reservations
     assert reserved is not None
     drawn = reserved.by_name["refit"]
     assert drawn.drawn + sum(drawn.remote_draws.values()) <= 12.0 * (2 - 1 / 3)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -326,16 +326,20 @@
     old = bed.gateways[0]
     new = Gateway(settings(number=0, **bed.changes), 99, bed.now)
     install(new, unpack(_state(bed)), bed.now)
-    assert old.buckets and old.leases and old.alone.copies and old.alone.settlement.local_counts
+    assert old.buckets and old.leases and old.fallback.copies and old.fallback.settlement.local_counts
     assert new.buckets == old.buckets
     assert new.leases and new.leases == {n: v for n, v in old.leases.items() if n[0] != 0}
-    assert (new.alone.copies == old.alone.copies
-            and new.alone.settlement.local_counts == old.alone.settlement.local_counts)
-    assert new.alone.settlement.incarnation == old.alone.settlement.incarnation
-    assert {o: list(k) for o, k in new.alone.settlement.unconfirmed.items()} == {
-        o: list(k) for o, k in old.alone.settlement.unconfirmed.items()}
-    assert {n: s.marks for n, s in new.servers.items()} == {n: s.marks for n, s in old.servers.items()}
-    assert new.start(bed.now) and not any(isinstance(a, io.Tell) for a in new.actions), "it does not greet"
+    assert (new.fallback.copies == old.fallback.copies
+            and new.fallback.settlement.local_counts == old.fallback.settlement.local_counts)
+    assert new.fallback.settlement.incarnation == old.fallback.settlement.incarnation
+    assert {o: list(k) for o, k in new.fallback.settlement.unconfirmed.items()} == {
+        o: list(k) for o, k in old.fallback.settlement.unconfirmed.items()}
+    assert {n: s.judgements for n, s in new.servers.items()} == {
+        n: s.judgements for n, s in old.servers.items()
+    }
+    assert new.start(bed.now) and not any(isinstance(a, io.SendToPeer) for a in new.actions), (
+        "it does not greet"
+    )
 
 
 def test_plans_and_classes_go_over_by_name(tmp_path: Path) -> None:
@@ -351,7 +355,7 @@
         assert new.buckets[key][1] == bucket
     none = Gateway(settings(number=0, plans=(io.Plan("other", 1.0, 1.0),), **bed.changes), 99, bed.now)
     install(none, unpack(_state(bed)), bed.now)
-    assert (not none.buckets and not none.alone.copies and not none.alone.settlement.local_counts
+    assert (not none.buckets and not none.fallback.copies and not none.fallback.settlement.local_counts
             and not none.leases)
 
 
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -306,11 +306,11 @@
     there = [n for n, s in gateway.servers.items() if s.entry.zone == "b" for _ in s.attempts]
     assert there
     gateway.zones.override(bed.now, "b", Override(True, bed.now + 5000.0, "test"))
-    moved = gateway.zones_moved(bed.now)
+    moved = gateway.zones_changed(bed.now)
     assert sum(isinstance(a, io.Cancel) for a in moved) == len(there)
     assert sum(isinstance(a, io.SetTimer) for a in moved), "its end comes by time alone"
-    assert all(gateway.view.warmth(gateway.servers[n], bed.now) == 0.0 for n in there)
-    assert not [s for s in gateway.view.near if s.entry.zone == "b"]
+    assert all(gateway.server_pool.warm_share(gateway.servers[n], bed.now) == 0.0 for n in there)
+    assert not [s for s in gateway.server_pool.in_reach if s.entry.zone == "b"]
     before = len(bed.log)
     for i in range(30):
         bed.ask(0, f"k{i}", plan="free")
@@ -326,14 +326,14 @@
     bed.begin(0)
     bed.run(3000)
     gateway = bed.gateways[0]
-    for server in [s for s in gateway.view.up if s.entry.zone != "a"]:
+    for server in [s for s in gateway.server_pool.up if s.entry.zone != "a"]:
         server.attempts += [Attempt(server, bed.now) for _ in range(6)]
-        gateway.view.works(server)
+        gateway.server_pool.update_with_work(server)
     bed.ask(0, "before", plan="free")
     assert not bed.of(io.Send, "before")
     for name in "bc":
         gateway.zones.override(bed.now, name, Override(True, bed.now + 5000.0, "test"))
-    gateway.zones_moved(bed.now)
+    gateway.zones_changed(bed.now)
     bed.ask(0, "after", plan="free")
     assert [gateway.servers[a.server].entry.zone for a in bed.of(io.Send, "after")] == ["a"]
 
@@ -346,11 +346,11 @@
     gateway = bed.gateways[0]
     for o in range(1, 4):
         tell(gateway.zones, bed.now, o, "b")
-    fail_all = [s.short for s in gateway.view.up if s.entry.zone == "b"]
-    gateway.zones.ended(bed.now, "a", gateway.servers["s0"].short, True)
+    fail_all = [s.short_id for s in gateway.server_pool.up if s.entry.zone == "b"]
+    gateway.zones.ended(bed.now, "a", gateway.servers["s0"].short_id, True)
     for short in fail_all:
         gateway.zones.ended(bed.now, "b", short, False)
-    gateway.zones_moved(bed.now)
+    gateway.zones_changed(bed.now)
     assert state(gateway.zones, "b") == "away"
     bed.run(2 * zs.PROBE_MS)
     for allowed, found in ((False, set()), (True, {"b"})):
