--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -46,7 +46,7 @@
         for i in range(5):
             b.ask(0, f"p{i}", plan="pays", customer="p")
             b.ask(0, f"c{i}", plan="costs", customer="c")
-        b.ask(0, "q", plan="pays", customer="p", question=True)
+        b.ask(0, "q", plan="pays", customer="p", quota_only=True)
         b.run(400)
         sent = {a.request for a in b.of(io.Send)}
         assert sent == {"p0", "p1", "p2", "p3", "p4", "c0", "c1", "c2"}
--- a/tests/test_grpc.py
+++ b/tests/test_grpc.py
@@ -166,7 +166,7 @@
     b = Bed(gateways=2)
     far = 1 - ring_owner(digest("c"), [0, 1])
     b.cut = True
-    b.ask(far, "q", due=8.0, question=True)
+    b.ask(far, "q", due=8.0, quota_only=True)
     b.run(100)
     assert b.of(io.Fail, "q") and not b.of(io.Grant) and not b.of(io.Refuse)
 
@@ -175,11 +175,11 @@
     b = Bed(gateways=2)
     owner = ring_owner(digest("c"), [0, 1])
     b.drop = lambda sender, to: sender == owner
-    b.ask(1 - owner, "q", question=True, units=3.0)
+    b.ask(1 - owner, "q", quota_only=True, units=3.0)
     b.run(20)
     b.give(1 - owner, io.ClientGone("q"))
     b.run(3000)
-    b.ask(owner, "all", question=True, units=3.0)
+    b.ask(owner, "all", quota_only=True, units=3.0)
     assert b.of(io.Grant, "all") and not b.of(io.Grant, "q")
 
 
