--- a/larklb/decision_constants.py
+++ b/larklb/decision_constants.py
@@ -1,40 +1,55 @@
-"""Constants of the decision module."""
+"""Constants of the decision module.
+
+A name that ends in ``_AIMS`` is a multiple of the aim of a service class, which is its latency target.
+"""
 
 from __future__ import annotations
 
 from larklb import interface as io
 
-# an unanswered ask is given up after this part: most of the aim is for the work
+# Time after which an unanswered ask is given up.  Most of the aim is left for the work itself.
 ASK_TIMEOUT_AIMS = 0.35
-MIN_REPORT_INTERVAL_MESSAGES = 60.0         # least time between two, as messages of a full inbox
-# gateways, up to which a start is told in messages of its own: else it rides along
+# Least time between two reports to the same owner, in messages of a full inbox.
+MIN_REPORT_INTERVAL_MESSAGES = 60.0
+# In deployments of up to so many gateways a start is announced in messages of its own; in larger ones the
+# announcement is added to messages that are sent anyway.
 MAX_ANNOUNCED_GATEWAYS = 8
-INITIAL_LATENCY_AIMS = 1 / 6    # latency taken for a class before any answer (part of its aim)
-JUDGEMENT_WEIGHT = 0.25               # weight of one answer in the judgement of its server
-IDLE_LOAD_SHARE = 0.9            # of the room of all servers: with less out, jobs beyond a quota may go on
-# slowness that a reset or an answer of no use counts as: the server is there
+# Latency assumed for a class before its first answer.
+INITIAL_LATENCY_AIMS = 1 / 6
+# Weight of one answer in the moving average of its server's slowness.
+JUDGEMENT_WEIGHT = 0.25
+# Requests beyond a quota may be sent while less than this share of the capacity of all servers is in use.
+IDLE_LOAD_SHARE = 0.9
+# Slowness that a reset or an unreadable answer counts as.  It is lower than MAX_SLOWNESS, because the server
+# is reachable.
 RESET_SLOWNESS = 4.0
-# half-life of a judgement with no new answers: a server is then tried again ...
+# Half-life of a judgement without new answers, after which a server is tried again.  For long aims it is
+# HALF_LIFE_AIMS aims, because it must outlast the answers that it comes from.
 MIN_HALF_LIFE_MS = 4000.0
-# ... or so many aims, if they are long: it must outlast the answers it comes from
 HALF_LIFE_AIMS = 2.5
-SUSPECT_SLOWNESS = 3.0              # so many times slower than the median: work there may be moved elsewhere
-# servers are looked at for a request at the least, where others' work is not seen
+# A server that is so many times slower than the median is suspect: requests there may be moved elsewhere.
+SUSPECT_SLOWNESS = 3.0
+# Servers that are compared for a request at least, where the load from other gateways is not visible.
 MIN_CANDIDATES = 2
-# times so many, before all are looked at: those drawn may be suspect, cold or full
+# Samples that are drawn before all servers are compared: those drawn may be suspect, cold or full.
 MAX_SAMPLES = 4
-REVIEW_AFTER_AIMS = 0.25        # attempts are reviewed after this part of the aim
-# attempts out, of all gateways, that a server of mean size may have at first
+# Time after which an attempt in flight is reviewed.
+REVIEW_AFTER_AIMS = 0.25
+# Limit of attempts in flight, from all gateways together, at a server of mean weight: its first value, and a
+# lower bound that keeps the adaptation from starving a server.
 INITIAL_SERVER_LIMIT = 6.0
-MIN_SERVER_LIMIT = 4.0           # ... and at the least, so that the learning never starves a server
-SERVER_LIMIT_INCREASE = 0.05           # added for an answer well within the aim while servers are full
-FAST_ANSWER_AIMS = 0.5            # ... of its aim or less: the answer was quick
-SLOW_ANSWER_AIMS = 0.8            # ... or more: the answer used up most of its aim, and the room shrinks ...
-SERVER_LIMIT_DECREASE = 0.9          # ... by this factor
-# times the usual latency that must be left of the aim for a start to be in time
+MIN_SERVER_LIMIT = 4.0
+# The limit grows by SERVER_LIMIT_INCREASE when an answer took at most FAST_ANSWER_AIMS while requests were
+# waiting for a server.  It is multiplied by SERVER_LIMIT_DECREASE when an answer took SLOW_ANSWER_AIMS or
+# more, or when a server was full.
+SERVER_LIMIT_INCREASE = 0.05
+FAST_ANSWER_AIMS = 0.5
+SLOW_ANSWER_AIMS = 0.8
+SERVER_LIMIT_DECREASE = 0.9
+# A start is taken to be on time if so many times the usual latency is left of the aim.
 ON_TIME_LATENCY_FACTOR = 2.0
 
 
 def judgement_half_life(settings: io.Settings) -> float:
-    """Ms, of judgements."""
+    """The half-life of judgements of servers, in ms."""
     return max(MIN_HALF_LIFE_MS, HALF_LIFE_AIMS * min(c.aim for c in settings.classes))
--- a/larklb/handed.py
+++ b/larklb/handed.py
@@ -95,7 +95,7 @@
     return msgspec.msgpack.encode(Handed(
         version=VERSION, draining=draining, generation=generation, discovery=discovery, offset=offset,
         places=places,
-        servers=[Seen(s.entry, s.judgements, s.last_answer_at, s.last_sent, s.wait_factor)
+        servers=[Seen(s.entry, s.judgements, s.last_answer_at, s.last_sent_at, s.wait_factor)
                  for s in g.servers.values()],
         plans=[p.name for p in g.settings.plans], topics=g.topics, usual=g.usual_latency,
         room=g.server_limit, busy=g.server_pool.mean_in_flight,
@@ -134,7 +134,7 @@
     for seen in handed.servers:
         server = Server(seen.entry, g.settings.number, g.half_life)
         server.judgements = {topics[t]: mark for t, mark in seen.marks.items() if t in topics}
-        server.last_answer_at, server.last_sent, server.wait_factor = seen.heard, seen.last_sent, seen.turn
+        server.last_answer_at, server.last_sent_at, server.wait_factor = seen.heard, seen.last_sent, seen.turn
         g.servers[seen.entry.server] = g.server_pool.by_short_id[server.short_id] = server
     g.usual_latency.update({name: usual for name, usual in handed.usual.items() if name in g.topics})
     g.server_limit, g.server_pool.mean_in_flight, g.last_queued_at = handed.room, handed.busy, handed.pressed
--- a/larklb/health.py
+++ b/larklb/health.py
@@ -1,4 +1,7 @@
-"""How a gateway sees one server: what is out there, and how slow it looks.  Decides nothing, no I/O."""
+"""One server as a gateway sees it: the attempts in flight there, and how slow it looks.
+
+This module decides nothing and does no input or output.
+"""
 
 from __future__ import annotations
 
@@ -11,13 +14,16 @@
 from larklb.fleet.verdicts import Mark
 from larklb.quota.ring import digest
 
-MAX_SLOWNESS = 12.0               # slowness that an error, time-out or refused connection counts as
-# of that half-life passes between trials of a suspect, which are one at a time
+# Slowness that an error, a timeout or a refused connection counts as.
+MAX_SLOWNESS = 12.0
+# Time between two trials of a suspect server, in half-lives of judgements.  There is one trial at a time.
 TRIAL_INTERVAL_HALF_LIVES = 0.25
 
 
 @dataclass(eq=False)
 class Attempt:
+    """One attempt at a server; ``sent_at`` is in ms."""
+
     server: Server
     sent_at: float
     in_flight: bool = True
@@ -25,27 +31,38 @@
 
 
 class Server:
-    """One server as this gateway sees it."""
+    """One server as this gateway sees it.
+
+    ``slowness`` is relative to the usual latency of a class: 1.0 is normal, ``MAX_SLOWNESS`` the worst.
+    Judgements and verdicts are kept by topic: a service class, a plan, or ``ALL_WORK``.
+    """
 
     def __init__(self, entry: io.Entry, number: int, half_life: float) -> None:
-        self.entry, self.half_life = entry, half_life         # half-life of judgements
-        self.short_id = digest(entry.server) & 0xFFFF or 1   # 0 is no server's
+        """``number`` is this gateway's; ``half_life`` of judgements is in ms."""
+        self.entry, self.half_life = entry, half_life
+        self.short_id = digest(entry.server) & 0xFFFF or 1   # 0 stands for no server
         self.tie_break = digest(f"{number}/{entry.server}")   # gateways break ties differently
-        self.attempts: list[Attempt] = []                 # out from here, oldest first
-        self.peers_in_flight = 0                                   # attempts out from peers heard of lately
-        # slowness by topic, and when it was judged here
+        # Attempts in flight from this gateway, oldest first.
+        self.attempts: list[Attempt] = []
+        # Attempts in flight from peers that have reported lately.
+        self.peers_in_flight = 0
+        # This gateway's own judgements: slowness, and the time of the last judgement.
         self.judgements: dict[int, tuple[float, float]] = {}
-        # the fleet's verdicts by topic, without one's own
+        # Verdicts of the fleet, without this gateway's own judgements.
         self.fleet_verdicts: dict[int, Mark] = {}
         self.last_answer_at = -math.inf
-        self.last_sent = -math.inf
-        # part of the wait between sends while it is cold
+        self.last_sent_at = -math.inf
+        # Part of the interval between sends that applies while the server is cold.
         self.wait_factor = 1.0
-        # of what it stands then that is this gateway's
+        # Part of the capacity of the server while it is cold that this gateway may use.
         self.gateway_share = 1.0
 
     def slowness(self, now: float, usual: float, topics: tuple[int, int]) -> float:
-        """Answers, errors and silence on one scale; a class judged just now goes by that, not by all work."""
+        """The slowness of the server for a class and a plan, from answers, errors and silence.
+
+        ``usual`` is the usual latency of the class in ms.  A recent judgement of the class takes precedence
+        over that of all work.
+        """
         if not self.attempts and not self.judgements and not self.fleet_verdicts:
             return 1.0
         silent = now - max(self.attempts[0].sent_at, self.last_answer_at) if self.attempts else 0.0
@@ -58,20 +75,27 @@
         return slow if fresh else max(slow, self.decayed_slowness(now, ALL_WORK))
 
     def decayed_slowness(self, now: float, topic: int) -> float:
-        """One's own judgement, and where that is not fresh the fleet's too, whichever is worse."""
+        """The slowness judged for a topic, decayed to ``now``.
+
+        It is this gateway's own judgement and, where that is not fresh, also the fleet's: the worse of both.
+        """
         slow, at = self.judgements.get(topic, (1.0, -math.inf))
-        mine = 1.0 + (slow - 1.0) * math.exp2(-max(0.0, now - at) / self.half_life)
-        told = self.fleet_verdicts.get(topic)
-        if told is None or now - at < self.half_life * TRIAL_INTERVAL_HALF_LIVES:
-            return mine
-        return max(mine, 1.0 + (told.slow - 1.0) * math.exp2(-max(0.0, now - told.at) / self.half_life))
+        own = 1.0 + (slow - 1.0) * math.exp2(-max(0.0, now - at) / self.half_life)
+        verdict = self.fleet_verdicts.get(topic)
+        if verdict is None or now - at < self.half_life * TRIAL_INTERVAL_HALF_LIVES:
+            return own
+        return max(
+            own,
+            1.0 + (verdict.slow - 1.0) * math.exp2(-max(0.0, now - verdict.at) / self.half_life),
+        )
 
     def last_judged_at(self, topics: Sequence[int]) -> float:
-        """When it was last judged, here or by those who make up the fleet's verdict."""
+        """When the server was last judged for these topics, here or by the gateways behind a verdict."""
         return max(
             (marks[t][1] for marks in (self.judgements, self.fleet_verdicts) for t in topics if t in marks),
             default=-math.inf,
         )
 
     def in_flight(self) -> int:
+        """Attempts in flight there, from this gateway and, as far as is known, from its peers."""
         return len(self.attempts) + self.peers_in_flight
--- a/larklb/interface.py
+++ b/larklb/interface.py
@@ -1,8 +1,7 @@
 """Settings, events and actions of the decision module.
 
-All times are milliseconds on one clock that only advances.  ``Gateway.handle(now, event)``
-in ``decide.py`` takes one event and returns the actions to carry out, in order.
-Nothing is decided here.
+All times are milliseconds on one clock that only advances.  ``Gateway.handle(now, event)`` in ``decide.py``
+takes one event and returns the actions to carry out, in order.  This module holds types only.
 """
 
 from __future__ import annotations
@@ -12,15 +11,21 @@
 from enum import Enum
 from typing import NamedTuple
 
-# The most that a peer message can say: settings beyond are refused, since cut figures would mislead peers.
+# Upper bounds of what a peer message can encode.  Settings beyond them are refused, because truncated figures
+# would mislead peers.
 MAX_DEADLINE_MS = 655350.0
 MAX_BURST = 2047.0
 MAX_OPEN = 65535
-MAX_TOPICS = 250          # of judgements: classes count up from 1, plans down from here
+# Classes and plans share one range of topics of judgements: classes count up from 1, plans down from here.
+MAX_TOPICS = 250
 
 
 class RepeatPolicy(Enum):
-    """What a class allows once an attempt may have run."""
+    """What a service class allows once an attempt may have run.
+
+    ``SAFE`` may run any number of times.  ``KEYED`` may be repeated at servers that drop repeats of its key
+    (see ``DedupScope``), within the window of the class.  ``NEVER`` must not be repeated.
+    """
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -36,7 +41,7 @@
 
 
 class Result(Enum):
-    """How an attempt or a probe ended."""
+    """How an attempt or a probe ended; ``NOT_SENT`` means that the attempt was withdrawn before it left."""
 
     OK = "ok"
     ERROR = "error"
@@ -48,12 +53,12 @@
     NOT_SENT = "moot"
 
 
-#: Outcomes that prove that the attempt never ran (stated by the servers' protocol).
+#: Results that prove that the attempt never ran (as the servers' protocol states).
 NEVER_RAN = frozenset({Result.FULL, Result.CONNECT_FAILED, Result.NOT_SENT})
 
 
 class ServerState(Enum):
-    """What the list of servers says of one."""
+    """State of a server in the list of servers."""
 
     UP = "up"
     DRAINING = "draining"
@@ -61,7 +66,11 @@
 
 
 class ListKind(Enum):
-    """How a list of servers is to be read."""
+    """How a list of servers is to be read.
+
+    ``FULL`` replaces the list; ``CHANGES`` holds changed entries only; ``CACHED`` is a full list from an
+    earlier run; ``LOST`` says that the subscription has ended.
+    """
 
     FULL = "whole"
     CHANGES = "changes"
@@ -71,6 +80,14 @@
 
 @dataclass(frozen=True)
 class ServiceClass:
+    """A class of requests.
+
+    ``aim`` is the latency in ms within which an answer is on time, ``deadline`` the longest a client waits.
+    ``worth`` is the value of an answer on time and ``late_worth`` the share of it that a late one still has.
+    ``repeat``, ``group`` and ``window`` (ms from the first attempt that may have run) say whether and where
+    an attempt may be repeated.
+    """
+
     name: str
     aim: float
     deadline: float
@@ -83,7 +100,12 @@
 
 @dataclass(frozen=True)
 class Plan:
-    """Quotas of one customer of the plan; 0 means that there is no such quota."""
+    """Quotas of one customer of the plan; 0 means that there is no such quota.
+
+    ``rate`` is in units per second and ``burst`` in units; ``most_open`` limits concurrent grants.
+    ``beyond_earns`` and ``excess_cost`` are the earnings and the cost of a unit beyond the quota.  The
+    ceiling bounds all units sent, within and beyond the quota, give or take ``ceiling_slack`` units.
+    """
 
     name: str
     rate: float = 0.0
@@ -99,6 +121,11 @@
 
 @dataclass(frozen=True)
 class Settings:
+    """Settings of one limiter: ``number`` of ``gateways``, counted from 0.
+
+    Raises ``ValueError``, which names the field, for a value out of range.
+    """
+
     number: int
     gateways: int
     classes: tuple[ServiceClass, ...]
@@ -123,7 +150,7 @@
     def __post_init__(self) -> None:
         def need(good: bool, name: str, value: object) -> None:
             if not good:
-                raise ValueError(f"settings: {name} makes no sense: {value!r}")
+                raise ValueError(f"settings: {name} is out of range: {value!r}")
 
         need(self.gateways >= 1, "gateways", self.gateways)
         need(0 <= self.number < max(1, self.gateways), "number", self.number)
@@ -150,7 +177,7 @@
 
 @dataclass(frozen=True)
 class Entry:
-    """One server in a list; ``started`` is None for long ago."""
+    """One server in a list; ``started`` is the time of its start, None if that was long ago."""
 
     server: str
     zone: str = ""
@@ -173,6 +200,14 @@
 
 @dataclass(frozen=True)
 class Request:
+    """A request that a client sent.
+
+    ``due`` is the time by which it must be answered.  Its customer is served by ``spread`` limiters, counted
+    from number ``first``.  With ``quota_only`` only the quota is asked: the request ends in a ``Grant``
+    instead of a ``Send``.  ``charged`` says that an earlier try of the same job has taken its units, and
+    ``earlier_attempts`` holds the attempts of earlier tries, which may have run.
+    """
+
     request: str
     service: str
     plan: str
@@ -181,13 +216,15 @@
     units: float = 1.0
     first: int = 0
     spread: int = 1
-    quota_only: bool = False      # asks for the quota's word alone: ends in a Grant instead of a Send
-    charged: bool = False          # its units were taken by an earlier try of the same job
-    earlier_attempts: tuple[EarlierAttempt, ...] = ()        # attempts of earlier tries, which may have run
+    quota_only: bool = False
+    charged: bool = False
+    earlier_attempts: tuple[EarlierAttempt, ...] = ()
 
 
 @dataclass(frozen=True)
 class ServerList:
+    """A list of servers arrived, or was lost."""
+
     kind: ListKind
     version: int = 0
     entries: tuple[Entry, ...] = ()
@@ -195,11 +232,21 @@
 
 @dataclass(frozen=True)
 class Timer:
+    """The timer that ``SetTimer`` set under this number has expired."""
+
     timer_id: int
 
 
 @dataclass(frozen=True)
 class Outcome:
+    """An attempt ended after ``took`` ms.
+
+    ``complete`` means that nothing more is owed to the client.  ``actual_units`` are the units that the work
+    turned out to use, where this is known.  ``unreadable`` marks an answer that arrived but cannot be parsed.
+    ``server_blameless`` marks a failure that is not the server's: an idle connection had been closed, or
+    none could be opened here for want of descriptors or memory.
+    """
+
     request: str
     attempt: int
     server: str
@@ -207,14 +254,14 @@
     took: float
     complete: bool
     actual_units: float | None = None
-    unreadable: bool = False        # what came back cannot be read, though it came back
-    # no failing of the server's: its connection had been closed while it rested,
+    unreadable: bool = False
     server_blameless: bool = False
-                                # or none could be opened here for want of descriptors or memory
 
 
 @dataclass(frozen=True)
 class StreamStarted:
+    """The first bytes of an attempt's answer are being passed to the client."""
+
     request: str
     attempt: int
     server: str
@@ -223,18 +270,22 @@
 
 @dataclass(frozen=True)
 class ClientGone:
+    """The client has closed its connection."""
+
     request: str
 
 
 @dataclass(frozen=True)
 class BodyConsumed:
-    """What a request brings cannot be sent a second time: the attempt that is out is its last."""
+    """The body of a request cannot be sent a second time: the attempt in flight is its last."""
 
     request: str
 
 
 @dataclass(frozen=True)
 class ProbeResult:
+    """A probe of a server ended."""
+
     server: str
     result: Result
     took: float
@@ -242,12 +293,16 @@
 
 @dataclass(frozen=True)
 class PeerMessage:
+    """A message from another limiter arrived."""
+
     sender: int
     data: bytes
 
 
 @dataclass(frozen=True)
 class CounterResult:
+    """A call to an external counter ended; part of the simulator's protocol only."""
+
     name: int
     result: Result
     total: float
@@ -262,17 +317,21 @@
 
 
 class Stamp(NamedTuple):
-    """What a request was judged under: plan, version, and the reservation that it draws on (0: none)."""
+    """What a request was judged under: plan, version of the plans, and the reservation that it draws on.
+
+    ``reservation`` is 0 for none.  ``beyond`` means that the quota refused the request, and that it is sent
+    nevertheless.
+    """
 
     plan: str
     version: int = 0
     reservation: int = 0
-    beyond: bool = False        # its quota turned it down, and it goes on all the same
+    beyond: bool = False
 
 
 @dataclass(frozen=True)
 class Send:
-    """Start an attempt; ``timeout`` 0 waits as long as the client does."""
+    """Start an attempt; with ``timeout`` 0 it waits as long as the client does."""
 
     request: str
     server: str
@@ -282,7 +341,7 @@
 
 @dataclass(frozen=True)
 class Grant:
-    """Final answer to a question: its units are taken."""
+    """Final answer to a request for quota only: its units are taken."""
 
     request: str
     stamp: Stamp | None = None
@@ -290,8 +349,11 @@
 
 @dataclass(frozen=True)
 class RecordDraw:
-    """To be kept before what follows leaves: units drawn in all on a reservation, by its owner's verdicts or,
-    with ``apart``, by limiter ``by`` (-1: this one) without asking."""
+    """Store the units drawn on a reservation durably, before the actions that follow are carried out.
+
+    ``units`` is a running total: of what its owner granted or, with ``without_owner``, of what limiter
+    ``limiter`` (-1: this one) drew without asking.
+    """
 
     tag: int
     units: float
@@ -301,7 +363,10 @@
 
 @dataclass(frozen=True)
 class Refuse:
-    """Final answer: trying again is harmless; no hint with ``retry_after`` 0; ``over_quota``: the cause."""
+    """Final answer: the request is refused, and it is safe to repeat it.
+
+    ``retry_after`` is in ms, 0 for no hint; ``over_quota`` means that the quota is the cause.
+    """
 
     request: str
     retry_after: float = 0.0
@@ -310,36 +375,46 @@
 
 @dataclass(frozen=True)
 class Fail:
-    """Final answer that promises nothing."""
+    """Final answer: the request failed; whether it ran is unknown."""
 
     request: str
 
 
 @dataclass(frozen=True)
 class Cancel:
+    """Cancel an attempt in flight."""
+
     request: str
     attempt: int
 
 
 @dataclass(frozen=True)
 class SendToPeer:
+    """Send a message to another limiter."""
+
     peer: int
     data: bytes
 
 
 @dataclass(frozen=True)
 class SetTimer:
+    """Deliver ``Timer(timer_id)`` after so many ms."""
+
     after: float
     timer_id: int
 
 
 @dataclass(frozen=True)
 class Subscribe:
+    """Subscribe to the list of servers, or end the subscription."""
+
     on: bool = True
 
 
 @dataclass(frozen=True)
 class Log:
+    """Write a line to the log."""
+
     text: str
 
 
--- a/larklb/records.py
+++ b/larklb/records.py
@@ -1,4 +1,4 @@
-"""What a gateway remembers of requests, grants and copies: types only, nothing is decided here."""
+"""Records that a gateway keeps of requests, of grants and of other limiters' buckets; types only."""
 
 from __future__ import annotations
 
@@ -10,7 +10,11 @@
 
 @dataclass(eq=False)
 class PendingRequest:
-    """A request until it is answered and none of its attempts is out."""
+    """A request, kept until it is answered and none of its attempts is in flight.
+
+    ``due`` and ``arrived_at`` are in ms.  ``owner`` is the number of the limiter that owns the customer's
+    quota, and ``customer_key`` the digest of the customer's name.
+    """
 
     request: str
     service_class: io.ServiceClass
@@ -22,38 +26,53 @@
     arrived_at: float
     owner: int
     spread: int
-    named_plan: int                              # number of the plan that the request names
-    plan_version: int                      # of the plans, that it is judged under
-    quota_only: bool = False                 # wants the quota's word, no server
-    reservation: int = 0                   # that it draws on
-    grant: tuple[int, int] | None = None   # (owner, number of the ask) that its lease stands under
-    pending_ask: int | None = None              # number of the ask that it waits for
+    # Index of the plan that the request names.  ``plan`` is the one in effect, which may differ.
+    named_plan: int
+    # Version of the plans that it is judged under.
+    plan_version: int
+    # Asks for the quota only and is not sent to a server.
+    quota_only: bool = False
+    # Reservation that it draws on; 0 for none.
+    reservation: int = 0
+    # Owner and ask number of the grant, by which the lease is released.
+    grant: tuple[int, int] | None = None
+    # Number of the ask whose verdict it waits for.
+    pending_ask: int | None = None
     admitted: bool = False
-    # what the owner may still grant is to be given back unheard
+    # A release of the ask was sent: a grant that still arrives is void and must not be released again.
     grant_released: bool = False
-    beyond_quota: bool = False                   # ... though its quota turned it down
-    not_repeatable: bool = False                    # it cannot be sent again
+    # Sent although the quota refused it.
+    beyond_quota: bool = False
+    # Its body cannot be sent a second time.
+    not_repeatable: bool = False
     ended: bool = False
     attempts: list[Attempt] = field(default_factory=list)
-    earlier_attempts: list[Attempt] = field(default_factory=list)      # of earlier tries at other limiters
+    # Attempts of earlier tries at other limiters.
+    earlier_attempts: list[Attempt] = field(default_factory=list)
 
     def has_attempt_in_flight(self) -> bool:
+        """Whether an attempt from this limiter is in flight."""
         return any(a.in_flight for a in self.attempts)
 
     def unused_units(self) -> float:
-        """Units that no attempt and no answered question has used."""
+        """Units that neither an attempt nor an answered request for quota only has used."""
         return 0.0 if self.attempts or self.quota_only and self.admitted else self.units
 
     def stamp(self) -> io.Stamp:
+        """What the request is judged under, for its server and for the ledger."""
         return io.Stamp(self.plan.name, self.plan_version, self.reservation, self.beyond_quota)
 
     def possibly_run_attempts(self) -> list[Attempt]:
+        """All attempts that may have run, those of earlier tries first."""
         return self.earlier_attempts + [a for a in self.attempts if a.may_have_run]
 
 
 @dataclass
 class Lease:
-    """The owner's memory of an ask: a repeat gets the same verdict and takes nothing more."""
+    """The owner's record of an ask: a repeated ask gets the same verdict and takes no further units.
+
+    It is in force until ``until`` (ms), or until ``over`` is set.
+    """
 
     customer: int
     plan: int
@@ -61,20 +80,28 @@
     units: float
     until: float
     over: bool = False
-    judged: int = 0                        # number of the plan that was judged under, ...
-    version: int = 0                       # ... and of the version
-    reservation: int = 0                   # that the units come from
+    # Index and version of the plan that the ask was judged under.
+    judged: int = 0
+    version: int = 0
+    # Reservation that the units come from; 0 for none.
+    reservation: int = 0
 
 
 @dataclass
 class Copy:
-    """A late copy of an owner's bucket."""
+    """An owner's bucket as its last verdict described it, at time ``at`` (ms).
+
+    ``left`` are its tokens, ``open`` its open grants, and ``let_in`` counts what was admitted since without
+    the owner.
+    """
 
     plan: int
     owner: int
     left: float
     open: int
     at: float
-    refused: int = 0                       # verdicts in a row that refused
+    # Consecutive refusals by the owner.
+    refused: int = 0
     let_in: float = 0.0
-    reserved: float = 0.0                  # units that could be drawn beyond the tokens
+    # Units that could be drawn on reservations beyond the tokens.
+    reserved: float = 0.0
--- a/larklb/servers.py
+++ b/larklb/servers.py
@@ -70,7 +70,7 @@
                 void(known.short_id)
                 self.zones.renewed(entry.zone, known.short_id)
                 # The first wait is cut by the seed: the firsts of all gateways at once would topple it.
-                known.wait_factor, known.last_sent = self.random.random(), now
+                known.wait_factor, known.last_sent_at = self.random.random(), now
             known.entry = entry
         self.up = [s for s in self.by_name.values() if s.entry.state is io.ServerState.UP]
         self.cumulative_weights = list(itertools.accumulate(max(1e-3, s.entry.weight) for s in self.up))
@@ -181,7 +181,7 @@
 
     def attempt_sent(self, now: float, server: Server) -> None:
         """An attempt has gone there."""
-        server.last_sent, server.wait_factor = now, 1.0
+        server.last_sent_at, server.wait_factor = now, 1.0
         self.update_with_work(server)
         busy = self.busy()
         self.mean_in_flight += EWMA_WEIGHT * (
@@ -213,7 +213,7 @@
         )
         return (
             server.gateway_share > 0
-            and now - server.last_sent >= server.wait_factor / server.gateway_share / stands
+            and now - server.last_sent_at >= server.wait_factor / server.gateway_share / stands
         )
 
     def median_slowness(self, now: float, topics: tuple[int, int], usual: float, aim: float) -> float:
