--- a/larklb/decide.py
+++ b/larklb/decide.py
@@ -679,7 +679,7 @@
         for attempt in h.attempts:
             if attempt in attempt.server.attempts:
                 attempt.server.attempts.remove(attempt)
-                self.server_pool.update_with_work(attempt.server)
+                self.server_pool.work_changed(attempt.server)
         self._drain_queue(now)
 
     def _on_outcome(self, now: float, e: io.Outcome) -> None:
@@ -692,7 +692,7 @@
         attempt.may_have_run = e.result not in io.NEVER_RAN
         if attempt in server.attempts:
             server.attempts.remove(attempt)
-            self.server_pool.update_with_work(server)
+            self.server_pool.work_changed(server)
         self._learn_from_outcome(now, h, server, e, usual)
         if e.complete or h.ended:
             self._finish(now, h, e.actual_units)
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -328,7 +328,7 @@
     gateway = bed.gateways[0]
     for server in [s for s in gateway.server_pool.up if s.entry.zone != "a"]:
         server.attempts += [Attempt(server, bed.now) for _ in range(6)]
-        gateway.server_pool.update_with_work(server)
+        gateway.server_pool.work_changed(server)
     bed.ask(0, "before", plan="free")
     assert not bed.of(io.Send, "before")
     for name in "bc":
