--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -570,7 +570,7 @@
                     lambda known: None)
     sim.run(700)
     assert all(n.subscriber.servers["s2"].state == DRAINING for n in sim.nodes.values())
-    # Only one core machine knows its last heartbeat, and its sign-off arrives at another.
+    # Only one core machine knows the last heartbeat of s2, and its sign-off arrives at another.
     sim.cut("m2", "m0", "m1")
     sim.call_limiter(sim.servers["s2"], to="m1")
     sim.run(50)
