--- a/larklb/admission/quota_records.py
+++ b/larklb/admission/quota_records.py
@@ -1,4 +1,4 @@
-"""What a limiter keeps of quotas: buckets that it owns, slices that it holds, and the limiters it asks."""
+"""State that a limiter keeps about quotas: buckets it owns, slices it holds, and the owners it asks."""
 
 from __future__ import annotations
 
@@ -10,22 +10,37 @@
 from larklb.quota.breaker import CircuitBreaker
 from larklb.quota.bucket import TokenBucket
 
-FIRST_TIMEOUT_MS = 60.0  # before a round trip has been seen
-MIN_TIMEOUT_MS = 25.0  # quick peers still stall for a garbage collection or a busy processor
-MAX_TIMEOUT_MS = 120.0  # a request is held for it
-SLICE_VALID_MS = 110_000.0  # how long a slice holds without a word of the owner ...
-RELEASE_BACKOFF_MS = 500.0  # ... and again, at first after this long and then twice as long
-SILENCE_GAPS = 4.0  # mean gaps between an asker's asks that count as silence: 2% of gaps are longer
-SILENCE_MIN_MS = 200.0  # a lost ask and its time-out aren't silence
-SILENCE_MAX_MS = 2000.0  # longer than an idle asker takes to give back
-HELLO_BACKOFF_MS = 200.0  # between words to a limiter that hasn't agreed to the ring, and then twice as long
-NO_COPY_RATE_FRACTION = 0.1  # of its slice of the rate, for a limiter that holds none
-SLACK_FRACTION = 0.75  # of the rule's slack is for slices; the rest for what is seen late
+# Timeout of an ask before a round trip has been measured.
+INITIAL_TIMEOUT_MS = 60.0
+# Lower bound of the timeout: even fast peers pause for garbage collection or a busy processor.
+MIN_TIMEOUT_MS = 25.0
+# Upper bound of the timeout: the request is held up for this long.
+MAX_TIMEOUT_MS = 120.0
+# How long a slice remains valid after the last copy from the owner.
+SLICE_VALID_MS = 110_000.0
+# Time until a release of a slice is repeated if it is not answered; doubled with each repetition.
+RELEASE_BACKOFF_MS = 500.0
+# An asker is silent after this many times its mean gap between asks.  2% of the gaps are longer.
+SILENCE_GAPS = 4.0
+# Lower bound of that time: one lost ask and its timeout must not count as silence.
+SILENCE_MIN_MS = 200.0
+# Upper bound of that time, longer than an idle asker takes to release its slice.
+SILENCE_MAX_MS = 2000.0
+# Time until a hello is repeated to a limiter that has not confirmed the ring; doubled with each repetition.
+HELLO_BACKOFF_MS = 200.0
+# Fraction of its slice of the rate that a limiter may use without a valid copy.
+NO_COPY_RATE_FRACTION = 0.1
+# Fraction of the slack that the slices may use; the rest covers events that are noticed late.
+SLACK_FRACTION = 0.75
 
 
 @define(frozen=True)
 class OvershootBound:
-    """What the rule lets in beyond a quota: in any ``window_s`` this part of it, and ``slack``."""
+    """How far admission may exceed a quota.
+
+    In any window of ``window_s`` seconds it may exceed the quota by the fraction ``overshoot`` and by
+    ``slack`` requests.
+    """
 
     window_s: float = 5.0
     overshoot: float = 0.1
@@ -34,7 +49,8 @@
 
 @define(frozen=True)
 class Allowance:
-    """What the configuration gives a tenant: ``rate`` a second (0: no limit), ``burst`` in requests."""
+    """A tenant's configured quota: ``rate`` in requests per second (0: unlimited) and ``burst`` in
+    requests."""
 
     tenant: str
     rate: float
@@ -43,7 +59,12 @@
 
 @define
 class Verdict:
-    """``retry_after_ms`` is 0 when allowed; ``by`` tells who decided: owner, asked, copy or slice."""
+    """The decision on one request.
+
+    ``retry_after_ms`` is 0 if the request is allowed.  ``decided_by`` tells what the decision is based on:
+    the bucket of this limiter ("owner"), an answer of the owner ("asked"), a recent copy of the owner's
+    bucket ("copy") or a slice with an older copy or none ("slice").
+    """
 
     allowed: bool
     retry_after_ms: float
@@ -52,7 +73,8 @@
 
 @define
 class Ask:
-    """To be sent to the limiter with the ring number ``owner``; given up at ``give_up_at`` (ms)."""
+    """A message to be sent to the limiter with the ring number ``owner``; it times out at ``deadline``
+    (ms)."""
 
     number: int
     owner: int
@@ -62,7 +84,7 @@
 
 @define
 class PendingAsk:
-    """An ask that was sent and has no verdict yet; ``sent`` in ms."""
+    """An ask that was sent at ``sent_at`` (ms) and has not been answered."""
 
     allowance: Allowance
     owner: int
@@ -72,91 +94,113 @@
 
 @define
 class Slice:
-    """What this limiter may let in of a tenant by itself."""
+    """The part of a tenant's quota that this limiter may use without asking the owner."""
 
     rate: float
     burst: float
     tokens: float
     updated_at: float
-    last_used_at: float  # last request
+    # Time of the last request of the tenant.
+    last_used_at: float
     bound: OvershootBound
-    copied_at: float = -math.inf  # when the copy was asked for
-    ask_number: int = -1  # of the ask that brought it
-    owner: int = -1  # whose copy it is
-    spent: int = 0  # let in without the owner, in this life ...
-    acknowledged: int = 0  # ... of which an owner has heard
+    # Time at which the ask was sent whose answer brought the copy.
+    copied_at: float = -math.inf
+    # Number of that ask; -1 if there is no copy.
+    ask_number: int = -1
+    # Ring number of the limiter whose bucket was copied.
+    owner: int = -1
+    # Requests admitted by the slice since this process started, and how many of them an owner has
+    # acknowledged.
+    spent: int = 0
+    acknowledged: int = 0
     next_release_at: float = -math.inf
     release_backoff_ms: float = RELEASE_BACKOFF_MS
 
     def capacity(self, limiters: int) -> float:
-        """The tokens it holds: a copy may be of just before the owner's burst was spent."""
+        """Return the largest number of tokens the slice may hold when ``limiters`` share the quota.
+
+        It is bounded by the permitted overshoot, as a copy may date from just before the owner's burst was
+        spent.
+        """
         bound = self.bound
         spare = bound.overshoot * (bound.window_s * self.rate + self.burst) + bound.slack * SLACK_FRACTION
-        # A token must fit in, or a small tenant would get nothing.
+        # The slice must be able to hold one token; otherwise a tenant with a small quota would get nothing.
         return max(1.0, min(self.burst, spare) / limiters)
 
     def fill(self, now: float, limiters: int) -> float:
-        """Tokens at ``now``; returns the rate a second that it fills at."""
-        held = now - self.copied_at <= SLICE_VALID_MS
-        rate = self.rate / limiters * (1.0 if held else NO_COPY_RATE_FRACTION)
-        gain = max(0.0, now - self.updated_at) * rate / 1000.0
-        self.tokens = min(self.capacity(limiters), self.tokens + gain)
+        """Add the tokens accrued until ``now``; return the fill rate in tokens per second."""
+        valid = now - self.copied_at <= SLICE_VALID_MS
+        rate = self.rate / limiters * (1.0 if valid else NO_COPY_RATE_FRACTION)
+        accrued = max(0.0, now - self.updated_at) * rate / 1000.0
+        self.tokens = min(self.capacity(limiters), self.tokens + accrued)
         self.updated_at = max(self.updated_at, now)
         return rate
 
 
 @define
 class Asker:
-    """One that asks the owner for a tenant: its slice, and what of it is set aside."""
+    """A limiter that asks the owner about a tenant, with the owner's account of that limiter's slice."""
 
     last_heard_at: float
     incarnation: int
-    spent: int  # what it last told
+    # The count of requests admitted by its slice that the asker reported last.
+    spent: int
+    # Moving average of the time between its asks.
     mean_gap_ms: float
-    tokens_reported: float = 0.0  # what it was told last
+    # Tokens of the bucket in the last verdict that was sent to it.
+    tokens_reported: float = 0.0
+    # Whether the asker is silent and its slice is therefore reserved in the owner's bucket.
     reserved: bool = False
-    reserved_tokens: float = 0.0  # at ``heard``, while apart
+    # Tokens of the reserved slice as of ``last_heard_at``.
+    reserved_tokens: float = 0.0
 
     def silence_timeout(self) -> float:
-        """Ms without an ask after which it counts as silent."""
+        """Return the time in milliseconds without an ask after which the asker counts as silent."""
         return min(SILENCE_MAX_MS, max(SILENCE_MIN_MS, SILENCE_GAPS * self.mean_gap_ms))
 
 
 @define
 class OwnedBucket:
-    """A tenant's bucket at its owner, with the slices of those that ask for it."""
+    """A tenant's token bucket at its owner, with the limiters that ask for the tenant."""
 
     bucket: TokenBucket
     last_used_at: float
-    recently_moved: bool  # made where another owner may have been: some may still ask it
-    ownership_lost: bool = False  # another is the owner now
+    # The bucket was created when another limiter may have been the owner, which some limiters may still ask.
+    recently_moved: bool
+    # Another limiter owns the tenant now.
+    ownership_lost: bool = False
     askers: dict[int, Asker] = field(factory=dict)
-    next_check_at: float = -math.inf  # no asker turns silent, and no part changes, before
+    # Before this time no asker becomes silent and the share of the bucket doesn't change.
+    next_check_at: float = -math.inf
+    # Number of limiters whose slices are reserved.
     reserved_slices: int = 0
 
 
 @define
 class OwnerPeer:
-    """Round trips to an owner, RFC 6298 in milliseconds."""
+    """What is known of another limiter: its round-trip time (estimated as in RFC 6298) and its ring."""
 
     breaker: CircuitBreaker = field(factory=CircuitBreaker)
+    # Smoothed round-trip time and its variation in milliseconds; a negative variation means no measurement
+    # yet.
     srtt: float = 0.0
-    rttvar: float = -1.0  # below 0: none seen yet
+    rttvar: float = -1.0
     last_used_at: float = -math.inf
-    ring_agreed: bool = False  # it has this one's ring, and knows that this one is there
+    # The peer has confirmed that it has the same ring and knows of this limiter.
+    ring_agreed: bool = False
     next_hello_at: float = -math.inf
     hello_backoff_ms: float = HELLO_BACKOFF_MS
 
-    def record_round_trip(self, trip: float) -> None:
-        """One round trip took ``trip`` ms."""
+    def record_round_trip(self, rtt_ms: float) -> None:
+        """Record a measured round-trip time."""
         if self.rttvar < 0:
-            self.srtt, self.rttvar = trip, trip / 2.0
+            self.srtt, self.rttvar = rtt_ms, rtt_ms / 2.0
         else:
-            self.rttvar += 0.25 * (abs(self.srtt - trip) - self.rttvar)
-            self.srtt += 0.125 * (trip - self.srtt)
+            self.rttvar += 0.25 * (abs(self.srtt - rtt_ms) - self.rttvar)
+            self.srtt += 0.125 * (rtt_ms - self.srtt)
 
     def timeout(self) -> float:
-        """Ms after which an ask counts as unanswered."""
+        """Return the time in milliseconds after which an ask counts as unanswered."""
         if self.rttvar < 0:
-            return FIRST_TIMEOUT_MS
+            return INITIAL_TIMEOUT_MS
         return min(MAX_TIMEOUT_MS, max(MIN_TIMEOUT_MS, self.srtt + 4.0 * self.rttvar))
