--- a/larklb/admission/quotas.py
+++ b/larklb/admission/quotas.py
@@ -1,23 +1,23 @@
-"""The quota of a tenant over all limiters: its owner's bucket, asks to the owner, and what is decided
-without it.
-
-The owner is found by hashing on the ring of limiters and keeps the token bucket.  Every other limiter asks
-it once per request.  The verdict carries the owner's tokens, the late copy; a limiter's *slice* (rate and
-burst divided by the count of limiters) is set from each copy, to the copy divided by that count, and
-decides when the owner can't be asked or doesn't answer.
-
-Nothing may be spent on two sides, so the owner sets the slices aside.  An *asker* of a tenant holds its
-slice by the verdicts it got.  Once it is silent for longer than its asks suggest, the owner takes that
-slice out of its own bucket, counted from its last word, and gets back what was not used when the asker
-speaks again.  An asker that merely has no more requests gives its slice back (``notes``).  Limiters that
-vanish from the ring may be cut off with an owner of their own; for a while their part of rate and burst
-stays set aside as well.  A new owner, or one that restarted, has the parts of those that ask it or have
-agreed to its ring (``hello``): the others may still ask the last one, or go by their slices.  A limiter
-without a copy holds no slice the owner knows of, and lets in little (``UNKNOWN_PART``).
-
-In the worst case this lets in, over what one bucket would, the slices of those gone silent until that is
-noticed (``SILENCE_*``), ``UNKNOWN_PART`` of the rate, a token for each limiter, and ``MOVED_PART`` of a
-burst per move.
+"""Tenant quotas across all limiters: the owner's token bucket, asks to the owner, decisions without it.
+
+The owner of a tenant is found by consistent hashing on the ring of limiters and keeps the tenant's token
+bucket.  Every other limiter, an *asker*, asks the owner once per request.  Each verdict carries the number of
+tokens in the owner's bucket.  From this copy the asker sets its *slice*: rate, burst and tokens divided by
+the number of limiters.  The slice decides while the owner can't be asked or doesn't answer.
+
+No token may be spent on both sides of a partition, so the owner accounts for the slices.  An asker holds its
+slice by the verdicts it has received.  When an asker is silent for longer than its previous asks suggest, the
+owner reserves its slice: it deducts the slice from its own bucket, counted from the asker's last message, and
+restores what was not used when the asker is heard again.  An asker that merely has no more requests releases
+its slice by a message (``pending_messages``).  Limiters that leave the ring may be on the other side of a
+partition with an owner of their own, so their share of rate and burst stays reserved for some time as well.
+A new or restarted owner has the shares of those limiters that ask it or have confirmed its ring (``hello``):
+the others may still ask the previous owner or decide by their slices.  A limiter without a valid copy holds
+no slice that the owner knows of, and admits little (``NO_COPY_RATE_FRACTION``).
+
+In the worst case this admits, in excess of a single bucket, the slices of limiters that have become silent
+until that is noticed (``SILENCE_*``), ``NO_COPY_RATE_FRACTION`` of the rate, one token for each limiter, and
+``MOVED_BURST_FRACTION`` of the burst for each change of owner.
 """
 
 from __future__ import annotations
@@ -50,26 +50,45 @@
 from larklb.quota.bucket import TokenBucket
 from larklb.quota.ring import digest, ring_owner
 
-TENANTS = 200_000  # tracked at once, in each table
-ASKS_OUT = 4096  # waiting for a verdict; beyond it the slice decides
-ASKERS = 1024  # of one tenant
-LATE_MS = 2000.0  # a verdict after the time-out still tells the round trip and the copy
-COPY_MS = 1000.0  # up to this age a slice is called the late copy's (design)
-APART_MS = 120_000.0  # ... and how long it is set aside there, or for a limiter that vanished
-IDLE_MS = 1500.0  # without a request before a slice is given back ...
-NOTE_MAX_MS = 8000.0
-NOTES = 64  # in one go
-FIRST_GAP_MS = 500.0  # for an asker that has asked once, or that of the tenant's rate if it is less
-GAP_WEIGHT = 0.125  # of the last gap in the mean
-MOVED_MS = 3000.0  # after a change of the ring, new buckets may be those of other owners ...
-RESTARTED_MS = 10_000.0  # ... as may those of a process that restarted
-MOVED_BURST_FRACTION = 0.25  # of the burst: such a bucket starts with no more
-LOWER_MS = 1000.0  # for so long later asks may lower a new bucket, by what they know to be spent
-HELLO_MAX_MS = 4000.0
-UNKNOWN_TOKENS = 10.0  # that all such limiters have together at first
-ASSUMED_LIMITERS = 16  # before the ring is known
-WHOLE = 1.0 - 1e-9  # a token, less what sums of fractions lose
-
+# Tenants tracked at the same time, in each table.
+MAX_TENANTS = 200_000
+# Asks waiting for a verdict; beyond this number the slice decides.
+MAX_PENDING_ASKS = 4096
+# Askers tracked for one tenant.
+MAX_ASKERS = 1024
+# A verdict that arrives this long after the timeout still yields a round-trip time and a copy.
+LATE_REPLY_MS = 2000.0
+# Up to this age of the copy a decision by the slice is reported as COPY, afterwards as SLICE.
+RECENT_COPY_MS = 1000.0
+# How long the slice of a silent asker, or of a limiter that left the ring, stays reserved.  This is longer
+# than a slice is valid at the asker.
+RESERVATION_MS = 120_000.0
+# A slice without a request for this long is released.
+SLICE_IDLE_MS = 1500.0
+MAX_RELEASE_BACKOFF_MS = 8000.0
+# Messages returned by one call of ``pending_messages``.
+MAX_MESSAGES = 64
+# Assumed gap between asks of an asker that has asked once, unless the tenant's rate implies a shorter one.
+INITIAL_GAP_MS = 500.0
+# Weight of the last gap in the moving average.
+GAP_WEIGHT = 0.125
+# A bucket created this soon after a change of the ring may have had another owner.
+RING_CHANGE_MS = 3000.0
+# A bucket created this soon after a restart may have existed before the restart.
+RESTART_MS = 10_000.0
+# Such a bucket starts with at most this fraction of its burst.
+MOVED_BURST_FRACTION = 0.25
+# For this long asks may lower the tokens of a new bucket to the number that the asker knows of.
+NEW_BUCKET_MS = 1000.0
+MAX_HELLO_BACKOFF_MS = 4000.0
+# Initial tokens of all limiters without a copy together.
+NO_COPY_TOKENS = 10.0
+# Number of limiters assumed while the ring is unknown.
+ASSUMED_LIMITERS = 16
+# One token, less the rounding error of sums of fractions.
+ONE_TOKEN = 1.0 - 1e-9
+
+# Values of ``Verdict.decided_by``.
 OWNER: Final = "owner"
 ASKED: Final = "asked"
 COPY: Final = "copy"
@@ -79,50 +98,62 @@
 
 
 class Quotas:
-    """All quotas as one limiter, ``node``, sees them.
+    """The quotas of all tenants as one limiter, ``node``, handles them.
 
-    ``settled`` False: this process has restarted among running ones, and the buckets that it makes at first
-    may be those it lost.  Times are milliseconds of one clock that never goes back; messages are plain JSON
-    objects.
+    Times are milliseconds of one monotonic clock.  Messages are plain JSON objects.
     """
 
     def __init__(
         self, node: str, now: float, seed: int, *, first_start: bool, bound: OvershootBound | None = None
     ) -> None:
-        self._chance = random.Random(seed)
+        """Create the state at the time ``now``.
+
+        ``first_start`` is False if this process restarts among running limiters: buckets that it creates soon
+        afterwards may have existed before.  ``seed`` determines the jitter of circuit breakers.
+        """
+        self._random = random.Random(seed)
         self._bound = bound or OvershootBound()
-        self._life = digest(f"{node} {seed} {now}") >> 16  # fits every reader's integers
+        # 48 bits, so that every JSON reader represents the number exactly.
+        self._incarnation = digest(f"{node} {seed} {now}") >> 16
         self._node = node
-        self._unsure_until = -math.inf if first_start else now + RESTARTED_MS
-        self._moved_at = -math.inf
-        self._me: int | None = None
-        self._live: dict[int, str] = {}
-        self._gone: dict[int, float] = {}
+        self._restarting_until = -math.inf if first_start else now + RESTART_MS
+        self._ring_changed_at = -math.inf
+        self._own_number: int | None = None
+        # Nodes of the live limiters by ring number, and when the others left the ring.
+        self._nodes: dict[int, str] = {}
+        self._departed: dict[int, float] = {}
         self._ring: Sequence[int] = ()
         self._owners: dict[str, int] = {}
         self._owned: dict[str, OwnedBucket] = {}
         self._slices: dict[str, Slice] = {}
-        self._out: dict[int, PendingAsk] = {}
-        self._waiting = 0
+        self._pending: dict[int, PendingAsk] = {}
+        # Pending asks that have not timed out.
+        self._pending_count = 0
         self._peers: dict[int, OwnerPeer] = {}
-        self._number = 0
-        self._version = 0
-        self._table: dict[str, Allowance] = {}
+        self._last_ask_number = 0
+        self._config_version = 0
+        self._allowances: dict[str, Allowance] = {}
+
+    def set_limiters(self, now: float, numbers: dict[int, str], own_number: int | None) -> None:
+        """Replace the ring: the nodes of the live limiters by ring number.
 
-    def set_limiters(self, now: float, numbers: dict[int, str], me: int | None) -> None:
-        """Ring numbers of the live limiters and their nodes; ``me``: this one's, None before it has one."""
+        ``own_number`` is the ring number of this limiter, None as long as it has none.
+        """
         ring = sorted(numbers)
         if self._ring and ring != self._ring:
-            self._moved_at = now
+            self._ring_changed_at = now
         nodes = set(numbers.values())
-        for number, node in self._live.items():
+        for number, node in self._nodes.items():
             if number not in numbers and node not in nodes and node != self._node:
-                self._gone[number] = now
-        self._gone = {n: at for n, at in self._gone.items() if n not in numbers and now - at <= APART_MS}
-        changed = ring != self._ring or me != self._me
-        for number in set(numbers) - set(self._live):
-            self._peers.pop(number, None)  # a new life; what failed the last one says nothing
-        self._live, self._ring, self._me = dict(numbers), ring, me
+                self._departed[number] = now
+        self._departed = {
+            n: at for n, at in self._departed.items() if n not in numbers and now - at <= RESERVATION_MS
+        }
+        changed = ring != self._ring or own_number != self._own_number
+        for number in set(numbers) - set(self._nodes):
+            # A new incarnation: failures of the previous one say nothing about it.
+            self._peers.pop(number, None)
+        self._nodes, self._ring, self._own_number = dict(numbers), ring, own_number
         if changed:
             self._owners.clear()
             for peer in self._peers.values():
@@ -133,81 +164,97 @@
                 )
             for tenant, owned in self._owned.items():
                 owned.next_check_at = -math.inf
-                if not owned.ownership_lost and self._owner(tenant) != me:
+                if not owned.ownership_lost and self._owner(tenant) != own_number:
                     owned.ownership_lost = True
-                    self._keep_copy(now, tenant, owned)  # what an asker knows, this one knows better
+                    # The bucket is more accurate than any copy an asker holds.
+                    self._copy_to_slice(now, tenant, owned)
 
-    def set_allowances(self, now: float, version: int, table: dict[str, Allowance]) -> None:
-        """The configuration in force here; an older one than known is ignored."""
-        if version < self._version:
+    def set_allowances(self, now: float, version: int, allowances: dict[str, Allowance]) -> None:
+        """Apply the configured allowances by tenant; a version older than the present one is ignored."""
+        if version < self._config_version:
             return
-        self._version, self._table = version, dict(table)
+        self._config_version, self._allowances = version, dict(allowances)
         for tenant, owned in self._owned.items():
-            mine = self._table.get(tenant)
-            if mine is not None and owned.bucket.version <= version:
-                self._figures(now, owned, mine, version)
-        for tenant, part in self._slices.items():
-            mine = self._table.get(tenant)
-            if mine is not None:
-                part.rate, part.burst = mine.rate, mine.burst
+            allowance = self._allowances.get(tenant)
+            if allowance is not None and owned.bucket.version <= version:
+                self._apply_allowance(now, owned, allowance, version)
+        for tenant, tenant_slice in self._slices.items():
+            allowance = self._allowances.get(tenant)
+            if allowance is not None:
+                tenant_slice.rate, tenant_slice.burst = allowance.rate, allowance.burst
 
     def request(self, now: float, allowance: Allowance) -> Verdict | Ask:
-        """One request of the tenant: decided, or an ask to send (then ``told`` or ``given_up`` decides)."""
+        """Decide on one request of a tenant, or return an ask to be sent to the owner.
+
+        The decision on an ask is returned by ``handle_reply``, or by ``handle_timeout``, which is to be
+        called at the ask's deadline.
+        """
         if allowance.rate <= 0:
             return Verdict(True, 0.0, OWNER)
         tenant = allowance.tenant
         owner = self._owner(tenant)
-        if owner is not None and owner == self._me:
-            owned = self._own(now, allowance, self._version, None)
-            return self._take(now, owned, OWNER)
-        part = self._slice(now, allowance)
-        part.last_used_at = now
-        if owner is None or self._waiting >= ASKS_OUT:
-            return self._alone(now, part)
+        if owner is not None and owner == self._own_number:
+            owned = self._get_owned(now, allowance, self._config_version, None)
+            return self._take_token(now, owned, OWNER)
+        tenant_slice = self._slice(now, allowance)
+        tenant_slice.last_used_at = now
+        if owner is None or self._pending_count >= MAX_PENDING_ASKS:
+            return self._decide_by_slice(now, tenant_slice)
         peer = self._peer(now, owner)
         if not peer.breaker.allows(now):
-            return self._alone(now, part)
-        self._number += 1
-        self._waiting += 1
-        self._out[self._number] = PendingAsk(allowance, owner, now)
+            return self._decide_by_slice(now, tenant_slice)
+        self._last_ask_number += 1
+        self._pending_count += 1
+        self._pending[self._last_ask_number] = PendingAsk(allowance, owner, now)
         message = {
             "k": "ask",
-            "n": self._number,
+            "n": self._last_ask_number,
             "t": tenant,
             "r": allowance.rate,
             "b": allowance.burst,
-            "v": self._version,
-            "life": self._life,
-            "spent": part.spent,
-            "heard": part.acknowledged,
+            "v": self._config_version,
+            "life": self._incarnation,
+            "spent": tenant_slice.spent,
+            "heard": tenant_slice.acknowledged,
         }
-        age = now - part.copied_at
+        age = now - tenant_slice.copied_at
         if age <= SLICE_VALID_MS:
-            part.fill(now, self._limiters())
-            message |= {"left": min(part.burst, part.tokens * self._limiters()), "age": age, "of": part.owner}
-        return Ask(self._number, owner, message, now + peer.timeout())
+            tenant_slice.fill(now, self._limiter_count())
+            message |= {
+                "left": min(tenant_slice.burst, tenant_slice.tokens * self._limiter_count()),
+                "age": age,
+                "of": tenant_slice.owner,
+            }
+        return Ask(self._last_ask_number, owner, message, now + peer.timeout())
 
     def handle_request(self, now: float, sender: int, message: dict[str, Any]) -> dict[str, Any] | None:
-        """An ask, or a slice given back, from the limiter ``sender``; the answer, None if unreadable."""
+        """Handle an ask, a release of a slice or a hello from the limiter with the ring number ``sender``.
+
+        Returns the reply, or None if there is none or the message is invalid.
+        """
         try:
             return self._answer(now, sender, message)
         except InvalidMessageError:
             return None
 
     def handle_reply(self, now: float, message: dict[str, Any]) -> tuple[int, Verdict] | None:
-        """An answer: the ask's number and its verdict; None when it is unknown, unreadable or too late."""
+        """Handle the reply to an earlier message.
+
+        Returns the number of the ask and its verdict, or None if the reply carries no verdict, is invalid, or
+        belongs to an ask that is unknown or has timed out.
+        """
         try:
             kind, number = message.get("k"), read_integer(message, "n")
             if kind == "backed":
-                self._given_back(read_text(message, "t"), number)
+                self._release_confirmed(read_text(message, "t"), number)
                 return None
             if kind == "hi":
-                if read_integer(message, "ring") == self._ring_digest() and number in self._live:
-                    self._agree(now, number)
+                if read_integer(message, "ring") == self._ring_digest() and number in self._nodes:
+                    self._record_ring_agreement(now, number)
                 return None
             if kind != "verdict":
-                raise InvalidMessageError("no answer")
-            ok, left, wait = (
+                raise InvalidMessageError("not a reply")
+            ok, tokens_left, wait = (
                 message.get("ok"),
                 read_number(message, "left", -MAX_NUMBER),
                 read_number(message, "wait"),
@@ -217,125 +264,144 @@
                 raise InvalidMessageError("ok")
         except InvalidMessageError:
             return None
-        out = self._out.pop(number, None)
-        if out is None:
+        ask = self._pending.pop(number, None)
+        if ask is None:
             return None
-        self._peer(now, out.owner).breaker = CircuitBreaker()  # any word drops it
-        self._peers[out.owner].record_round_trip(now - out.sent_at)
-        part = self._slice(now, out.allowance)
-        part.acknowledged = max(part.acknowledged, min(spent, part.spent))
-        if number > part.ask_number:
-            # What has been let in here since that ask is not in the owner's figure yet.
-            count = self._limiters()
-            mine = max(0.0, left) / count - (part.spent - min(spent, part.spent))
-            part.tokens, part.updated_at = max(0.0, min(part.capacity(count), mine)), now
-            part.copied_at, part.ask_number, part.owner, part.next_release_at = (
-                out.sent_at,
+        # Any message from the owner resets its circuit breaker.
+        self._peer(now, ask.owner).breaker = CircuitBreaker()
+        self._peers[ask.owner].record_round_trip(now - ask.sent_at)
+        tenant_slice = self._slice(now, ask.allowance)
+        tenant_slice.acknowledged = max(tenant_slice.acknowledged, min(spent, tenant_slice.spent))
+        if number > tenant_slice.ask_number:
+            # Requests that the slice has admitted since the ask are not included in the owner's number yet.
+            count = self._limiter_count()
+            tokens = max(0.0, tokens_left) / count - (tenant_slice.spent - min(spent, tenant_slice.spent))
+            tenant_slice.tokens, tenant_slice.updated_at = (
+                max(0.0, min(tenant_slice.capacity(count), tokens)),
+                now,
+            )
+            (
+                tenant_slice.copied_at,
+                tenant_slice.ask_number,
+                tenant_slice.owner,
+                tenant_slice.next_release_at,
+            ) = (
+                ask.sent_at,
                 number,
-                out.owner,
+                ask.owner,
                 -math.inf,
             )
-            part.release_backoff_ms = RELEASE_BACKOFF_MS
-        if out.timed_out:
+            tenant_slice.release_backoff_ms = RELEASE_BACKOFF_MS
+        if ask.timed_out:
             return None
-        self._waiting -= 1
+        self._pending_count -= 1
         return number, Verdict(ok, 0.0 if ok else max(1.0, wait), ASKED)
 
     def handle_timeout(self, now: float, number: int) -> Verdict:
-        """No answer in time: the slice decides.  An unknown number is refused."""
-        out = self._out.get(number)
-        if out is None or out.timed_out:
+        """Decide by the slice on an ask without an answer in time; refuse if its number is unknown."""
+        ask = self._pending.get(number)
+        if ask is None or ask.timed_out:
             return Verdict(False, MAX_TIMEOUT_MS, SLICE)
-        out.timed_out = True
-        self._waiting -= 1
-        self._peer(now, out.owner).breaker.record_failure(now, self._chance.random())
-        return self._alone(now, self._slice(now, out.allowance))
+        ask.timed_out = True
+        self._pending_count -= 1
+        self._peer(now, ask.owner).breaker.record_failure(now, self._random.random())
+        return self._decide_by_slice(now, self._slice(now, ask.allowance))
 
     def pending_messages(self, now: float) -> list[tuple[int, dict[str, Any]]]:
-        """Words (ring number, message) that give unused slices back, and those of a new owner; to be sent a
-        few times a second, the answers go to ``told``.
+        """Return the messages that are due, each with the ring number of its receiver.
 
-        They may be lost: they come again until answered.  Without them owners keep slices of idle askers set
-        aside, and tenants near their rate are refused.
+        They release unused slices and ask the other limiters to confirm the ring of a new owner.  To be
+        called a few times a second; the replies go to ``handle_reply``.  Messages may be lost and are
+        repeated until they are answered.  Without them owners would keep the slices of idle askers reserved
+        and refuse requests of tenants whose load is near their rate.
         """
-        notes: list[tuple[int, dict[str, Any]]] = []
+        messages: list[tuple[int, dict[str, Any]]] = []
         if any(owned.recently_moved and not owned.ownership_lost for owned in self._owned.values()):
             ring = self._ring_digest()
             for number in self._ring:
                 if (
-                    number == self._me
+                    number == self._own_number
                     or (peer := self._peer(now, number)).ring_agreed
                     or now < peer.next_hello_at
                 ):
                     continue
                 peer.next_hello_at, peer.hello_backoff_ms = (
                     now + peer.hello_backoff_ms,
-                    min(HELLO_MAX_MS, 2.0 * peer.hello_backoff_ms),
+                    min(MAX_HELLO_BACKOFF_MS, 2.0 * peer.hello_backoff_ms),
                 )
-                notes.append((number, {"k": "hello", "ring": ring}))
-        for tenant, part in self._slices.items():
-            if len(notes) >= NOTES:
+                messages.append((number, {"k": "hello", "ring": ring}))
+        for tenant, tenant_slice in self._slices.items():
+            if len(messages) >= MAX_MESSAGES:
                 break
-            if part.ask_number < 0 or now - part.last_used_at < IDLE_MS or now < part.next_release_at:
+            if (
+                tenant_slice.ask_number < 0
+                or now - tenant_slice.last_used_at < SLICE_IDLE_MS
+                or now < tenant_slice.next_release_at
+            ):
                 continue
             if (
-                now - part.copied_at > SLICE_VALID_MS
-                or part.owner == self._me
-                or part.owner not in self._live
+                now - tenant_slice.copied_at > SLICE_VALID_MS
+                or tenant_slice.owner == self._own_number
+                or tenant_slice.owner not in self._nodes
             ):
                 continue
-            part.next_release_at, part.release_backoff_ms = (
-                now + part.release_backoff_ms,
-                min(NOTE_MAX_MS, 2.0 * part.release_backoff_ms),
+            tenant_slice.next_release_at, tenant_slice.release_backoff_ms = (
+                now + tenant_slice.release_backoff_ms,
+                min(MAX_RELEASE_BACKOFF_MS, 2.0 * tenant_slice.release_backoff_ms),
             )
-            notes.append(
+            messages.append(
                 (
-                    part.owner,
+                    tenant_slice.owner,
                     {
                         "k": "back",
-                        "n": part.ask_number,
+                        "n": tenant_slice.ask_number,
                         "t": tenant,
-                        "life": self._life,
-                        "spent": part.spent,
-                        "heard": part.acknowledged,
+                        "life": self._incarnation,
+                        "spent": tenant_slice.spent,
+                        "heard": tenant_slice.acknowledged,
                     },
                 )
             )
-        return notes
+        return messages
 
     def expire(self, now: float) -> None:
-        """Forget what tells nothing any more: idle buckets, old slices, answers that won't come."""
-        for number in [n for n, out in self._out.items() if now - out.sent_at > LATE_MS + MAX_TIMEOUT_MS]:
-            if not self._out.pop(number).timed_out:
-                self._waiting -= 1
-        before = len(self._gone)
-        self._gone = {n: at for n, at in self._gone.items() if now - at <= APART_MS}
+        """Drop idle buckets, expired slices, asks that will not be answered, and peers that are gone."""
+        for number in [
+            n for n, ask in self._pending.items() if now - ask.sent_at > LATE_REPLY_MS + MAX_TIMEOUT_MS
+        ]:
+            if not self._pending.pop(number).timed_out:
+                self._pending_count -= 1
+        before = len(self._departed)
+        self._departed = {n: at for n, at in self._departed.items() if now - at <= RESERVATION_MS}
         for tenant, owned in list(self._owned.items()):
-            if len(self._gone) != before:
+            if len(self._departed) != before:
                 owned.next_check_at = -math.inf
             idle = now - owned.last_used_at
-            if self._owner(tenant) != self._me and idle > MOVED_MS:
+            if self._owner(tenant) != self._own_number and idle > RING_CHANGE_MS:
                 del self._owned[tenant]
-            elif idle > RESTARTED_MS and not any(asker.reserved for asker in owned.askers.values()):
-                self._check(now, owned)
+            elif idle > RESTART_MS and not any(asker.reserved for asker in owned.askers.values()):
+                self._refresh(now, owned)
                 if owned.bucket.fill(now) >= owned.bucket.burst * owned.bucket.part - 1e-6:
-                    del self._owned[tenant]  # a new one would be full as well
-        for tenant, part in list(self._slices.items()):
-            held = part.ask_number >= 0 and now - part.copied_at <= SLICE_VALID_MS
-            if not held and now - part.last_used_at > RESTARTED_MS + 1000.0 * part.burst / max(
-                part.rate, 1e-6
+                    # The bucket is full, as a new one would be.
+                    del self._owned[tenant]
+        for tenant, tenant_slice in list(self._slices.items()):
+            valid = tenant_slice.ask_number >= 0 and now - tenant_slice.copied_at <= SLICE_VALID_MS
+            if not valid and now - tenant_slice.last_used_at > RESTART_MS + 1000.0 * tenant_slice.burst / max(
+                tenant_slice.rate, 1e-6
             ):
                 del self._slices[tenant]
         for number, peer in list(self._peers.items()):
-            if number not in self._live and now - peer.last_used_at > APART_MS:
+            if number not in self._nodes and now - peer.last_used_at > RESERVATION_MS:
                 del self._peers[number]
 
     def rows(self, now: float, only: str | None = None) -> list[dict[str, Any]]:
-        """What an operator may want to see: a row per bucket owned here and per slice, or those of ``only``
-        one tenant."""
+        """Return a status row for each bucket owned here and for each slice.
+
+        If ``only`` is given, only the rows of that tenant are returned.
+        """
         rows: list[dict[str, Any]] = []
-        for tenant, owned in _of(self._owned, only):
-            self._check(now, owned)
+        for tenant, owned in _select(self._owned, only):
+            self._refresh(now, owned)
             rows.append(
                 {
                     "tenant": tenant,
@@ -347,31 +413,32 @@
                     "askers": len(owned.askers),
                 }
             )
-        for tenant, part in _of(self._slices, only):
-            part.fill(now, self._limiters())
+        for tenant, tenant_slice in _select(self._slices, only):
+            tenant_slice.fill(now, self._limiter_count())
             rows.append(
                 {
                     "tenant": tenant,
                     "role": "asker",
-                    "tokens": round(part.tokens, 3),
-                    "rate": part.rate,
-                    "burst": part.burst,
+                    "tokens": round(tenant_slice.tokens, 3),
+                    "rate": tenant_slice.rate,
+                    "burst": tenant_slice.burst,
                     "owner": self._owner(tenant),
-                    "untold": part.spent - part.acknowledged,
+                    "untold": tenant_slice.spent - tenant_slice.acknowledged,
                 }
             )
         return rows
 
-    def _limiters(self) -> int:
-        """Those that may let in something now, as far as known here."""
-        return max(1, len(self._live) + len(self._gone)) if self._live else ASSUMED_LIMITERS
+    def _limiter_count(self) -> int:
+        """Return the number of limiters that may be admitting requests, with those that left recently."""
+        return max(1, len(self._nodes) + len(self._departed)) if self._nodes else ASSUMED_LIMITERS
 
     def _owner(self, tenant: str) -> int | None:
+        """Return the ring number of the tenant's owner, None while the ring is unknown."""
         if not self._ring:
             return None
         owner = self._owners.get(tenant)
         if owner is None:
-            if len(self._owners) >= TENANTS:
+            if len(self._owners) >= MAX_TENANTS:
                 self._owners.clear()
             owner = self._owners[tenant] = ring_owner(digest(tenant), self._ring)
         return owner
@@ -379,7 +446,8 @@
     def _ring_digest(self) -> int:
         return digest(" ".join(map(str, self._ring))) >> 16
 
-    def _agree(self, now: float, number: int) -> None:
+    def _record_ring_agreement(self, now: float, number: int) -> None:
+        """Record that a limiter has confirmed the ring, so that its share need not be reserved any more."""
         peer = self._peer(now, number)
         peer.breaker = CircuitBreaker()
         if not peer.ring_agreed:
@@ -394,85 +462,93 @@
         peer.last_used_at = now
         return peer
 
-    # -- as an asker
+    # Asker side --------------------------------------------------------------------------
 
     def _slice(self, now: float, allowance: Allowance) -> Slice:
-        part = self._slices.get(allowance.tenant)
-        if part is None:
-            if len(self._slices) >= TENANTS:
+        """Return the tenant's slice, created if there is none, with the rate and burst of ``allowance``."""
+        tenant_slice = self._slices.get(allowance.tenant)
+        if tenant_slice is None:
+            if len(self._slices) >= MAX_TENANTS:
                 del self._slices[next(iter(self._slices))]
-            count = self._limiters()
-            tokens = min(1.0, UNKNOWN_TOKENS / count, allowance.burst / count)
-            part = self._slices[allowance.tenant] = Slice(
+            count = self._limiter_count()
+            tokens = min(1.0, NO_COPY_TOKENS / count, allowance.burst / count)
+            tenant_slice = self._slices[allowance.tenant] = Slice(
                 allowance.rate, allowance.burst, tokens, now, now, self._bound
             )
-        elif part.rate != allowance.rate or part.burst != allowance.burst:
-            part.fill(now, self._limiters())
-            part.rate, part.burst = allowance.rate, allowance.burst
-        return part
-
-    def _alone(self, now: float, part: Slice) -> Verdict:
-        rate = part.fill(now, self._limiters())
-        by = COPY if now - part.copied_at <= COPY_MS else SLICE
-        if part.tokens < WHOLE:
-            return Verdict(False, max(1.0, (1.0 - part.tokens) / max(rate, 1e-6) * 1000.0), by)
-        part.tokens -= 1.0
-        part.spent += 1
-        return Verdict(True, 0.0, by)
-
-    def _given_back(self, tenant: str, number: int) -> None:
-        part = self._slices.get(tenant)
-        if part is not None and part.ask_number == number:
-            part.ask_number, part.copied_at = -1, -math.inf
-            part.tokens = min(part.tokens, UNKNOWN_TOKENS / self._limiters())
-
-    def _keep_copy(self, now: float, tenant: str, owned: OwnedBucket) -> None:
-        self._check(now, owned)
+        elif tenant_slice.rate != allowance.rate or tenant_slice.burst != allowance.burst:
+            tenant_slice.fill(now, self._limiter_count())
+            tenant_slice.rate, tenant_slice.burst = allowance.rate, allowance.burst
+        return tenant_slice
+
+    def _decide_by_slice(self, now: float, tenant_slice: Slice) -> Verdict:
+        """Decide on one request without the owner."""
+        rate = tenant_slice.fill(now, self._limiter_count())
+        decided_by = COPY if now - tenant_slice.copied_at <= RECENT_COPY_MS else SLICE
+        if tenant_slice.tokens < ONE_TOKEN:
+            return Verdict(
+                False, max(1.0, (1.0 - tenant_slice.tokens) / max(rate, 1e-6) * 1000.0), decided_by
+            )
+        tenant_slice.tokens -= 1.0
+        tenant_slice.spent += 1
+        return Verdict(True, 0.0, decided_by)
+
+    def _release_confirmed(self, tenant: str, number: int) -> None:
+        """Drop the copy of a slice after the owner has confirmed its release."""
+        tenant_slice = self._slices.get(tenant)
+        if tenant_slice is not None and tenant_slice.ask_number == number:
+            tenant_slice.ask_number, tenant_slice.copied_at = -1, -math.inf
+            tenant_slice.tokens = min(tenant_slice.tokens, NO_COPY_TOKENS / self._limiter_count())
+
+    def _copy_to_slice(self, now: float, tenant: str, owned: OwnedBucket) -> None:
+        """Set the tenant's slice from a bucket that this limiter no longer owns."""
+        self._refresh(now, owned)
         bucket = owned.bucket
-        part = self._slice(now, Allowance(tenant, bucket.rate, bucket.burst))
-        count = self._limiters()
-        part.tokens, part.updated_at, part.copied_at = (
+        tenant_slice = self._slice(now, Allowance(tenant, bucket.rate, bucket.burst))
+        count = self._limiter_count()
+        tenant_slice.tokens, tenant_slice.updated_at, tenant_slice.copied_at = (
             max(0.0, min(bucket.burst, bucket.tokens)) / count,
             now,
             now,
         )
-        part.ask_number, part.owner = -1, -1
+        tenant_slice.ask_number, tenant_slice.owner = -1, -1
 
-    # -- as an owner
+    # Owner side --------------------------------------------------------------------------
 
     def _answer(self, now: float, sender: int, message: dict[str, Any]) -> dict[str, Any] | None:
+        """Answer a message; raises InvalidMessageError."""
         kind = message.get("k")
         if sender in self._peers:
-            self._peers[sender].breaker = CircuitBreaker()  # any word drops it
+            # Any message from a peer resets its circuit breaker.
+            self._peers[sender].breaker = CircuitBreaker()
         if kind == "hello":
             ring = read_integer(message, "ring")
             return (
                 None
-                if self._me is None or not ring
-                else {"k": "hi", "n": self._me, "ring": self._ring_digest()}
+                if self._own_number is None or not ring
+                else {"k": "hi", "n": self._own_number, "ring": self._ring_digest()}
             )
         number, tenant = read_integer(message, "n"), read_text(message, "t")
-        life, spent, heard = (
+        incarnation, spent, acknowledged = (
             read_integer(message, "life"),
             read_integer(message, "spent"),
             read_integer(message, "heard"),
         )
         if kind == "back":
-            known = self._owned.get(tenant)
-            if known is not None and sender in known.askers:
-                self._returned(now, known, sender, life, spent, heard)
-                del known.askers[sender]
-                self._check(now, known, again=True)
+            existing = self._owned.get(tenant)
+            if existing is not None and sender in existing.askers:
+                self._apply_usage(now, existing, sender, incarnation, spent, acknowledged)
+                del existing.askers[sender]
+                self._refresh(now, existing, force=True)
             return {"k": "backed", "n": number, "t": tenant}
         if kind != "ask":
-            raise InvalidMessageError("no ask")
+            raise InvalidMessageError("not an ask")
         allowance = Allowance(tenant, read_number(message, "r"), read_number(message, "b"))
         version = read_integer(message, "v")
-        left = read_number(message, "left") if "left" in message else None
-        of = read_integer(message, "of", -1) if "of" in message else -1
-        mine = self._table.get(tenant)
-        if mine is not None and self._version >= version:
-            allowance, version = mine, self._version
+        tokens_left = read_number(message, "left") if "left" in message else None
+        copy_owner = read_integer(message, "of", -1) if "of" in message else -1
+        configured = self._allowances.get(tenant)
+        if configured is not None and self._config_version >= version:
+            allowance, version = configured, self._config_version
         if allowance.rate <= 0:
             return {
                 "k": "verdict",
@@ -482,18 +558,23 @@
                 "wait": 0.0,
                 "spent": spent,
             }
-        owned = self._own(now, allowance, version, left)
+        owned = self._get_owned(now, allowance, version, tokens_left)
         if (
-            left is not None
+            tokens_left is not None
             and owned.recently_moved
-            and now - owned.bucket.born <= LOWER_MS
-            and of != self._me
+            and now - owned.bucket.born <= NEW_BUCKET_MS
+            and copy_owner != self._own_number
         ):
             owned.bucket.fill(now)
-            owned.bucket.tokens = min(owned.bucket.tokens, left)  # it knows of spending elsewhere
-        held = None if left is None or of == self._me else left / self._limiters()
-        self._returned(now, owned, sender, life, spent, heard, held)
-        verdict = self._take(now, owned, ASKED)
+            # The asker's copy includes requests that another owner admitted.
+            owned.bucket.tokens = min(owned.bucket.tokens, tokens_left)
+        held_tokens = (
+            None
+            if tokens_left is None or copy_owner == self._own_number
+            else tokens_left / self._limiter_count()
+        )
+        self._apply_usage(now, owned, sender, incarnation, spent, acknowledged, held_tokens)
+        verdict = self._take_token(now, owned, ASKED)
         tokens = owned.bucket.tokens
         if sender in owned.askers:
             owned.askers[sender].tokens_reported = tokens
@@ -506,146 +587,172 @@
             "spent": spent,
         }
 
-    def _own(self, now: float, allowance: Allowance, version: int, left: float | None) -> OwnedBucket:
-        """The bucket of a tenant; a new one starts with no more than is known to be left (``left``)."""
+    def _get_owned(
+        self, now: float, allowance: Allowance, version: int, tokens_left: float | None
+    ) -> OwnedBucket:
+        """Return the bucket of a tenant, created if there is none.
+
+        A new bucket starts with at most ``tokens_left``, the number of tokens that an asker knows of.
+        """
         owned = self._owned.get(allowance.tenant)
         if owned is None:
-            moved = now < self._unsure_until or now - self._moved_at < MOVED_MS
+            moved = now < self._restarting_until or now - self._ring_changed_at < RING_CHANGE_MS
             tokens = allowance.burst * (MOVED_BURST_FRACTION if moved else 1.0)
-            tokens = min(tokens, self._own_copy(now, allowance.tenant))
-            if left is not None:
-                tokens = min(tokens, left)
-            tokens *= 1.0 - len(self._gone) / self._limiters()  # those have theirs, if only cut off
-            if len(self._owned) >= TENANTS:
+            tokens = min(tokens, self._take_own_copy(now, allowance.tenant))
+            if tokens_left is not None:
+                tokens = min(tokens, tokens_left)
+            # Limiters that left the ring may still use their shares on the other side of a partition.
+            tokens *= 1.0 - len(self._departed) / self._limiter_count()
+            if len(self._owned) >= MAX_TENANTS:
                 del self._owned[next(iter(self._owned))]
-                self._moved_at = now  # it could come back, and not full
+                # If the dropped tenant returns, its new bucket must not start full.
+                self._ring_changed_at = now
             bucket = TokenBucket(allowance.rate, allowance.burst, tokens, now, born=now, version=version)
             owned = self._owned[allowance.tenant] = OwnedBucket(bucket, now, moved)
         elif version >= owned.bucket.version:
-            self._figures(now, owned, allowance, version)
-        if owned.ownership_lost and self._owner(allowance.tenant) == self._me:
-            # Another has spent from a bucket of its own in between.
+            self._apply_allowance(now, owned, allowance, version)
+        if owned.ownership_lost and self._owner(allowance.tenant) == self._own_number:
+            # In the meantime another owner has admitted requests from a bucket of its own.
             owned.ownership_lost, owned.recently_moved, owned.next_check_at, owned.bucket.born = (
                 False,
                 True,
                 -math.inf,
                 now,
             )
-            owned.bucket.tokens = min(owned.bucket.fill(now), self._own_copy(now, allowance.tenant))
+            owned.bucket.tokens = min(owned.bucket.fill(now), self._take_own_copy(now, allowance.tenant))
         owned.last_used_at = now
         return owned
 
-    def _own_copy(self, now: float, tenant: str) -> float:
-        """What is left by the copy from when this one was an asker, which it is no more."""
-        mine = self._slices.get(tenant)
-        if mine is None or now - mine.copied_at > SLICE_VALID_MS:
+    def _take_own_copy(self, now: float, tenant: str) -> float:
+        """Return the tokens known from the slice that this limiter held as an asker, and invalidate its copy.
+
+        Returns infinity if there is no valid copy.
+        """
+        tenant_slice = self._slices.get(tenant)
+        if tenant_slice is None or now - tenant_slice.copied_at > SLICE_VALID_MS:
             return math.inf
-        mine.fill(now, self._limiters())
-        mine.ask_number, mine.copied_at = -1, -math.inf
-        return mine.tokens * self._limiters()
+        tenant_slice.fill(now, self._limiter_count())
+        tenant_slice.ask_number, tenant_slice.copied_at = -1, -math.inf
+        return tenant_slice.tokens * self._limiter_count()
 
-    def _figures(self, now: float, owned: OwnedBucket, allowance: Allowance, version: int) -> None:
+    def _apply_allowance(self, now: float, owned: OwnedBucket, allowance: Allowance, version: int) -> None:
+        """Set the rate and burst of a bucket from version ``version`` of the configuration."""
         bucket = owned.bucket
         if (bucket.rate, bucket.burst) != (allowance.rate, allowance.burst):
-            self._check(now, owned)
+            self._refresh(now, owned)
             bucket.change(now, allowance.rate, allowance.burst)
         bucket.version = version
 
-    def _take(self, now: float, owned: OwnedBucket, by: str) -> Verdict:
-        self._check(now, owned)
+    def _take_token(self, now: float, owned: OwnedBucket, decided_by: str) -> Verdict:
+        """Decide on one request by the bucket."""
+        self._refresh(now, owned)
         bucket = owned.bucket
-        if bucket.tokens < WHOLE:
-            return Verdict(False, max(1.0, bucket.wait_for(1.0) / max(bucket.part, 0.01)), by)
+        if bucket.tokens < ONE_TOKEN:
+            return Verdict(False, max(1.0, bucket.wait_for(1.0) / max(bucket.part, 0.01)), decided_by)
         bucket.tokens -= 1.0
-        return Verdict(True, 0.0, by)
+        return Verdict(True, 0.0, decided_by)
+
+    def _refresh(self, now: float, owned: OwnedBucket, *, force: bool = False) -> None:
+        """Fill the bucket by its share and reserve the slices of askers that have become silent.
 
-    def _check(self, now: float, owned: OwnedBucket, *, again: bool = False) -> None:
-        """Fill the bucket by its part, and set aside the slices of askers that have gone silent."""
+        ``force`` checks the askers even if no change is due yet.
+        """
         bucket = owned.bucket
         bucket.fill(now)
-        bucket.escrow = 0.0  # what is set aside is counted by asker
-        if again or now >= owned.next_check_at:
-            self._set_aside(now, owned)
+        # Reservations are accounted for by asker, not in the bucket's escrow.
+        bucket.escrow = 0.0
+        if force or now >= owned.next_check_at:
+            self._reserve_silent(now, owned)
         bucket.tokens = min(bucket.tokens, max(1.0, bucket.burst * bucket.part))
 
-    def _set_aside(self, now: float, owned: OwnedBucket) -> None:
-        bucket, count = owned.bucket, self._limiters()
-        apart, check_at = set(self._gone), math.inf
+    def _reserve_silent(self, now: float, owned: OwnedBucket) -> None:
+        """Reserve the slices of silent, departed and unconfirmed limiters, and set the bucket's share."""
+        bucket, count = owned.bucket, self._limiter_count()
+        reserved, next_check_at = set(self._departed), math.inf
         for number, asker in list(owned.askers.items()):
-            silent = now - asker.last_heard_at
-            if silent > APART_MS:
+            silent_ms = now - asker.last_heard_at
+            if silent_ms > RESERVATION_MS:
                 del owned.askers[number]
                 continue
-            if not asker.reserved and silent > asker.silence_timeout():
+            if not asker.reserved and silent_ms > asker.silence_timeout():
                 asker.reserved, asker.reserved_tokens = True, max(0.0, asker.tokens_reported) / count
-                late = asker.reserved_tokens + silent * bucket.rate / count / 1000.0
-                bucket.tokens = max(min(bucket.tokens, -bucket.burst), bucket.tokens - late)
+                possibly_used = asker.reserved_tokens + silent_ms * bucket.rate / count / 1000.0
+                bucket.tokens = max(min(bucket.tokens, -bucket.burst), bucket.tokens - possibly_used)
             if asker.reserved:
-                apart.add(number)
-            check_at = min(
-                check_at, asker.last_heard_at + (APART_MS if asker.reserved else asker.silence_timeout())
+                reserved.add(number)
+            next_check_at = min(
+                next_check_at,
+                asker.last_heard_at + (RESERVATION_MS if asker.reserved else asker.silence_timeout()),
             )
         if owned.recently_moved:
-            missing = {
+            unconfirmed = {
                 n
                 for n in self._ring
-                if n != self._me
+                if n != self._own_number
                 and n not in owned.askers
                 and not ((peer := self._peers.get(n)) and peer.ring_agreed)
             }
-            apart |= missing
-            owned.recently_moved = bool(missing) or now - bucket.born <= LOWER_MS
-            check_at = min(check_at, now + SILENCE_MIN_MS)
-        owned.reserved_slices = len(apart)
-        bucket.part, owned.next_check_at = max(1.0 / count, 1.0 - len(apart) / count), check_at
+            reserved |= unconfirmed
+            owned.recently_moved = bool(unconfirmed) or now - bucket.born <= NEW_BUCKET_MS
+            next_check_at = min(next_check_at, now + SILENCE_MIN_MS)
+        owned.reserved_slices = len(reserved)
+        bucket.part, owned.next_check_at = max(1.0 / count, 1.0 - len(reserved) / count), next_check_at
 
-    def _returned(
+    def _apply_usage(
         self,
         now: float,
         owned: OwnedBucket,
         sender: int,
-        life: int,
+        incarnation: int,
         spent: int,
-        heard: int,
-        held: float | None = None,
+        acknowledged: int,
+        held_tokens: float | None = None,
     ) -> None:
-        """A word of an asker: what it let in by itself is taken, what was set aside beyond it comes back, no
-        more than it has (``held``) if it has heard another owner since."""
-        self._check(now, owned)
-        bucket, count = owned.bucket, self._limiters()
+        """Account for the usage that an asker reports in a message.
+
+        What its slice has admitted is deducted from the bucket.  If the slice was reserved, the unused rest
+        of it is restored, but no more than the asker still has (``held_tokens``) if it has been in contact
+        with another owner since.
+        """
+        self._refresh(now, owned)
+        bucket, count = owned.bucket, self._limiter_count()
         asker = owned.askers.get(sender)
         if asker is None:
-            if len(owned.askers) < ASKERS and sender in self._live and sender != self._me:
-                even = 1000.0 * count / bucket.rate if bucket.rate > 0 else FIRST_GAP_MS
-                owned.askers[sender] = Asker(now, life, spent, min(FIRST_GAP_MS, even))
+            if len(owned.askers) < MAX_ASKERS and sender in self._nodes and sender != self._own_number:
+                mean_gap_ms = 1000.0 * count / bucket.rate if bucket.rate > 0 else INITIAL_GAP_MS
+                owned.askers[sender] = Asker(now, incarnation, spent, min(INITIAL_GAP_MS, mean_gap_ms))
                 owned.next_check_at = min(owned.next_check_at, now + SILENCE_MIN_MS)
                 if owned.recently_moved:
-                    self._check(now, owned, again=True)
-            # Of an unknown asker's words only the untold count; another owner had set its slice aside.
+                    self._refresh(now, owned, force=True)
+            # Nothing is deducted for an unknown asker: another owner had reserved its slice.
             return
-        told = max(asker.spent, heard) if life == asker.incarnation else 0
-        untold = max(0, spent - told)
+        accounted = max(asker.spent, acknowledged) if incarnation == asker.incarnation else 0
+        unaccounted = max(0, spent - accounted)
         if asker.reserved:
-            # Time apart fills its slice no further than its burst, but a short silence must cost nothing.
+            # While it is reserved, a slice fills no further than its burst.  A short silence costs nothing.
             per_ms = bucket.rate / count / 1000.0
-            aside = asker.reserved_tokens + (now - asker.last_heard_at) * per_ms
-            most = bucket.burst / count + SILENCE_MAX_MS * per_ms
-            back = 0.0 if life != asker.incarnation else min(aside - untold, most)
-            if held is not None:
-                back = min(back, held)
-            bucket.tokens = min(bucket.burst, max(min(bucket.tokens, -bucket.burst), bucket.tokens + back))
-        elif untold:
-            bucket.tokens = max(min(bucket.tokens, -bucket.burst), bucket.tokens - untold)
+            reserved_tokens = asker.reserved_tokens + (now - asker.last_heard_at) * per_ms
+            max_restored = bucket.burst / count + SILENCE_MAX_MS * per_ms
+            restored = (
+                0.0 if incarnation != asker.incarnation else min(reserved_tokens - unaccounted, max_restored)
+            )
+            if held_tokens is not None:
+                restored = min(restored, held_tokens)
+            bucket.tokens = min(
+                bucket.burst, max(min(bucket.tokens, -bucket.burst), bucket.tokens + restored)
+            )
+        elif unaccounted:
+            bucket.tokens = max(min(bucket.tokens, -bucket.burst), bucket.tokens - unaccounted)
         if not asker.reserved:
             asker.mean_gap_ms += GAP_WEIGHT * (now - asker.last_heard_at - asker.mean_gap_ms)
-        was = asker.reserved
-        asker.last_heard_at, asker.incarnation, asker.spent, asker.reserved = now, life, spent, False
-        if was:
-            self._check(now, owned, again=True)
+        was_reserved = asker.reserved
+        asker.last_heard_at, asker.incarnation, asker.spent, asker.reserved = now, incarnation, spent, False
+        if was_reserved:
+            self._refresh(now, owned, force=True)
 
 
-def _of(table: Mapping[str, T], only: str | None) -> Iterable[tuple[str, T]]:
-    """All of a table by tenant, or one tenant's part."""
+def _select(table: Mapping[str, T], only: str | None) -> Iterable[tuple[str, T]]:
+    """Return the items of a table by tenant, or only that of one tenant."""
     if only is None:
         return table.items()
     return [(only, table[only])] if only in table else []
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -97,7 +97,8 @@
 
     def late(self, i: int, ask: Ask) -> None:
         limiter = self.limiters[i]
-        if limiter is not None and (out := limiter._out.get(ask.number)) is not None and not out.timed_out:
+        if limiter is not None and (sent := limiter._pending.get(ask.number)) is not None \
+                and not sent.timed_out:
             self.decided(limiter.handle_timeout(self.now, ask.number))
 
     def decided(self, verdict: Verdict) -> None:
@@ -295,22 +296,22 @@
 
 
 def test_a_burst_anew_at_each_move_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    own = Quotas._own
+    own = Quotas._get_owned
 
     def full(self: Quotas, now: float, allowance: Allowance, version: int, left: float | None) -> Any:
         known = self._owned.get(allowance.tenant)
-        fresh = known is None or known.ownership_lost and self._owner(allowance.tenant) == self._me
+        fresh = known is None or known.ownership_lost and self._owner(allowance.tenant) == self._own_number
         owned = own(self, now, allowance, version, None)
         if fresh:
             owned.bucket.tokens, owned.recently_moved = allowance.burst, False
         return owned
 
-    monkeypatch.setattr(Quotas, "_own", full)
+    monkeypatch.setattr(Quotas, "_get_owned", full)
     assert hot(moves, 1, ALLOWANCES[0]).over() > 0
 
 
 def test_a_copy_spent_by_all_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Quotas, "_limiters", lambda self: 1)
+    monkeypatch.setattr(Quotas, "_limiter_count", lambda self: 1)
     assert hot(halves, 1, ALLOWANCES[0]).over() > 0
 
 
