--- a/larklb/quota_owner.py
+++ b/larklb/quota_owner.py
@@ -1,6 +1,7 @@
 """The owner's side of quotas: buckets of the customers that a gateway owns, and leases on them.
 
-``Gateway`` in ``decide.py`` inherits this and creates all attributes; no input or output.
+``Gateway`` in ``decide.py`` inherits ``QuotaOwner`` and creates all its attributes.  No input or output is
+done here.
 """
 
 from __future__ import annotations
@@ -28,54 +29,64 @@
     actions: list[io.Action]
 
     def bucket_rows(self) -> list[tuple[int, str, float, float]]:
-        """The owned buckets for a store: customer, plan, tokens and when they were counted."""
+        """The owned buckets for a store, as rows of customer key, plan, tokens, and the time of the count."""
         return [(key, self.settings.plans[p].name, min(b.tokens, b.burst), b.at)
                 for key, (p, b) in self.buckets.items()]
 
     def restore(self, now: float, rows: Sequence[tuple[int, str, float, float]]) -> int:
-        """Buckets from a store, to be called before the first request; of unknown plans none are kept."""
+        """Restores buckets from rows of a store and returns how many there are.
+
+        Must be called before the first request.  Rows of unknown plans or from the future are left out.
+        """
         for key, plan_name, tokens, at in rows:
             if plan_name in self.plans and at <= now:
-                number = self.plans[plan_name][0]
-                self.buckets[key] = (number, self.entitlements.restored_bucket(key, number, tokens, at))
+                plan_index = self.plans[plan_name][0]
+                self.buckets[key] = (
+                    plan_index, self.entitlements.restored_bucket(key, plan_index, tokens, at))
         return len(self.buckets)
 
-    def _owned_bucket(self, now: float, key: int, plan_number: int) -> TokenBucket:
+    def _owned_bucket(self, now: float, key: int, plan_index: int) -> TokenBucket:
+        """The bucket of a customer, created if need be, under the plan in effect."""
         if key not in self.buckets:
             evict_fullest(self.buckets, now, self.entitlements.max_customers)
-            self.buckets[key] = (plan_number, self.entitlements.new_bucket(now, key, plan_number))
+            self.buckets[key] = (plan_index, self.entitlements.new_bucket(now, key, plan_index))
         bucket = self.buckets[key][1]
-        self.entitlements.update_bucket(now, key, plan_number, bucket)
+        self.entitlements.update_bucket(now, key, plan_index, bucket)
         self.fallback.apply_share(now, key, bucket)
         return bucket
 
-    def _owner_verdict(self, now: float, name: tuple[int, int], key: int, plan_number: int, units: float,
-                lease: float) -> Lease:
-        """The owner's verdict; the same ask gets the same one."""
+    def _owner_verdict(self, now: float, name: tuple[int, int], key: int, plan_index: int, units: float,
+                       lease_ms: float) -> Lease:
+        """The owner's verdict on an ask, as a lease of at most ``lease_ms``.
+
+        ``name`` is the sender and the number of the ask.  A repeated ask gets the same verdict.
+        """
         if name in self.leases:
             return self.leases[name]
-        judged, bucket = (
-            self.entitlements.effective_plan(now, key, plan_number),
-            self._owned_bucket(now, key, plan_number),
+        effective, bucket = (
+            self.entitlements.effective_plan(now, key, plan_index),
+            self._owned_bucket(now, key, plan_index),
         )
-        plan, drawn = judged.plan, None
+        plan, drawn = effective.plan, None
         bucket.fill(now)
-        room = not plan.most_open or bucket.open < plan.most_open
-        granted = room and (not plan.rate or bucket.tokens >= units - 1e-9)
+        has_slot = not plan.most_open or bucket.open < plan.most_open
+        granted = has_slot and (not plan.rate or bucket.tokens >= units - 1e-9)
         if granted:
             bucket.tokens -= units if plan.rate else 0.0
-        elif room and (drawn := self.entitlements.draw(now, key, units)) is not None:
+        elif has_slot and (drawn := self.entitlements.draw(now, key, units)) is not None:
             granted = True
             self.actions.append(drawn)
         bucket.open += granted
-        until = now + min(lease, self.max_deadline)
-        self.leases[name] = Lease(key, plan_number, granted, units, until, not granted, judged.number,
-                                  judged.version, drawn.tag if drawn is not None else 0)
+        until = now + min(lease_ms, self.max_deadline)
+        self.leases[name] = Lease(key, plan_index, granted, units, until, not granted, effective.number,
+                                  effective.version, drawn.tag if drawn is not None else 0)
         return self.leases[name]
 
-    def _end_lease(self, now: float, name: tuple[int, int], back: float) -> None:
+    def _end_lease(self, now: float, name: tuple[int, int], returned: float) -> None:
+        """Ends a lease and gives back ``returned`` of its units."""
         lease = self.leases.get(name)
-        if lease is None and self.fallback.enabled:  # it overtook its ask, which must not be granted any more
+        # The release has overtaken its ask, which must not be granted any more.
+        if lease is None and self.fallback.enabled:
             self.leases[name] = Lease(0, 0, False, 0.0, now + self.max_deadline, True)
         if lease is None or lease.over:
             return
@@ -84,6 +95,7 @@
         bucket.fill(now)
         bucket.open = max(0, bucket.open - 1)
         if not lease.reservation:
-            bucket.give_back(min(back, lease.units))
-        elif (kept := self.entitlements.give_back(lease.reservation, min(back, lease.units))) is not None:
-            self.actions.append(kept)
+            bucket.give_back(min(returned, lease.units))
+        elif (record := self.entitlements.give_back(
+                lease.reservation, min(returned, lease.units))) is not None:
+            self.actions.append(record)
--- a/larklb/records.py
+++ b/larklb/records.py
@@ -16,7 +16,7 @@
     quota, and ``customer_key`` the digest of the customer's name.
     """
 
-    request: str
+    request_id: str
     service_class: io.ServiceClass
     plan: io.Plan
     plan_index: int
