--- a/larklb/decide.py
+++ b/larklb/decide.py
@@ -26,6 +26,7 @@
 from larklb.fleet.words import Words
 from larklb.fleet.zones import STEADY_MS
 from larklb.health import ALL_WORK, MAX_SLOWNESS, Attempt, Server
+from larklb.peer_messaging import PeerMessaging
 from larklb.quota.breaker import CircuitBreaker
 from larklb.quota.bucket import TokenBucket
 from larklb.quota.entitlements import Entitlements
@@ -37,7 +38,7 @@
 from larklb.servers import EWMA_WEIGHT, MEDIAN_CACHE_AIMS, Servers
 
 
-class Gateway(QuotaOwner, ServerSelection):
+class Gateway(PeerMessaging, QuotaOwner, ServerSelection):
     """One gateway of a limiter: ``handle(now, event)`` returns the actions to carry out.
 
     It does no input or output and reads no clock; all times are in ms.  ``actions`` holds those of the
@@ -171,11 +172,6 @@
             self._zone_timer(now)
         return self.actions
 
-    def _set_timer(self, delay: float, callback: Callable[[float], object]) -> None:
-        timer_id = next(self.timer_ids)
-        self.timers[timer_id] = callback
-        self.actions.append(io.SetTimer(max(delay, self.settings.tick), timer_id))
-
     def _expire(self, now: float) -> None:
         """Removes idle buckets, copies and leases, so that state is bounded by recent traffic."""
         # Set first, so that an exception below does not end the cycle.
@@ -334,53 +330,6 @@
 
     # Messages to peers ----------------------------------------------------------------------
 
-    def _queue_message(self, peer: int, item: pw.Item) -> None:
-        if self.settings.can_tell:
-            self.words.tell(peer, item)
-
-    def _announce_start(self, now: float) -> None:
-        """Announces the start repeatedly during start-up.
-
-        Messages may be lost, and an owner needs copies of its buckets from its peers.
-        """
-        if self.settings.gateways <= const.MAX_ANNOUNCED_GATEWAYS and self.fallback.is_starting(now):
-            for peer in range(self.settings.gateways):
-                if peer != self.settings.number:
-                    self._queue_wakeup(peer)
-            self._set_timer(REPORT_MS / 4, self._announce_start)
-
-    def _queue_wakeup(self, peer: int) -> None:
-        """Queues a message to a peer that carries whatever is pending for it."""
-        if self.settings.can_tell:
-            self.words.wake(peer)
-
-    def _request_reply(self, now: float, peer: int) -> None:
-        if self.settings.can_tell:
-            self.words.knock(now, peer, self.server_pool.own_in_flight())
-
-    def _flush_messages(self, now: float, peer: int) -> None:
-        """Sends what the pace allows now.
-
-        The timer for the rest has no effect of its own: every event flushes the messages that are due.
-        """
-        for message_or_delay in self.words.flush(
-                now, peer, self.server_pool.active_peers(now), self.server_pool.own_in_flight):
-            if isinstance(message_or_delay, bytes):
-                self.actions.append(io.SendToPeer(peer, message_or_delay))
-            else:
-                self._set_timer(message_or_delay, bool)
-
-    def _spread_findings(self, now: float) -> None:
-        """Periodically sends grave findings to a random peer.
-
-        Asks alone would spread them only among gateways that share customers.
-        """
-        self._set_timer(SPREAD_MS, self._spread_findings)
-        if self.verdicts.grave(now):
-            peer = self.random.randrange(self.settings.gateways)
-            if peer != self.settings.number:
-                self._queue_wakeup(peer)
-
     def _renew_slots(self, now: float) -> None:
         """Periodically asks for slots at servers and renews those held."""
         self._set_timer(HASTE_MS, self._renew_slots)
