--- a/larklb/balancing/choice.py
+++ b/larklb/balancing/choice.py
@@ -286,7 +286,7 @@
     ) -> ServerState | None:
         """Returns the server with the least expected cost for a request, None if no server can take it.
 
-        ``aim``: the response time target of the route in ms; ``beside``: ids of servers that are excluded.
+        ``aim``: the response time target of the route in ms; ``exclude``: ids of servers that are left out.
         """
         self._flush_pending_answer()
         self.last_call_at, self.last_route = now, route
@@ -305,7 +305,7 @@
         route_ms, longest_aim = service_time.mean_ms(), self.longest_aims[target]
         log_mean, steepness = service_time.log_mean, 1.702 / math.sqrt(max(service_time.log_variance, 0.01))
         best, least, limit = None, math.inf, self.in_flight_limit(target)
-        resting: list[ServerState] = []
+        ejected: list[ServerState] = []
         reported_full: list[tuple[int, float, ServerState]] = []
         random, log, exp, statistics = self.random.random, math.log, math.exp, self.statistics
         for server in self.by_target.get(target, ()):
@@ -328,7 +328,7 @@
                     reported_full.append((known, stats.reported_load.updated_at, server))
                 continue
             if server.silent or server.probing or now < server.ejected_until:
-                resting.append(server)
+                ejected.append(server)
                 continue
             wait = expected_queue(known + (known >= slots), others, slots) * service_ms
             left = aim - wait
@@ -351,8 +351,8 @@
                 cost *= FAILED_COST_FACTOR
             if cost < least:
                 best, least = server, cost
-        if best is None and resting:
-            best = min(resting, key=lambda p: (p.silent, p.ejected_until, random()))
+        if best is None and ejected:
+            best = min(ejected, key=lambda p: (p.silent, p.ejected_until, random()))
         if best is None and reported_full:
             best = min(reported_full, key=lambda p: p[:2])[2]
         return best
