--- a/larklb/peer_messaging.py
+++ b/larklb/peer_messaging.py
@@ -32,11 +32,13 @@
     actions: list[io.Action]
 
     def _set_timer(self, delay: float, callback: Callable[[float], object]) -> None:
+        """Sets a timer that calls ``callback(now)`` after so many ms, one tick at least."""
         timer_id = next(self.timer_ids)
         self.timers[timer_id] = callback
         self.actions.append(io.SetTimer(max(delay, self.settings.tick), timer_id))
 
     def _queue_message(self, peer: int, item: pw.Item) -> None:
+        """Queues an item for a peer; it is sent as soon as the pace allows."""
         if self.settings.can_tell:
             self.words.tell(peer, item)
 
@@ -57,6 +59,7 @@
             self.words.wake(peer)
 
     def _request_reply(self, now: float, peer: int) -> None:
+        """Sends a peer a message that it answers; its reply closes its circuit breaker early."""
         if self.settings.can_tell:
             self.words.knock(now, peer, self.server_pool.own_in_flight())
 
