--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -315,12 +315,12 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_calm_days_keep_every_rule_and_quotas_to_the_unit(seed: int) -> None:
+def test_runs_without_faults_keep_all_rules_and_exact_quotas(seed: int) -> None:
     play(seed, False, Size())
 
 
 @pytest.mark.parametrize("seed", range(100, 116))
-def test_days_of_faults_keep_every_rule_and_quotas_within_what_the_faults_explain(seed: int) -> None:
+def test_runs_with_faults_keep_all_rules_and_the_bounds_of_quotas(seed: int) -> None:
     play(seed, True, Size())
 
 
@@ -329,7 +329,7 @@
     Size(gateways=2), Size(gateways=12, inbox=60.0), Size(gateways=32, inbox=60.0), Size(aim=300.0),
     Size(aim=100.0),
     Size(aim=30000.0, rate=0.05), Size(rate=0.05, inbox=30.0), Size(rate=50.0)])
-def test_other_sizes_and_loads_keep_the_rules_too(size: Size, faults: bool) -> None:
+def test_other_deployment_sizes_and_loads_keep_all_rules(size: Size, faults: bool) -> None:
     """Figures that were fitted to one deployment would show here."""
     for seed in (200, 201):
         play(seed, faults, size, 150)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""Hundreds of gateways: what each does must not grow with their number, and together they keep the rules."""
+"""Fleets of hundreds of gateways: the work of each is bounded, and together they keep quotas and limits."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from larklb.servers import COLD_CAPACITY_SHARE, Servers
 from tests.conftest import Bed, settings
 
-MANY = 400
+FLEET_SIZE = 400
 
 
 def owner_of(customer: str, first: int, spread: int, gateways: int) -> int:
@@ -24,175 +24,182 @@
 
 
 def first_of(customer: str) -> int:
-    return digest("set of " + customer) % MANY
+    return digest("set of " + customer) % FLEET_SIZE
 
 
-def ask(b: Bed, i: int, name: str, customer: str) -> None:
-    """By the i-th gateway of the customer's set of twenty."""
+def ask(bed: Bed, i: int, name: str, customer: str) -> None:
+    """Sends a request through the i-th of the customer's twenty gateways."""
     first = first_of(customer)
-    b.ask((first + i) % MANY, name, customer=customer, first=first, spread=20)
+    bed.ask((first + i) % FLEET_SIZE, name, customer=customer, first=first, spread=20)
 
 
-def answered(b: Bed, name: str) -> float:
-    answers = [at for at, _, a in b.log
+def answered(bed: Bed, name: str) -> float:
+    answers = [at for at, _, a in bed.log
                if isinstance(a, io.Send | io.Refuse | io.Fail) and a.request == name]
     return answers[0]
 
 
 @pytest.mark.parametrize("restarted", [0.0, 0.26])
-def test_asks_are_answered_well_inside_the_aim_at_any_number(restarted: float) -> None:
-    b = Bed(gateways=MANY, servers=20, inbox_per_s=40.0)
-    b.serve = 80.0
+def test_asks_are_answered_well_within_the_aim_in_a_large_fleet(restarted: float) -> None:
+    bed = Bed(gateways=FLEET_SIZE, servers=20, inbox_per_s=40.0)
+    bed.serve = 80.0
     for r in range(2):
         for c in range(60):
-            ask(b, c + r, f"warm{r}-{c}", f"c{c}")
-            b.run(5)
-    for i in range(int(MANY * restarted)):
-        b.begin(i)
-    before, asked = len(b.log), {}
+            ask(bed, c + r, f"warm{r}-{c}", f"c{c}")
+            bed.run(5)
+    for i in range(int(FLEET_SIZE * restarted)):
+        bed.begin(i)
+    before, asked = len(bed.log), {}
     for r in range(4):
         for c in range(60):
-            asked[name := f"r{r}-{c}"] = b.now
-            ask(b, 2 * c + r, name, f"c{c}")
-            b.run(5)
-    b.run(300)
-    assert max(answered(b, name) - at for name, at in asked.items()) <= 0.1 * 1000.0
-    got = Counter((int(at // 1000), a.peer) for at, _, a in b.log[before:] if isinstance(a, io.SendToPeer))
+            asked[name := f"r{r}-{c}"] = bed.now
+            ask(bed, 2 * c + r, name, f"c{c}")
+            bed.run(5)
+    bed.run(300)
+    assert max(answered(bed, name) - at for name, at in asked.items()) <= 0.1 * 1000.0
+    got = Counter((int(at // 1000), a.peer) for at, _, a in bed.log[before:] if isinstance(a, io.SendToPeer))
     assert max(got.values()) <= 40
 
 
 def test_restarted_owner_of_a_large_set_grants_no_second_burst() -> None:
-    b = Bed(gateways=MANY, servers=20)
+    bed = Bed(gateways=FLEET_SIZE, servers=20)
     for i in range(8):
-        ask(b, i, f"r{i}", "c")
-        b.run(20)
-    assert len(b.of(io.Send)) == 3
-    b.begin(owner_of("c", first_of("c"), 20, MANY))
-    b.run(50)
+        ask(bed, i, f"r{i}", "c")
+        bed.run(20)
+    assert len(bed.of(io.Send)) == 3
+    bed.begin(owner_of("c", first_of("c"), 20, FLEET_SIZE))
+    bed.run(50)
     for i in range(8):
-        ask(b, i, f"s{i}", "c")
-        b.run(20)
-    assert len(b.of(io.Send)) <= 4
-
-
-def test_all_gateways_together_do_not_push_a_cold_server_over_with_their_firsts() -> None:
-    b = Bed(gateways=MANY, servers=2, can_tell=False)
-    for i in range(MANY):
-        b.give(i, io.ServerList(io.ListKind.CHANGES, 2, (io.Entry("new", started=b.now),)))
-    for i in range(MANY):
-        b.ask(i, f"r{i}", plan="free")
-        b.run(2000 / MANY)
+        ask(bed, i, f"s{i}", "c")
+        bed.run(20)
+    assert len(bed.of(io.Send)) <= 4
+
+
+def test_first_attempts_of_all_gateways_do_not_overload_a_cold_server() -> None:
+    bed = Bed(gateways=FLEET_SIZE, servers=2, can_tell=False)
+    for i in range(FLEET_SIZE):
+        bed.give(i, io.ServerList(io.ListKind.CHANGES, 2, (io.Entry("new", started=bed.now),)))
+    for i in range(FLEET_SIZE):
+        bed.ask(i, f"r{i}", plan="free")
+        bed.run(2000 / FLEET_SIZE)
     usual = 1000.0 / 6
-    assert sum(a.server == "new" for a in b.of(io.Send)) <= 2.0 * 0.2 * 2000 / usual + 1
+    assert sum(a.server == "new" for a in bed.of(io.Send)) <= 2.0 * 0.2 * 2000 / usual + 1
 
 
-def test_a_large_fleet_sends_a_cold_server_what_it_stands_and_not_a_twentieth_of_it() -> None:
-    """Few of many limiters prefer a server: an even part of all limiters for each left it nearly idle."""
-    many, servers, usual = 200, 100, 1000.0 / 6
+def test_large_fleet_uses_the_capacity_of_a_cold_server() -> None:
+    """Guards against a cold server that stays nearly idle.
+
+    Only some of the limiters have a server in reach, so its capacity must not be divided among all of them.
+    """
+    gateways, servers, usual = 200, 100, 1000.0 / 6
     warm = [io.Entry(f"s{i}") for i in range(servers)]
-    new, got = io.Entry("new", started=0.0), 0
+    new, sent = io.Entry("new", started=0.0), 0
     listed = io.ServerList(io.ListKind.FULL, 1, (*warm, new))
-    for i in range(many):
-        view = Servers(settings(number=i, gateways=many), random.Random(i),
-                       Verdicts(i, many, 4000.0))
-        view.apply_list(0.0, listed, 4000.0, lambda short: None)
+    for i in range(gateways):
+        pool = Servers(settings(number=i, gateways=gateways), random.Random(i),
+                       Verdicts(i, gateways, 4000.0))
+        pool.apply_list(0.0, listed, 4000.0, lambda short_id: None)
         for at in range(0, 40_000, 50):
-            if view.cold_server_has_room(view.by_name["new"], float(at), 0.25, usual):
-                view.attempt_sent(float(at), view.by_name["new"])
-                got += 1
-    stands = COLD_CAPACITY_SHARE * 2.0 * 0.25 / usual * 40_000.0
-    assert 0.8 * stands <= got <= 1.1 * stands, (got, stands)
-
-
-def test_a_gateway_that_sees_little_spreads_its_work_and_holds_it_within_its_part() -> None:
-    b = Bed(gateways=1, servers=40, can_tell=False)
-    few = Bed(gateways=1, servers=40, can_tell=False)
-    b.changes["gateways"] = few.changes["gateways"] = MANY
-    for bed in (b, few):
-        bed.begin(0)
+            if pool.cold_server_has_room(pool.by_name["new"], float(at), 0.25, usual):
+                pool.attempt_sent(float(at), pool.by_name["new"])
+                sent += 1
+    capacity = COLD_CAPACITY_SHARE * 2.0 * 0.25 / usual * 40_000.0
+    assert 0.8 * capacity <= sent <= 1.1 * capacity, (sent, capacity)
+
+
+def test_gateway_that_sees_little_load_spreads_its_work_and_stays_within_its_share() -> None:
+    bed = Bed(gateways=1, servers=40, can_tell=False)
+    low_load = Bed(gateways=1, servers=40, can_tell=False)
+    bed.changes["gateways"] = low_load.changes["gateways"] = FLEET_SIZE
+    for each in (bed, low_load):
+        each.begin(0)
     for i in range(60):
-        b.ask(0, f"r{i}", plan="free")
-        few.ask(0, f"r{i}", plan="free")
-        few.end(0, f"r{i}")
-    assert 1 <= len(b.of(io.Send)) <= 6, "room of all servers x its part of the gateways"
-    reach = {s.entry.server for s in few.gateways[0].server_pool.in_reach}
-    assert len(reach) < 12 and len({a.server for a in few.of(io.Send)} & reach) >= 6, "no fixed order in it"
-    assert {a.server for a in few.of(io.Send)} <= reach, "while those in reach have room"
-
-
-def test_work_for_an_event_does_not_grow_with_the_gateways() -> None:
-    calls = dict.fromkeys((4, MANY), 0)
+        bed.ask(0, f"r{i}", plan="free")
+        low_load.ask(0, f"r{i}", plan="free")
+        low_load.end(0, f"r{i}")
+    assert 1 <= len(bed.of(io.Send)) <= 6, "room of all servers x its part of the gateways"
+    reach = {s.entry.server for s in low_load.gateways[0].server_pool.in_reach}
+    assert (len(reach) < 12
+            and len({a.server for a in low_load.of(io.Send)} & reach) >= 6), "no fixed order in it"
+    assert {a.server for a in low_load.of(io.Send)} <= reach, "while those in reach have room"
+
+
+def test_work_per_event_does_not_grow_with_the_number_of_gateways() -> None:
+    calls = dict.fromkeys((4, FLEET_SIZE), 0)
     for gateways in calls:
-        b = Bed(gateways=1, servers=60)
-        b.changes["gateways"] = gateways
-        b.drop = lambda sender, to: True
-        b.begin(0)
-        b.run(10)
+        bed = Bed(gateways=1, servers=60)
+        bed.changes["gateways"] = gateways
+        bed.drop = lambda sender, to: True
+        bed.begin(0)
+        bed.run(10)
 
         def count(frame: FrameType, event: str, arg: object, gateways: int = gateways) -> None:
             calls[gateways] += event == "call"
         sys.setprofile(count)
         try:
             for i in range(200):
-                b.ask(0, f"r{i}", customer=f"c{i % 9}", spread=4)
-                b.run(20)
+                bed.ask(0, f"r{i}", customer=f"c{i % 9}", spread=4)
+                bed.run(20)
         finally:
             sys.setprofile(None)
-    assert calls[MANY] <= 1.5 * calls[4]
+    assert calls[FLEET_SIZE] <= 1.5 * calls[4]
 
 
-def test_refusals_in_a_row_are_held_so_that_a_flood_spares_its_owner() -> None:
-    b = Bed(gateways=MANY, servers=20, inbox_per_s=10.0)
+def test_repeated_refusals_are_cached_so_that_a_flood_spares_the_owner() -> None:
+    bed = Bed(gateways=FLEET_SIZE, servers=20, inbox_per_s=10.0)
     for r in range(240):
-        ask(b, 1 + r % 19, f"r{r}", "c")
-        b.run(25)
-    late = [a for at, _, a in b.log if isinstance(a, io.SendToPeer) and at > b.now - 1000
-            and a.peer == owner_of("c", first_of("c"), 20, MANY)]
+        ask(bed, 1 + r % 19, f"r{r}", "c")
+        bed.run(25)
+    late = [a for at, _, a in bed.log if isinstance(a, io.SendToPeer) and at > bed.now - 1000
+            and a.peer == owner_of("c", first_of("c"), 20, FLEET_SIZE)]
     assert len(late) <= 12, "of 40 requests a second"
 
 
-def test_a_class_that_goes_unserved_or_a_plan_turned_away_leaves_other_work_there() -> None:
-    b = Bed(servers=2)
+def test_server_that_is_full_for_one_plan_still_gets_other_plans() -> None:
+    bed = Bed(servers=2)
     for i in range(4):
-        b.ask(0, f"f{i}", plan="open", customer=f"k{i}")
-        b.end(0, f"f{i}", io.Result.FULL if b.of(io.Send, f"f{i}")[0].server == "s0" else io.Result.OK)
-        if len(b.of(io.Send, f"f{i}")) > 1:
-            b.end(0, f"f{i}", attempt=1)
-    before = len(b.of(io.Send))
+        bed.ask(0, f"f{i}", plan="open", customer=f"k{i}")
+        bed.end(0, f"f{i}", io.Result.FULL if bed.of(io.Send, f"f{i}")[0].server == "s0" else io.Result.OK)
+        if len(bed.of(io.Send, f"f{i}")) > 1:
+            bed.end(0, f"f{i}", attempt=1)
+    before = len(bed.of(io.Send))
     for i in range(6):
-        b.ask(0, f"o{i}", plan="open", customer=f"x{i}")
-        b.end(0, f"o{i}")
-    assert {a.server for a in b.of(io.Send)[before:]} == {"s1"}
+        bed.ask(0, f"o{i}", plan="open", customer=f"x{i}")
+        bed.end(0, f"o{i}")
+    assert {a.server for a in bed.of(io.Send)[before:]} == {"s1"}
     for i in range(6):
-        b.ask(0, f"r{i}", plan="free")
-    assert {a.server for a in b.of(io.Send)[-6:]} == {"s0", "s1"}
+        bed.ask(0, f"r{i}", plan="free")
+    assert {a.server for a in bed.of(io.Send)[-6:]} == {"s0", "s1"}
 
 
-def test_what_one_gateway_learned_of_a_server_spares_another() -> None:
-    b = Bed(gateways=2, servers=3)
+def test_finding_about_a_server_reaches_another_gateway() -> None:
+    bed = Bed(gateways=2, servers=3)
     for i in range(3):
-        b.ask(0, f"r{i}", plan="free")
-    bad = b.of(io.Send, "r0")[0].server
-    b.end(0, "r0", io.Result.ERROR)
-    b.ask(0, "asks", customer=next(f"k{i}" for i in range(99) if owner_of(f"k{i}", 0, 2, 2) == 1))
-    b.run(100)
-    before = len(b.log)
+        bed.ask(0, f"r{i}", plan="free")
+    bad = bed.of(io.Send, "r0")[0].server
+    bed.end(0, "r0", io.Result.ERROR)
+    bed.ask(0, "asks", customer=next(f"k{i}" for i in range(99) if owner_of(f"k{i}", 0, 2, 2) == 1))
+    bed.run(100)
+    before = len(bed.log)
     for i in range(2):
-        b.ask(1, f"q{i}", plan="free")
-    assert bad not in {a.server for _, _, a in b.log[before:] if isinstance(a, io.Send)}
+        bed.ask(1, f"q{i}", plan="free")
+    assert bad not in {a.server for _, _, a in bed.log[before:] if isinstance(a, io.Send)}
 
 
-def test_refusals_for_want_of_a_slot_are_not_held_longer_than_an_answer_takes() -> None:
-    b = Bed(gateways=MANY, servers=20, inbox_per_s=60.0)
-    b.serve = 100.0
+def test_refusals_for_lack_of_a_slot_are_cached_no_longer_than_an_answer_takes() -> None:
+    bed = Bed(gateways=FLEET_SIZE, servers=20, inbox_per_s=60.0)
+    bed.serve = 100.0
     for r in range(150):
-        b.ask(1, f"r{r}", plan="open", customer="c", first=0, spread=MANY)
-        b.run(20)
-    assert len(b.of(io.Send)) >= 16, "two slots of a tenth of a second each, in three seconds"
+        bed.ask(1, f"r{r}", plan="open", customer="c", first=0, spread=FLEET_SIZE)
+        bed.run(20)
+    assert len(bed.of(io.Send)) >= 16, "two slots of a tenth of a second each, in three seconds"
+
 
+def test_findings_about_failing_servers_reduce_wasted_attempts() -> None:
+    """Guards against findings that are not sent to peers.
 
-def test_news_of_failing_servers_spares_the_other_gateways() -> None:
-    """Alone each of twenty gateways tries them, 36 times and not 18; no test noticed when nobody was told."""
+    Without them each of the twenty gateways tries the failing servers itself: 36 attempts instead of 18.
+    """
     class Failing(Bed):
         wasted = 0
 
@@ -208,11 +215,11 @@
                         a.request, attempt, a.server, result, 60.0, not fails)))
             super()._act(i, actions)
 
-    b, chance, n = Failing(gateways=20, servers=20, inbox_per_s=60.0), random.Random(3), 0
-    while b.now < 28000.0:
-        b.run(12.5)
-        n += 1
-        c = chance.randrange(40)
-        b.ask((c + chance.randrange(3)) % 20, f"r{n}", plan="rate" if c % 4 else "free", customer=f"c{c}",
-              first=c % 20, spread=3)
-    assert 5 < b.wasted < 27
+    bed, rng, count = Failing(gateways=20, servers=20, inbox_per_s=60.0), random.Random(3), 0
+    while bed.now < 28000.0:
+        bed.run(12.5)
+        count += 1
+        customer = rng.randrange(40)
+        bed.ask((customer + rng.randrange(3)) % 20, f"r{count}", plan="rate" if customer % 4 else "free",
+                customer=f"c{customer}", first=customer % 20, spread=3)
+    assert 5 < bed.wasted < 27
