--- a/larklb/quota/catalogue.py
+++ b/larklb/quota/catalogue.py
@@ -1,8 +1,8 @@
-"""The catalogue of plan versions: which figures and which customers' plans count from which instant on.
+"""The catalogue of plan versions: plans' figures and customers' plans, each from its effective instant on.
 
-A version states what changes against the one before it; what it does not name stays.  Versions are numbered
-upwards, their instants do not go back, and a version that was once taken never changes its content: a number
-found in a verdict, a ledger or an invoice names one set of figures for good.
+A version states what changes against the one before it; what it does not name stays.  Version numbers
+increase, their instants do not decrease, and a version never changes its content once it was accepted: a
+number found in a verdict, a ledger or an invoice names one set of figures for good.
 """
 
 from __future__ import annotations
@@ -18,19 +18,24 @@
 from larklb.fields import MalformedError, account
 from larklb.quota.ring import digest
 
-MAX_VERSIONS = 1000           # of a catalogue: some changes a week for years
-MAX_VERSION_NUMBER = 65535            # that a peer message can carry
-MAX_ASSIGNMENTS = 200_000       # assignments in all versions together
-MAX_RATE = 1e6                # units a second: beyond it a figure is a slip of the pen
-SETTINGS_VERSION = 0                   # the version that the settings told at the start
+# Enough for several changes a week over years.
+MAX_VERSIONS = 1000
+# The largest number that a peer message can carry.
+MAX_VERSION_NUMBER = 65535
+# Customers' assignments in all versions together.
+MAX_ASSIGNMENTS = 200_000
+# Units a second; a larger figure is taken for a typing error.
+MAX_RATE = 1e6
+# Number of the version that holds the plans of the settings.
+SETTINGS_VERSION = 0
 
 
 class CatalogueError(Exception):
-    """A catalogue cannot be used; the text is one line that says where and why."""
+    """A catalogue cannot be used; the message is one line that says where and why."""
 
 
 class Figures(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """Of one plan; None leaves a figure as it was.  Units a second, units, attempts out at once."""
+    """Figures of one plan: units a second, units, attempts out at once; None leaves a figure unchanged."""
 
     rate: float | None = None
     burst: float | None = None
@@ -51,7 +56,7 @@
 
 @dataclass(frozen=True)
 class Version:
-    """All plans as one version leaves them; ``at`` is in Unix milliseconds, -inf for the settings'."""
+    """All plans as they stand with one version; ``effective_at`` is in Unix ms, -inf for the settings'."""
 
     number: int
     effective_at: float
@@ -59,18 +64,20 @@
     note: str = ""
     plan_changes: tuple[tuple[str, Figures], ...] = ()
     customers: tuple[tuple[str, str], ...] = ()
-    stated_at: float = -math.inf  # the instant as the file has it: one in the past counts from its arrival
+    # The instant as the file states it; one in the past takes effect only when the version is accepted.
+    stated_at: float = -math.inf
 
 
 class Catalogue:
-    """Versions in order; the first is what the settings say."""
+    """Versions in order; the first holds the plans of the settings."""
 
     def __init__(self, versions: tuple[Version, ...]) -> None:
         self.versions = versions
         self.index_by_number = {v.number: i for i, v in enumerate(versions)}
         self.instants = [v.effective_at for v in versions]
         names = {p.name: i for i, p in enumerate(versions[0].plans)}
-        # Of each assigned customer: from which version on it is on which plan; None for the plan it names.
+        # By customer: the index of each version that assigns it, and the plan's number.  None stands for
+        # the plan that the customer's requests name.
         self.assignments: dict[int, list[tuple[int, int | None]]] = {}
         for i, v in enumerate(versions):
             for customer, plan in v.customers:
@@ -78,36 +85,38 @@
 
     @property
     def newest(self) -> Version:
+        """The last version."""
         return self.versions[-1]
 
     def effective_changes(self, after: int, upto: int) -> list[int]:
-        """The versions from one to another that really counted: of one instant only the last."""
+        """Indexes of the versions after one up to another that take effect: of one instant only the last."""
         return [i for i in range(after + 1, upto + 1)
                 if i == upto or self.instants[i + 1] > self.instants[i]]
 
     def index_at(self, wall: float) -> int:
-        """The index of the version that counts at an instant."""
+        """The index of the version in effect at an instant in Unix milliseconds."""
         return max(0, bisect_right(self.instants, wall) - 1)
 
-    def plan_of(self, key: int, index: int, told: int) -> int:
-        """Number of the plan of a customer under a version; ``told`` is the one that its request names."""
+    def plan_of(self, key: int, index: int, named_plan: int) -> int:
+        """Number of a customer's plan under a version; ``named_plan`` is the one that its request names."""
         plan: int | None = None
         for since, number in self.assignments.get(key, ()):
             if since > index:
                 break
             plan = number
-        return told if plan is None else plan
+        return named_plan if plan is None else plan
 
 
 def settings_catalogue(plans: tuple[io.Plan, ...]) -> Catalogue:
-    """What the settings say, and nothing else."""
+    """A catalogue that holds the plans of the settings and nothing else."""
     return Catalogue((Version(SETTINGS_VERSION, -math.inf, plans),))
 
 
 def parse(data: bytes, plans: tuple[io.Plan, ...], where: str = "plans") -> Catalogue:
-    """The catalogue in a TOML file, checked as a whole; raises CatalogueError with one line.
+    """Parses and checks the catalogue in a TOML file.
 
-    ``plans`` are the settings' plans: a catalogue gives them other figures and moves customers between them.
+    ``plans`` are those of the settings: a catalogue gives them other figures and moves customers between
+    them.  ``where`` names the file in messages.  Raises CatalogueError.
     """
     try:
         raw = msgspec.toml.decode(data, type=_File)
@@ -149,34 +158,37 @@
         if name and name not in plans:
             raise CatalogueError(f"customers: {text!r}: the settings have no plan {name!r}")
     if len(dict(customers)) < len(customers):
-        raise CatalogueError("customers: one is named twice")
+        raise CatalogueError("customers: a customer is named twice")
     return Version(entry.number, at, tuple(plans[p.name] for p in before.plans), entry.note,
                    tuple(entry.plans.items()), tuple(customers), at)
 
 
-def _changed(plan: io.Plan, f: Figures) -> io.Plan:
-    new = replace(plan, rate=plan.rate if f.rate is None else f.rate,
-                  burst=plan.burst if f.burst is None else f.burst,
-                  most_open=plan.most_open if f.most_open is None else f.most_open)
-    good = {"rate": 0 <= new.rate <= MAX_RATE, "most_open": 0 <= new.most_open <= io.MAX_OPEN,
-            "burst": 0 <= new.burst <= io.MAX_BURST and (new.rate == 0 or new.burst > 0)}
-    for name, fine in good.items():
-        if not fine:        # NaN compares false and ends here too
+def _changed(plan: io.Plan, figures: Figures) -> io.Plan:
+    new = replace(plan, rate=plan.rate if figures.rate is None else figures.rate,
+                  burst=plan.burst if figures.burst is None else figures.burst,
+                  most_open=plan.most_open if figures.most_open is None else figures.most_open)
+    valid = {"rate": 0 <= new.rate <= MAX_RATE, "most_open": 0 <= new.most_open <= io.MAX_OPEN,
+             "burst": 0 <= new.burst <= io.MAX_BURST and (new.rate == 0 or new.burst > 0)}
+    for name, in_range in valid.items():
+        if not in_range:
+            # NaN ends here too: its comparisons are false.
             raise CatalogueError(f"plans: {plan.name}: {name} makes no sense: {getattr(new, name)!r}")
     return new
 
 
 def successor(old: Catalogue, new: Catalogue, now: float) -> Catalogue:
-    """``new`` as it counts after ``old`` from ``now`` (Unix ms) on, or CatalogueError and ``old`` stays.
+    """``new`` as the successor of ``old`` from ``now`` (Unix ms) on.
 
-    A version that comes with an instant in the past counts from now on: what was judged stays judged.
+    A version that arrives with an instant in the past takes effect at ``now``: decisions already taken
+    stay as they are.  Raises CatalogueError where ``new`` drops or changes a version of ``old``, or adds
+    one in front of its last.
     """
     if new.newest.number < old.newest.number:
         raise CatalogueError(f"it ends with version {new.newest.number}, and {old.newest.number} is here")
-    kept = {v.number: v for v in old.versions}
+    unmatched = {v.number: v for v in old.versions}
     versions = []
     for v in new.versions:
-        known = kept.pop(v.number, None)
+        known = unmatched.pop(v.number, None)
         if known is not None:
             if (v.plans, v.customers, v.stated_at) != (known.plans, known.customers, known.stated_at):
                 raise CatalogueError(f"version {v.number} differs from the one that is here by this number")
@@ -185,24 +197,24 @@
             raise CatalogueError(f"version {v.number} comes after version {old.newest.number} was taken")
         else:
             versions.append(replace(v, effective_at=max(v.effective_at, now)))
-    if kept:
-        raise CatalogueError(f"version {min(kept)}, which is here already, is missing from it")
+    if unmatched:
+        raise CatalogueError(f"version {min(unmatched)}, which is here already, is missing from it")
     return Catalogue(tuple(versions))
 
 
 def format_instant(at: float) -> str:
-    """An instant for people."""
+    """An instant in Unix milliseconds as UTC text, to the second; "always" for -inf."""
     if at == -math.inf:
         return "always"
     return datetime.fromtimestamp(at / 1000.0, UTC).isoformat(timespec="seconds").replace("+00:00", "Z")
 
 
 def differences(old: Catalogue, new: Catalogue) -> list[str]:
-    """What ``new`` says otherwise than ``old``, a line each; empty if they say the same."""
+    """Each difference of ``new`` from ``old`` as a line of text; empty if they are the same."""
     lines = []
-    mine, theirs = ({v.number: v for v in c.versions} for c in (old, new))
-    for number in sorted(mine.keys() | theirs.keys()):
-        a, b = mine.get(number), theirs.get(number)
+    before, after = ({v.number: v for v in c.versions} for c in (old, new))
+    for number in sorted(before.keys() | after.keys()):
+        a, b = before.get(number), after.get(number)
         if a is None and b is not None:
             lines.append(f"+ version {number} from {format_instant(b.effective_at)}: {summary(b)}")
         elif b is None and a is not None:
@@ -214,19 +226,20 @@
             for p, q in zip(a.plans, b.plans, strict=True):
                 lines += [f"~ version {number}: {p.name}: {n} {getattr(p, n):g} -> {getattr(q, n):g}"
                           for n in ("rate", "burst", "most_open") if getattr(p, n) != getattr(q, n)]
-            was, now = dict(a.customers), dict(b.customers)
+            was, will = dict(a.customers), dict(b.customers)
             lines += [f"~ version {number}: customer {c}: {was.get(c, 'as before')!r} -> "
-                      f"{now.get(c, 'as before')!r}"
-                      for c in sorted(was.keys() | now.keys()) if was.get(c) != now.get(c)]
+                      f"{will.get(c, 'as before')!r}"
+                      for c in sorted(was.keys() | will.keys()) if was.get(c) != will.get(c)]
     return lines
 
 
 def summary(v: Version) -> str:
-    """What a version itself says, in one line."""
-    words = []
-    for name, f in v.plan_changes:
-        words.append(name + " " + " ".join(f"{n}={getattr(f, n):g}" for n in ("rate", "burst", "most_open")
-                                           if getattr(f, n) is not None))
+    """The changes that a version states, in one line."""
+    parts = []
+    for name, figures in v.plan_changes:
+        parts.append(name + " " + " ".join(
+            f"{n}={getattr(figures, n):g}" for n in ("rate", "burst", "most_open")
+            if getattr(figures, n) is not None))
     if v.customers:
-        words.append(f"{len(v.customers)} customers assigned")
-    return "; ".join(words) or "nothing"
+        parts.append(f"{len(v.customers)} customers assigned")
+    return "; ".join(parts) or "nothing"
--- a/larklb/quota/entitlements.py
+++ b/larklb/quota/entitlements.py
@@ -56,11 +56,12 @@
         self.newest_peer_version = 0
         # Units drawn here without the owner and not yet confirmed by it, by customer and reservation.
         self.unconfirmed: dict[int, dict[int, float]] = {}
-        for r in reservations.by_name.values() if reservations is not None else ():
+        for reservation in reservations.by_name.values() if reservations is not None else ():
             # After a restart it is not known what the owner has received, so all is reported once more.
-            if not r.owned and r.remote_draws:
+            if not reservation.owned and reservation.remote_draws:
                 self.unconfirmed.setdefault(
-                    digest(r.wanted.customer), {})[r.tag] = sum(r.remote_draws.values())
+                    digest(reservation.wanted.customer),
+                    {})[reservation.tag] = sum(reservation.remote_draws.values())
         self._seek(float("-inf"))
 
     # Plans --------------------------------------------------------------------------------
@@ -144,10 +145,10 @@
 
     def draw(self, now: float, key: int, units: float) -> io.RecordDraw | None:
         """Draws reserved units at the owner, for a request that the bucket refuses; None without enough."""
-        for r in self._open(now, key):
-            if r.owned and r.remaining >= units - UNIT_TOLERANCE:
-                r.draw(units)
-                return io.RecordDraw(r.tag, r.drawn)
+        for reservation in self._open(now, key):
+            if reservation.owned and reservation.remaining >= units - UNIT_TOLERANCE:
+                reservation.draw(units)
+                return io.RecordDraw(reservation.tag, reservation.drawn)
         return None
 
     def draw_without_owner(self, now: float, key: int, units: float, number: int) -> io.RecordDraw | None:
@@ -155,22 +156,22 @@
 
         ``number`` is this limiter's.  The draw is reported to the owner later.
         """
-        for r in self._open(now, key):
-            drawn = r.remote_draws.get(number, 0.0)
-            if (not r.owned and drawn + units <= r.limiter_part + UNIT_TOLERANCE
-                and r.remaining >= units - UNIT_TOLERANCE):
-                r.remote_draws[number] = drawn + units
-                self.unconfirmed.setdefault(key, {})[r.tag] = drawn + units
-                return io.RecordDraw(r.tag, drawn + units, True)
+        for reservation in self._open(now, key):
+            drawn = reservation.remote_draws.get(number, 0.0)
+            if (not reservation.owned and drawn + units <= reservation.limiter_part + UNIT_TOLERANCE
+                and reservation.remaining >= units - UNIT_TOLERANCE):
+                reservation.remote_draws[number] = drawn + units
+                self.unconfirmed.setdefault(key, {})[reservation.tag] = drawn + units
+                return io.RecordDraw(reservation.tag, drawn + units, True)
         return None
 
     def give_back(self, tag: int, units: float) -> io.RecordDraw | None:
         """Returns drawn units that were not used to their reservation, at the owner."""
-        r = self.reservations.by_tag.get(tag) if self.reservations is not None else None
-        if r is None or not r.owned or units <= 0:
+        reservation = self.reservations.by_tag.get(tag) if self.reservations is not None else None
+        if reservation is None or not reservation.owned or units <= 0:
             return None
-        r.give_back(units)
-        return io.RecordDraw(tag, r.drawn)
+        reservation.give_back(units)
+        return io.RecordDraw(tag, reservation.drawn)
 
     def reserved_units(self, now: float, key: int) -> float:
         """Most units that one reservation of a customer holds now, as far as this limiter knows."""
@@ -186,11 +187,12 @@
 
         A report carries the sum of all draws, so that repeated and late reports change nothing.
         """
-        r = self.reservations.by_tag.get(report.tag) if self.reservations is not None else None
-        if r is None or not r.owned or report.units <= r.remote_draws.get(sender, 0.0):
+        reservation = self.reservations.by_tag.get(report.tag) if self.reservations is not None else None
+        if (reservation is None or not reservation.owned
+            or report.units <= reservation.remote_draws.get(sender, 0.0)):
             return None
-        r.remote_draws[sender] = report.units
-        r.draw(0.0)
+        reservation.remote_draws[sender] = report.units
+        reservation.draw(0.0)
         return io.RecordDraw(report.tag, report.units, True, sender)
 
     def unconfirmed_draws(self, key: int) -> list[pw.Drawn]:
@@ -199,8 +201,9 @@
 
     def on_draw_confirmed(self, confirmation: pw.Told) -> None:
         """Drops a draw from the unconfirmed ones if the owner has all of it."""
-        r = self.reservations.by_tag.get(confirmation.tag) if self.reservations is not None else None
-        if r is not None:
+        reservation = (self.reservations.by_tag.get(confirmation.tag) if self.reservations is not None
+                       else None)
+        if reservation is not None:
             key = next((key for key, tags in self.unconfirmed.items() if confirmation.tag in tags), None)
             if key is not None and self.unconfirmed[key][confirmation.tag] <= confirmation.units:
                 del self.unconfirmed[key][confirmation.tag]
--- a/larklb/quota/settlement.py
+++ b/larklb/quota/settlement.py
@@ -1,10 +1,10 @@
-"""Units that limiters let in without their owner, settled with it: counts that only grow, merged by maximum.
+"""Settlement of units that limiters admitted without their owner, by counts that only grow.
 
-A limiter counts, for each customer, what it has let in by itself since it started.  It tells the whole
-count, with its incarnation and the part that an owner has confirmed, until that is all of it.  An owner
-takes in what it had not known.  So a count that is lost, comes twice, or comes late changes nothing in
-the end, and no unit is settled twice.  An owner that has never heard of a count begins where the former
-owner confirmed it.
+For each customer a limiter counts what it has admitted by itself since it started.  It sends the whole
+count, with its incarnation and the part that an owner has confirmed, until all of it is confirmed.  An owner
+merges a count by taking the maximum and charges the difference.  So a count that is lost, repeated or late
+changes nothing in the end, and no unit is settled twice.  An owner that has not received a count before
+starts from what a former owner had confirmed of it.
 """
 
 from __future__ import annotations
@@ -14,27 +14,31 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-UNIT_STEP = 1 / 16              # units are told in sixteenths
-RESEND_INTERVAL_MS = 250.0           # between words on a count that is not confirmed
-COUNT_EXPIRY_MS = 120_000.0      # a settled count with no news is forgotten by both sides
-MAX_COUNTS = 20_000              # counts kept by a limiter, of each kind: the longest settled go first
-# An incarnation not heard from for this long has ended, whatever number comes after it.
+# Resolution of the units in messages.
+UNIT_STEP = 1 / 16
+# Between two transmissions of a count that is not confirmed.
+RESEND_INTERVAL_MS = 250.0
+# Both sides drop a settled count that has not changed for this long.
+COUNT_EXPIRY_MS = 120_000.0
+# Counts of each kind that a limiter keeps; the longest settled go first.
+MAX_COUNTS = 20_000
+# An incarnation not heard for this long has ended; any other number may then follow it.
 INCARNATION_TIMEOUT_MS = 10_000.0
 
 
 class Count(NamedTuple):
-    """What the sender has let in for a customer by itself, in its incarnation; ``confirmed``: of it,
-    settled."""
+    """Units that the sender's incarnation has admitted by itself for a customer; ``confirmed``: settled."""
 
     key: int
-    plan: int                  # the number of the plan that its requests name
+    # Number of the plan that the customer's requests name.
+    plan: int
     incarnation: int
     units: float
     confirmed: float
 
 
 class Confirmed(NamedTuple):
-    """The owner has taken in that much."""
+    """The owner's confirmation that it has charged so many units of a count."""
 
     key: int
     incarnation: int
@@ -43,6 +47,8 @@
 
 @dataclass
 class LocalCount:
+    """A count of this limiter: ``told`` is when it was last sent, ``at`` when it last changed."""
+
     owner: int
     plan: int
     units: float = 0.0
@@ -53,96 +59,105 @@
 
 @dataclass
 class PeerCount:
+    """The most that this owner has received of another limiter's count, and when."""
+
     incarnation: int
     units: float
     at: float
 
 
 class Settlement:
-    """One limiter's counts, told and heard."""
+    """One limiter's own counts, and those that it received as an owner."""
 
     def __init__(self, incarnation: int) -> None:
         """``incarnation`` is greater with each start of this limiter."""
         self.incarnation = incarnation
         self.local_counts: dict[int, LocalCount] = {}
-        self.unconfirmed: dict[int, dict[int, LocalCount]] = {}  # by owner and key: what is not yet confirmed
-        self.peer_counts: dict[tuple[int, int], PeerCount] = {}       # by sender and key
-        self.incarnations: dict[int, int] = {}                   # the incarnation that counts, by sender, ...
-        self.last_heard_at: dict[int, float] = {}                # ... and when it was last heard of
+        # The local counts that are not fully confirmed, by owner and customer.
+        self.unconfirmed: dict[int, dict[int, LocalCount]] = {}
+        # By sender and customer, the last received at the end.
+        self.peer_counts: dict[tuple[int, int], PeerCount] = {}
+        # The present incarnation of each sender, and when it was last heard.
+        self.incarnations: dict[int, int] = {}
+        self.last_heard_at: dict[int, float] = {}
 
-    # As one who lets in -------------------------------------------------------------------
+    # As a limiter that admits -------------------------------------------------------------
 
     def record_admitted(self, now: float, key: int, plan: int, owner: int, units: float) -> None:
-        """Units let in without the owner's word."""
-        mine = self.local_counts.get(key)
-        if mine is None:
-            mine = self.local_counts[key] = LocalCount(owner, plan)
-            self.unconfirmed.setdefault(owner, {})[key] = mine
+        """Counts units admitted without the owner."""
+        count = self.local_counts.get(key)
+        if count is None:
+            count = self.local_counts[key] = LocalCount(owner, plan)
+            self.unconfirmed.setdefault(owner, {})[key] = count
             if len(self.local_counts) > MAX_COUNTS:
-                settled = (k for k, m in self.local_counts.items()
-                           if k not in self.unconfirmed.get(m.owner, ()))
+                settled = (k for k, c in self.local_counts.items()
+                           if k not in self.unconfirmed.get(c.owner, ()))
                 self._drop(next(settled, next(iter(self.local_counts))))
-        mine.units += units
-        mine.at = now
-        self.unconfirmed.setdefault(mine.owner, {})[key] = mine
+        count.units += units
+        count.at = now
+        self.unconfirmed.setdefault(count.owner, {})[key] = count
 
     def _drop(self, key: int) -> None:
-        mine = self.local_counts.pop(key)
-        self.unconfirmed.get(mine.owner, {}).pop(key, None)
+        count = self.local_counts.pop(key)
+        self.unconfirmed.get(count.owner, {}).pop(key, None)
 
     def due_counts(self, now: float, owner: int) -> Iterator[Count]:
-        """Counts that are due to be told to an owner, the longest untold in front."""
-        for key, mine in list(self.unconfirmed.get(owner, {}).items()):
-            if now - mine.told >= RESEND_INTERVAL_MS:
-                yield self._message(key, mine)
+        """Counts to be sent to an owner now, the one not sent for longest first."""
+        for key, count in list(self.unconfirmed.get(owner, {}).items()):
+            if now - count.told >= RESEND_INTERVAL_MS:
+                yield self._message(key, count)
 
     def unconfirmed_count(self, key: int) -> Count | None:
         """The count of one customer, if its owner has not confirmed all of it."""
-        mine = self.local_counts.get(key)
-        return (self._message(key, mine)
-                if mine is not None and key in self.unconfirmed.get(mine.owner, ()) else None)
+        count = self.local_counts.get(key)
+        return (self._message(key, count)
+                if count is not None and key in self.unconfirmed.get(count.owner, ()) else None)
 
-    def _message(self, key: int, mine: LocalCount) -> Count:
-        return Count(key, mine.plan, self.incarnation, mine.units, mine.confirmed)
+    def _message(self, key: int, count: LocalCount) -> Count:
+        return Count(key, count.plan, self.incarnation, count.units, count.confirmed)
 
     def mark_sent(self, now: float, key: int) -> None:
-        """The count goes out now: others are in front the next time."""
-        mine = self.local_counts[key]
-        mine.told = now
-        waiting = self.unconfirmed[mine.owner]
+        """Notes that a customer's count is sent now, and moves it behind the others of its owner."""
+        count = self.local_counts[key]
+        count.told = now
+        waiting = self.unconfirmed[count.owner]
         waiting[key] = waiting.pop(key)
 
-    def on_confirmed(self, now: float, sender: int, c: Confirmed) -> None:
-        mine = self.local_counts.get(c.key)
-        if mine is None or c.incarnation != self.incarnation or sender != mine.owner:
+    def on_confirmed(self, now: float, sender: int, confirmation: Confirmed) -> None:
+        """Takes in an owner's confirmation; one for another incarnation or owner is ignored."""
+        count = self.local_counts.get(confirmation.key)
+        if count is None or confirmation.incarnation != self.incarnation or sender != count.owner:
             return
-        mine.confirmed = max(mine.confirmed, min(c.units, mine.units))
-        mine.at = now
-        if mine.confirmed >= mine.units - UNIT_STEP / 2:
-            self.unconfirmed.get(mine.owner, {}).pop(c.key, None)
+        count.confirmed = max(count.confirmed, min(confirmation.units, count.units))
+        count.at = now
+        if count.confirmed >= count.units - UNIT_STEP / 2:
+            self.unconfirmed.get(count.owner, {}).pop(confirmation.key, None)
 
     # As the owner -------------------------------------------------------------------------
 
-    def on_count(self, now: float, sender: int, c: Count) -> float:
-        """Units that were not known: to be taken from the bucket now."""
-        if not self.is_current(now, sender, c.incarnation):
+    def on_count(self, now: float, sender: int, count: Count) -> float:
+        """Merges a peer's count; returns the units that are new and to be taken from the bucket now."""
+        if not self.is_current(now, sender, count.incarnation):
             return 0.0
-        known = self.peer_counts.get((sender, c.key))
-        if known is None or known.incarnation != c.incarnation:
-            known = PeerCount(c.incarnation, c.confirmed, now)
+        known = self.peer_counts.get((sender, count.key))
+        if known is None or known.incarnation != count.incarnation:
+            known = PeerCount(count.incarnation, count.confirmed, now)
         else:
-            del self.peer_counts[sender, c.key]
-        self.peer_counts[sender, c.key] = known                  # the last heard of stands last
+            del self.peer_counts[sender, count.key]
+        self.peer_counts[sender, count.key] = known
         if len(self.peer_counts) > MAX_COUNTS:
             del self.peer_counts[next(iter(self.peer_counts))]
-        # What a former owner confirmed is done, even if an older word of this count came here first.
-        news = max(0.0, c.units - max(known.units, c.confirmed))
-        known.units, known.at = max(known.units, c.units), now
-        return news
+        # What a former owner confirmed is settled, even if an older message of this count came here first.
+        new_units = max(0.0, count.units - max(known.units, count.confirmed))
+        known.units, known.at = max(known.units, count.units), now
+        return new_units
 
     def is_current(self, now: float, sender: int, incarnation: int) -> bool:
-        """Whether a word comes from the present incarnation of its sender: the newest, or the one that has
-        come after it had ended.  The number goes by a clock that a machine starts anew with itself."""
+        """Whether a message is from its sender's present incarnation, which is noted if it is new.
+
+        That is the one of the greatest number, or any that follows one not heard for
+        INCARNATION_TIMEOUT_MS: numbers come from a clock that starts anew when the machine does.
+        """
         newest = self.incarnations.get(sender, incarnation)
         if incarnation < newest and now - self.last_heard_at.get(sender, now) <= INCARNATION_TIMEOUT_MS:
             return False
@@ -150,12 +165,15 @@
         return True
 
     def confirmation_for(self, sender: int, key: int) -> Confirmed | None:
+        """The confirmation of what is known of a peer's count; None if nothing is."""
         known = self.peer_counts.get((sender, key))
         return Confirmed(key, known.incarnation, known.units) if known is not None else None
 
     def expire(self, now: float) -> None:
-        for key, mine in list(self.local_counts.items()):
-            if now - mine.at > COUNT_EXPIRY_MS and key not in self.unconfirmed.get(mine.owner, ()):
+        """Drops settled counts that have not changed within COUNT_EXPIRY_MS."""
+        for key, count in list(self.local_counts.items()):
+            if now - count.at > COUNT_EXPIRY_MS and key not in self.unconfirmed.get(count.owner, ()):
                 del self.local_counts[key]
-        self.peer_counts = {k: v for k, v in self.peer_counts.items() if now - v.at <= COUNT_EXPIRY_MS}
+        self.peer_counts = {k: known for k, known in self.peer_counts.items()
+                            if now - known.at <= COUNT_EXPIRY_MS}
         self.unconfirmed = {owner: waiting for owner, waiting in self.unconfirmed.items() if waiting}
