--- a/larklb/quota/entitlements.py
+++ b/larklb/quota/entitlements.py
@@ -76,13 +76,13 @@
         self.catalogue = catalogue
         self._seek(now)
 
-    def effective_plan(self, now: float, key: int, requested: int) -> EffectivePlan:
-        """The plan in effect for a customer whose request names the plan of number ``requested``."""
+    def effective_plan(self, now: float, key: int, named_plan: int) -> EffectivePlan:
+        """The plan in effect for a customer whose request names the plan of number ``named_plan``."""
         if now >= self.valid_until:
             self._seek(now)
         catalogue = self.catalogue
-        number = (catalogue.plan_of(key, self.version_index, requested) if catalogue.assignments
-                  else requested)
+        number = (catalogue.plan_of(key, self.version_index, named_plan) if catalogue.assignments
+                  else named_plan)
         version = catalogue.versions[self.version_index]
         return EffectivePlan(number, version.plans[number], version.number)
 
@@ -90,50 +90,50 @@
         """A plan with the figures in effect here now."""
         return self.effective_plan(now, -1, number).plan
 
-    def new_bucket(self, now: float, key: int, requested: int, parts: float = 1.0) -> TokenBucket:
+    def new_bucket(self, now: float, key: int, named_plan: int, parts: float = 1.0) -> TokenBucket:
         """A bucket for a customer that has none, as if it had existed and been idle all along.
 
         It is full before the first change of its plan, and has gone through each change since.  Rate and
         burst are the plan's divided by ``parts``.
         """
         if len(self.catalogue.versions) == 1:
-            plan = self.catalogue.versions[0].plans[requested]
+            plan = self.catalogue.versions[0].plans[named_plan]
             return TokenBucket(plan.rate / parts, plan.burst / parts, plan.burst / parts, now, 0, now)
-        _, plan, _ = self._plan_at_version(key, requested, 0)
+        _, plan, _ = self._plan_at_version(key, named_plan, 0)
         bucket = full_bucket(plan.rate / parts, plan.burst / parts, float("-inf"))
-        self.update_bucket(now, key, requested, bucket, parts)
+        self.update_bucket(now, key, named_plan, bucket, parts)
         bucket.born = now
         return bucket
 
-    def restored_bucket(self, key: int, requested: int, tokens: float, at: float) -> TokenBucket:
+    def restored_bucket(self, key: int, named_plan: int, tokens: float, at: float) -> TokenBucket:
         """A bucket as it was stored at an instant, under the version in effect then."""
         index = self.catalogue.index_at(at + self.clock_offset)
-        _, plan, version = self._plan_at_version(key, requested, index)
+        _, plan, version = self._plan_at_version(key, named_plan, index)
         return TokenBucket(plan.rate, plan.burst, min(plan.burst, tokens) if plan.rate else tokens, at,
                            version=version)
 
-    def update_bucket(self, now: float, key: int, requested: int, bucket: TokenBucket,
+    def update_bucket(self, now: float, key: int, named_plan: int, bucket: TokenBucket,
                       parts: float = 1.0) -> None:
         """Applies the changes of plans since a bucket was last used, each at its own instant."""
         catalogue = self.catalogue
         if len(catalogue.versions) == 1:
-            plan = catalogue.versions[0].plans[requested]
+            plan = catalogue.versions[0].plans[named_plan]
             if bucket.rate != plan.rate / parts or bucket.burst != plan.burst / parts:
                 # The settings or the share have changed.
                 self._apply_plan(bucket, now, plan, parts)
             return
-        self.effective_plan(now, key, requested)
+        self.effective_plan(now, key, named_plan)
         for index in catalogue.effective_changes(catalogue.index_by_number.get(bucket.version, 0),
                                                  self.version_index):
-            _, plan, bucket.version = self._plan_at_version(key, requested, index)
+            _, plan, bucket.version = self._plan_at_version(key, named_plan, index)
             self._apply_plan(bucket, catalogue.versions[index].effective_at - self.clock_offset, plan, parts)
-        _, plan, _ = self._plan_at_version(key, requested, self.version_index)
+        _, plan, _ = self._plan_at_version(key, named_plan, self.version_index)
         if (bucket.rate, bucket.burst) != (plan.rate / parts, plan.burst / parts):
             # The customer's requests name another plan now.
             self._apply_plan(bucket, now, plan, parts)
 
-    def _plan_at_version(self, key: int, requested: int, index: int) -> EffectivePlan:
-        number, version = self.catalogue.plan_of(key, index, requested), self.catalogue.versions[index]
+    def _plan_at_version(self, key: int, named_plan: int, index: int) -> EffectivePlan:
+        number, version = self.catalogue.plan_of(key, index, named_plan), self.catalogue.versions[index]
         return EffectivePlan(number, version.plans[number], version.number)
 
     @staticmethod
--- a/larklb/quota/fallback.py
+++ b/larklb/quota/fallback.py
@@ -242,8 +242,7 @@
     def _share_bucket(self, now: float, request: PendingRequest) -> TokenBucket:
         """The bucket of this limiter's share of a customer's quota, with its figures up to date."""
         part = (max(MIN_SHARE, self.shares.local_share(now, request.customer_key, request.spread))
-                if self.enabled
-                else 1.0 / request.spread)
+                if self.enabled else 1.0 / request.spread)
         if request.customer_key not in self.share_buckets:
             evict_fullest(self.share_buckets, now, self.entitlements.max_customers)
             bucket = self.entitlements.new_bucket(now, request.customer_key, request.named_plan, 1.0 / part)
@@ -322,8 +321,8 @@
             plan = self.entitlements.effective_plan(now, key, copy.plan).plan
             if now - copy.at > max(most_due, plan.burst / plan.rate * 1000.0 if plan.rate else 0.0):
                 del self.copies[key]
-        for key, (requested_plan, bucket, part) in list(self.share_buckets.items()):
-            self.entitlements.update_bucket(now, key, requested_plan, bucket, 1.0 / part)
+        for key, (named_plan, bucket, part) in list(self.share_buckets.items()):
+            self.entitlements.update_bucket(now, key, named_plan, bucket, 1.0 / part)
             if now - bucket.at > most_due and bucket.fill(now) >= bucket.burst:
                 del self.share_buckets[key]
         self.shares.expire(now)
