--- a/larklb/cli/system_disk.py
+++ b/larklb/cli/system_disk.py
@@ -107,7 +107,7 @@
             if value is None or BALLOT not in before:
                 raise UnusableError(f"{folder}: no votes are left here: empty the folder, and the disk joins "
                                     "its group as a newcomer")
-            if wanted.group_id != HardState.read(decode(before[BALLOT])).group_id:
+            if wanted.group_id != HardState.from_json(decode(before[BALLOT])).group_id:
                 raise UnusableError(f"{folder}: log-{generation}: is of another group than the votes here")
             _replica(folder, {**before, LOG: value})
             now, then = _held(before[LOG]), _version(_newest(wanted))
@@ -194,10 +194,10 @@
             ballot = decode(value)
             return f"term {ballot.get('term')}, vote for {ballot.get('vote') or 'nobody'}"
         if key == LOG:
-            log = Log.read(value)
+            log = Log.from_bytes(value)
             known = _version(log.state.document)
             return (f"version {_version(_newest(log))}, {known} known as acknowledged, "
-                    f"entries to {log.last}, voters {','.join(sorted(log.voters.values()))}")
+                    f"entries to {log.last_index}, voters {','.join(sorted(log.voters.values()))}")
     except (ConsensusError, UnicodeDecodeError) as error:
         return f"can't be understood: {error}"
     return "unknown"
@@ -213,7 +213,7 @@
 def _held(value: bytes) -> int | None:
     """The version in a stored log; None where that can't be understood, which is a reason to replace it."""
     try:
-        return _version(_newest(Log.read(value)))
+        return _version(_newest(Log.from_bytes(value)))
     except ConsensusError:
         return None
 
@@ -226,7 +226,7 @@
     try:
         value = Store(folder).value(LOG, number)
         if value is not None:
-            return Log.read(value)
+            return Log.from_bytes(value)
     except (StorageError, ConsensusError) as error:
         raise UnusableError(f"{folder}: log-{number}: {error}") from error
     there = [str(row["number"]) for row in _rows(folder) if row["key"] == LOG and row["whole"]]
@@ -242,8 +242,8 @@
     except StorageError as error:
         raise UnusableError(f"{folder}: {error}") from error
     replica = _replica(folder, stored or {})
-    log = Log.read(stored[LOG]) if stored and LOG in stored else Log()
-    dropped = replica.last < log.last          # it goes with no votes, or with those of another group
+    log = Log.from_bytes(stored[LOG]) if stored and LOG in stored else Log()
+    dropped = replica.last_index < log.last_index  # it goes with no votes, or with those of another group
     return {"blank": stored is None, "disk": identity["what"].removeprefix("disk ") if identity else "",
             "dropped": dropped, "version": 0 if dropped else _version(_newest(log)),
             "acknowledged": replica.version, "term": replica.term, "founded": replica.founded,
--- a/larklb/consensus/errors.py
+++ b/larklb/consensus/errors.py
@@ -13,7 +13,7 @@
     """A message or a stored value doesn't have the shape that it must have."""
 
 
-class RefusedError(ConsensusError):
+class InvalidChangeError(ConsensusError):
     """A change that is invalid against the current document; raised by the ``apply`` of the caller.
 
     ``problems``: each thing wrong with it, where the caller knows them apart; else the text alone."""
--- a/larklb/consensus/founding.py
+++ b/larklb/consensus/founding.py
@@ -34,13 +34,13 @@
     proposer: str = ""
     listed: Disks = field(factory=dict)
 
-    def stored(self) -> dict[str, Any]:
+    def to_json(self) -> dict[str, Any]:
         """Its durable form, as JSON values; there the group's id is the ``nonce``."""
         values = asdict(self)
         return {"nonce": values.pop("group_id"), **values}
 
     @classmethod
-    def read(cls, source: dict[str, Any]) -> HardState:
+    def from_json(cls, source: dict[str, Any]) -> HardState:
         """From its durable form, with all its fields. Raises MalformedError."""
         values = {"group_id": source.get("nonce"), **source}
         missing = fields_dict(cls).keys() - values.keys()
--- a/larklb/consensus/log.py
+++ b/larklb/consensus/log.py
@@ -15,8 +15,8 @@
 
 _Record = TypeVar("_Record", bound=msgspec.Struct)
 
-KEPT_BYTES = 65536  # of committed entries kept behind the snapshot: who lags gets small ones by ...
-KEPT_ENTRIES = 32  # ... themselves; a large document isn't cheaper as an entry than as a snapshot
+MAX_RETAINED_BYTES = 65536  # of committed entries kept behind the snapshot: who lags gets small ones by ...
+MAX_RETAINED_ENTRIES = 32  # ... themselves; a large document isn't cheaper as an entry than as a snapshot
 
 
 def encode(value: object) -> bytes:
@@ -102,7 +102,7 @@
             values["voters"] = self.voters
         return values
 
-    def stored(self) -> bytes:
+    def to_bytes(self) -> bytes:
         """Its durable form."""
         head = encode(
             {
@@ -116,12 +116,12 @@
         return head[:-1] + b',"document":' + (self.encoded or b"null") + b"}"
 
     @classmethod
-    def read(cls, source: Any) -> Entry:
+    def from_message(cls, source: Any) -> Entry:
         """From a message. Raises MalformedError."""
-        return cls.of(_convert(source, EntryRecord, "an entry"))
+        return cls.from_record(_convert(source, EntryRecord, "an entry"))
 
     @classmethod
-    def of(cls, record: EntryRecord) -> Entry:
+    def from_record(cls, record: EntryRecord) -> Entry:
         """From its record. Raises MalformedError."""
         if record.kind == "voters":
             return cls(record.index, record.term, record.kind, voters=record.voters)
@@ -150,27 +150,27 @@
             "index": self.index,
             "term": self.term,
             "voters": self.voters,
-            "history": self.history.stored(),
+            "history": self.history.to_json(),
         }
 
     def to_message(self) -> dict[str, Any]:
         """As it goes into a message."""
         return self._head() | {"document": self.document}
 
-    def stored(self) -> bytes:
+    def to_bytes(self) -> bytes:
         """Its durable form."""
         return encode(self._head())[:-1] + b',"document":' + (self.encoded or b"null") + b"}"
 
     @classmethod
-    def read(cls, source: dict[str, Any]) -> Snapshot:
+    def from_message(cls, source: dict[str, Any]) -> Snapshot:
         """From a message. Raises MalformedError."""
-        return cls.of(_convert(source, SnapshotRecord, "a snapshot"))
+        return cls.from_record(_convert(source, SnapshotRecord, "a snapshot"))
 
     @classmethod
-    def of(cls, record: SnapshotRecord) -> Snapshot:
+    def from_record(cls, record: SnapshotRecord) -> Snapshot:
         """From its record. Raises MalformedError."""
         document = record.document
-        history = History.read(record.history, _version(document))
+        history = History.from_json(record.history, _version(document))
         encoded = encode(document) if document else b""
         return cls(record.index, record.term, record.voters, history, document, encoded)
 
@@ -197,48 +197,48 @@
     state: Snapshot = field(factory=Snapshot)
 
     @classmethod
-    def founded(cls, group_id: str, voters: dict[str, str]) -> Log:
+    def for_new_group(cls, group_id: str, voters: dict[str, str]) -> Log:
         """The log of a new group, with nothing but its voters."""
         base = Snapshot(0, 0, dict(voters))
         return cls(group_id, base, [], base)
 
     @classmethod
-    def read(cls, value: bytes) -> Log:
+    def from_bytes(cls, value: bytes) -> Log:
         """From its durable form. Raises MalformedError."""
         record = _convert(decode(value), LogRecord, "the log")
-        base = Snapshot.of(record.snapshot)
-        log = cls(record.nonce, base, [Entry.of(entry) for entry in record.entries], base)
-        if [entry.index for entry in log.entries] != list(range(base.index + 1, log.last + 1)):
+        base = Snapshot.from_record(record.snapshot)
+        log = cls(record.nonce, base, [Entry.from_record(entry) for entry in record.entries], base)
+        if [entry.index for entry in log.entries] != list(range(base.index + 1, log.last_index + 1)):
             raise MalformedError("the stored log has a gap")
         log.advance(record.commit)
         return log
 
-    def stored(self) -> bytes:
+    def to_bytes(self) -> bytes:
         """Its durable form."""
-        head = encode({"nonce": self.group_id, "commit": self.commit})
+        head = encode({"nonce": self.group_id, "commit": self.commit_index})
         return (
             head[:-1]
             + b',"snapshot":'
-            + self.base.stored()
+            + self.base.to_bytes()
             + b',"entries":['
-            + b",".join(entry.stored() for entry in self.entries)
+            + b",".join(entry.to_bytes() for entry in self.entries)
             + b"]}"
         )
 
     @property
-    def last(self) -> int:
+    def last_index(self) -> int:
         """Index of the last entry."""
         return self.base.index + len(self.entries)
 
     @property
-    def commit(self) -> int:
+    def commit_index(self) -> int:
         """Index up to which the log is known to be committed."""
         return self.state.index
 
     @property
-    def end(self) -> tuple[int, int]:
+    def last_position(self) -> tuple[int, int]:
         """(term, index) of the last entry: what logs are compared by."""
-        return (self.entries[-1].term if self.entries else self.base.term), self.last
+        return (self.entries[-1].term if self.entries else self.base.term), self.last_index
 
     @property
     def voters(self) -> dict[str, str]:
@@ -252,22 +252,24 @@
         """None where the log doesn't reach."""
         if index == self.base.index:
             return self.base.term
-        if not self.base.index < index <= self.last:
+        if not self.base.index < index <= self.last_index:
             return None
         return self.entries[index - self.base.index - 1].term
 
-    def after(self, index: int, most: int) -> list[Entry]:
+    def entries_after(self, index: int, limit: int) -> list[Entry]:
         """Up to ``most`` entries behind an index."""
         start = index - self.base.index
-        return self.entries[start : start + most]
+        return self.entries[start : start + limit]
 
-    def pending(self, kind: str) -> bool:
+    def has_uncommitted(self, kind: str) -> bool:
         """Whether an entry of the kind is appended and not committed."""
-        return any(entry.kind == kind for entry in self.entries[max(0, self.commit - self.base.index) :])
+        return any(
+            entry.kind == kind for entry in self.entries[max(0, self.commit_index - self.base.index) :]
+        )
 
     def append(self, entry: Entry) -> None:
         """Adds the next entry; ConsensusError where it is another."""
-        if entry.index != self.last + 1:
+        if entry.index != self.last_index + 1:
             raise ConsensusError("an entry was appended out of its turn")
         self.entries.append(entry)
 
@@ -278,7 +280,7 @@
         behind: an older message that comes late must not cut off what a newer one has brought."""
         changed = False
         for entry in entries:
-            if entry.index <= self.commit:
+            if entry.index <= self.commit_index:
                 continue
             have = self.term_at(entry.index)
             if have == entry.term:
@@ -291,25 +293,25 @@
 
     def advance(self, index: int) -> bool:
         """Commit up to ``index`` (at most to the end of the log); whether that is news."""
-        index = min(index, self.last)
-        if index <= self.commit:
+        index = min(index, self.last_index)
+        if index <= self.commit_index:
             return False
-        for entry in self.after(self.commit, index - self.commit):
+        for entry in self.entries_after(self.commit_index, index - self.commit_index):
             self.state = self.state.with_entry(entry)
         return True
 
-    def fold(self) -> None:
+    def compact(self) -> None:
         """Put committed entries into the snapshot when too much of them is kept."""
-        done = self.entries[: self.commit - self.base.index]
-        if len(done) > KEPT_ENTRIES or sum(len(entry.encoded) for entry in done) > KEPT_BYTES:
+        done = self.entries[: self.commit_index - self.base.index]
+        if len(done) > MAX_RETAINED_ENTRIES or sum(len(entry.encoded) for entry in done) > MAX_RETAINED_BYTES:
             del self.entries[: len(done)]
             self.base = self.state
 
     def install(self, snapshot: Snapshot) -> bool:
         """Take a leader's snapshot in place of the log; whether it was news."""
-        if snapshot.index <= self.commit:
+        if snapshot.index <= self.commit_index:
             return False
         follows = self.term_at(snapshot.index) == snapshot.term
-        self.entries = self.after(snapshot.index, len(self.entries)) if follows else []
+        self.entries = self.entries_after(snapshot.index, len(self.entries)) if follows else []
         self.base = self.state = snapshot
         return True
--- a/larklb/consensus/membership_change.py
+++ b/larklb/consensus/membership_change.py
@@ -9,19 +9,19 @@
 
 log = logging.getLogger(__name__)
 
-LEARNER_MS = 1000.0  # since a newcomer's last message in which it counts as keeping up
+LEARNER_TIMEOUT_MS = 1000.0  # since a newcomer's last message in which it counts as keeping up
 
 
 class MembershipChange(ReplicaState):
     """The leader's duty to keep as many voters as tolerance asks for."""
 
-    def _change_group(self) -> None:
-        if not self.settled or self._log.pending("voters"):
+    def _change_voters(self) -> None:
+        if not self.has_committed_in_term or self._log.has_uncommitted("voters"):
             return
         ready = {
             disk
             for disk, peer in self._peers.items()
-            if peer.match >= self._log.commit and self._now - peer.heard < LEARNER_MS
+            if peer.match_index >= self._log.commit_index and self._now - peer.replied_at < LEARNER_TIMEOUT_MS
         }
         voters = next_voters(
             self._log.voters,
@@ -30,9 +30,9 @@
             self._liveness,
             self._now,
             tolerance=self._tolerance,
-            silent_ms=self._timing.silent,
+            silent_ms=self._timing.voter_silence,
         )
         if voters is not None:
             log.info("consensus: the voters become %s", sorted(voters.values()))
             self._append("voters", voters=voters)
-            self._roster()
+            self._update_peers()
--- a/larklb/consensus/messages.py
+++ b/larklb/consensus/messages.py
@@ -13,11 +13,11 @@
 from larklb.consensus.errors import MalformedError
 from larklb.consensus.group import Disks
 
-MOST_ENTRIES = 8  # in a message
+MAX_ENTRIES = 8  # in a message
 
 Position = tuple[int, int]  # (term, index) of a log's end
 Stamp = tuple[int, float]  # a replica's life, and its clock in ms
-Entries = Annotated[list[dict[str, Any]], msgspec.Meta(max_length=MOST_ENTRIES)]
+Entries = Annotated[list[dict[str, Any]], msgspec.Meta(max_length=MAX_ENTRIES)]
 
 
 class Message(msgspec.Struct, frozen=True, kw_only=True, tag_field="kind"):
@@ -55,7 +55,7 @@
     yes: bool
 
 
-class Stand(Message, frozen=True, kw_only=True, tag="stand"):
+class TimeoutNow(Message, frozen=True, kw_only=True, tag="stand"):
     """The leader is about to end: the receiver is to stand for election at once."""
 
 
@@ -109,7 +109,7 @@
     | PreVoteReply
     | VoteRequest
     | VoteReply
-    | Stand
+    | TimeoutNow
     | AppendEntries
     | InstallSnapshot
     | AppendReply
--- a/larklb/consensus/replica.py
+++ b/larklb/consensus/replica.py
@@ -11,9 +11,9 @@
 from collections.abc import Callable
 from typing import Any
 
-from larklb.consensus.calls import LATE
+from larklb.consensus.calls import TIMED_OUT
 from larklb.consensus.election import Election
-from larklb.consensus.errors import ConsensusError, MalformedError, RefusedError
+from larklb.consensus.errors import ConsensusError, InvalidChangeError, MalformedError
 from larklb.consensus.founding_protocol import FoundingProtocol
 from larklb.consensus.interface import Answer, Call, Ready
 from larklb.consensus.membership_change import MembershipChange
@@ -26,7 +26,7 @@
     Message,
     PreVote,
     PreVoteReply,
-    Stand,
+    TimeoutNow,
     VoteReply,
     VoteRequest,
     decode_message,
@@ -34,12 +34,12 @@
 from larklb.consensus.proposals import Proposals
 from larklb.consensus.replication import Replication
 
-__all__ = ["Answer", "Call", "ConsensusError", "Ready", "RefusedError", "Replica"]
+__all__ = ["Answer", "Call", "ConsensusError", "Ready", "InvalidChangeError", "Replica"]
 
 log = logging.getLogger(__name__)
 
-OF_ANY_GROUP = (AppendEntries, InstallSnapshot, Founding, FoundingReply)  # also from another one
-RETRY_MS = 200.0  # until a failed save is tried again
+CROSS_GROUP_MESSAGES = (AppendEntries, InstallSnapshot, Founding, FoundingReply)  # also from another one
+SAVE_RETRY_MS = 200.0  # until a failed save is tried again
 
 
 class Replica(Election, Replication, MembershipChange, Proposals, FoundingProtocol):
@@ -49,21 +49,23 @@
         """To be called about every 50 ms; ``cores``: disk id -> node of the core machines heard lately;
         ``leaving``: disk ids of those that were told to end, or have ended so."""
         self._now = max(self._now, now)
-        self._liveness.told(self._now, {**cores, self.disk: self.node}, leaving)
-        self._answer_all(self._calls.late(self._now), LATE)
+        self._liveness.observe(self._now, {**cores, self.disk: self.node}, leaving)
+        self._answer_all(self._calls.take_expired(self._now), TIMED_OUT)
         if self._saving_since is not None:
-            if self._hangs():
-                self._deadline = self._draw()  # a disk that hangs mustn't stand for election
+            if self._save_hangs():
+                self._election_deadline = (
+                    self._random_election_deadline()
+                )  # a disk that hangs mustn't stand for election
                 if self.is_leader:
                     self._step_down("its disk hangs")
             return
         if self.is_leader:
-            self._lead_on()
+            self._leader_tick()
             return
-        if self._sticky + self._timing.election[1] < self._now:
+        if self._leader_contact_at + self._timing.election_timeout[1] < self._now:
             self.leader = None
-        self._propose()
-        if self._now >= self._deadline:
+        self._send_proposals()
+        if self._now >= self._election_deadline:
             self._start_pre_vote()
 
     def step(self, now: float, sender: str, message: dict[str, Any]) -> None:
@@ -72,7 +74,7 @@
         if self._saving_since is not None:
             self._inbox.append((sender, message))
         else:
-            self._take(sender, message)
+            self._handle(sender, message)
 
     def ready(self) -> Ready | None:
         """What is to be done now, or None. While a save is under way there may be answers, nothing else: no
@@ -81,9 +83,9 @@
             return self._take_answers()
         if self._saving_since is not None:
             return None
-        if self._failed is not None and self._now - self._failed < RETRY_MS:
+        if self._save_failed_at is not None and self._now - self._save_failed_at < SAVE_RETRY_MS:
             return None
-        if self._push and self.is_leader:
+        if self._broadcast_due and self.is_leader:
             self._broadcast()
             if self._answers:  # of a group of one
                 return self._take_answers()
@@ -96,26 +98,26 @@
         """The save of the last Ready that had one is durable, or (not ``ok``) has failed."""
         if self._saving_since is None:
             return
-        if self._hangs():
-            self._deadline = self._draw()
-        keys, self._saving, self._saving_since = self._saving, set(), None
+        if self._save_hangs():
+            self._election_deadline = self._random_election_deadline()
+        keys, self._saving_keys, self._saving_since = self._saving_keys, set(), None
         if ok:
-            self._failed = None
+            self._save_failed_at = None
             if "log" in keys:
-                self._durable = self._saving_last
+                self._durable_index = self._saving_last_index
         else:
             log.warning("consensus: a save of %s failed", self.disk)
-            self._failed = self._now
+            self._save_failed_at = self._now
             self._dirty |= keys
             self._outbox.clear()
             if self.is_leader:
                 self._step_down("it can't save")
         while self._inbox:
-            self._take(*self._inbox.popleft())
+            self._handle(*self._inbox.popleft())
         if self.is_leader:
-            self._advance()
+            self._advance_commit()
 
-    def _take(self, sender: str, source: dict[str, Any]) -> None:
+    def _handle(self, sender: str, source: dict[str, Any]) -> None:
         handlers: dict[type[Message], Callable[[str, Any], None]] = {
             AppendEntries: self._on_append_entries,
             InstallSnapshot: self._on_snapshot,
@@ -124,7 +126,7 @@
             PreVoteReply: self._on_pre_vote_reply,
             VoteRequest: self._on_vote_request,
             VoteReply: self._on_vote_reply,
-            Stand: self._on_stand,
+            TimeoutNow: self._on_timeout_now,
             Founding: self._on_founding,
             FoundingReply: self._on_founding_reply,
         }
@@ -133,7 +135,7 @@
             if message.disk != sender:
                 # By its address alone, a message of the disk that was there before would count for the new.
                 raise MalformedError("it is another disk's")
-            if message.group_id == self._hard_state.group_id or isinstance(message, OF_ANY_GROUP):
+            if message.group_id == self._hard_state.group_id or isinstance(message, CROSS_GROUP_MESSAGES):
                 handlers[type(message)](sender, message)
             elif isinstance(message, PreVote) and self._hard_state.bound:
                 self._send_founding_reply(sender)
--- a/larklb/consensus/state.py
+++ b/larklb/consensus/state.py
@@ -11,7 +11,7 @@
 
 from attrs import define
 
-from larklb.consensus.calls import LEFT, Calls
+from larklb.consensus.calls import LEADERSHIP_LOST, PendingCalls
 from larklb.consensus.founding import HardState
 from larklb.consensus.group import Liveness
 from larklb.consensus.interface import Answer, Call, Ready
@@ -21,10 +21,10 @@
 
 log = logging.getLogger(__name__)
 
-LIVES = 1 << 40  # a replica's life is drawn below this
-MOST_ROUNDS = 64  # whose times of sending are remembered
-MOST_INBOX = 256  # messages kept while a save is under way
-MOST_OUTBOX = 512
+INCARNATION_LIMIT = 1 << 40  # a replica's life is drawn below this
+MAX_ROUNDS = 64  # whose times of sending are remembered
+MAX_INBOX = 256  # messages kept while a save is under way
+MAX_OUTBOX = 512
 
 
 @define
@@ -34,12 +34,12 @@
     last content sent follows (-1: a snapshot, which follows any); ``due``: ms from which on that counts as
     lost; ``stamp``: of its newest reply."""
 
-    next: int
-    heard: float
-    match: int = -1
-    round: int = 0
-    behind: int = -1
-    due: float = float("-inf")
+    next_index: int
+    replied_at: float
+    match_index: int = -1
+    acked_round: int = 0
+    sent_after: int = -1
+    deadline: float = float("-inf")
     stamp: Stamp = (0, 0.0)
 
 
@@ -54,12 +54,12 @@
     been sent then, and the ballot tells which group counts."""
     if "ballot" not in stored:
         return HardState(), Log()
-    ballot = HardState.read(decode(stored["ballot"]))
-    kept = Log.read(stored["log"]) if "log" in stored else Log()
+    ballot = HardState.from_json(decode(stored["ballot"]))
+    kept = Log.from_bytes(stored["log"]) if "log" in stored else Log()
     if kept.group_id != ballot.group_id:
-        kept = Log(ballot.group_id) if ballot.bound else Log.founded(ballot.group_id, ballot.listed)
-    if kept.end[0] > ballot.term:
-        ballot.term, ballot.vote = kept.end[0], ""
+        kept = Log(ballot.group_id) if ballot.bound else Log.for_new_group(ballot.group_id, ballot.listed)
+    if kept.last_position[0] > ballot.term:
+        ballot.term, ballot.vote = kept.last_position[0], ""
     return ballot, kept
 
 
@@ -91,33 +91,33 @@
         self._rng = random.Random(f"{seed} {disk}")
         self._hard_state, self._log = load(stored or {})
         self._role = "follower"
-        self._life = self._rng.randrange(1, LIVES)
+        self._incarnation = self._rng.randrange(1, INCARNATION_LIMIT)
         self._confirmed = False
-        self._current_at = float("-inf")  # when what is committed here was last as new as at the leader
-        self._sticky = float("-inf")  # when the leader was last heard
+        self._up_to_date_at = float("-inf")  # when what is committed here was last as new as at the leader
+        self._leader_contact_at = float("-inf")  # when the leader was last heard
         self._liveness = Liveness(now)
         self._votes: set[str] = set()
         self._accepted: set[str] = set()
-        self._apart: set[str] = set()  # listed ones that follow another group's leader
-        self._asked = float("-inf")
+        self._in_other_groups: set[str] = set()  # listed ones that follow another group's leader
+        self._proposed_at = float("-inf")
         self._peers: dict[str, Peer] = {}
         self._round = 0
-        self._rounds: deque[tuple[int, float]] = deque(maxlen=MOST_ROUNDS)  # when each was sent
-        self._quorum_at = float("-inf")  # when the newest round that a majority has answered was sent
-        self._leaving = False
-        self._pushed = float("-inf")
-        self._push = False
-        self._calls = Calls()
+        self._round_times: deque[tuple[int, float]] = deque(maxlen=MAX_ROUNDS)  # when each was sent
+        self._quorum_contact_at = float("-inf")  # when the newest round that a majority has answered was sent
+        self._stopping = False
+        self._broadcast_at = float("-inf")
+        self._broadcast_due = False
+        self._calls = PendingCalls()
         self._dirty: set[str] = set()
-        self._saving: set[str] = set()
+        self._saving_keys: set[str] = set()
         self._saving_since: float | None = None
-        self._saving_last = -1
-        self._durable = self._log.last
-        self._failed: float | None = None
-        self._inbox: deque[tuple[str, dict[str, Any]]] = deque(maxlen=MOST_INBOX)
-        self._outbox: deque[tuple[str, dict[str, Any]]] = deque(maxlen=MOST_OUTBOX)
+        self._saving_last_index = -1
+        self._durable_index = self._log.last_index
+        self._save_failed_at: float | None = None
+        self._inbox: deque[tuple[str, dict[str, Any]]] = deque(maxlen=MAX_INBOX)
+        self._outbox: deque[tuple[str, dict[str, Any]]] = deque(maxlen=MAX_OUTBOX)
         self._answers: list[tuple[str, Answer]] = []
-        self._deadline = self._first_draw()
+        self._election_deadline = self._initial_election_deadline()
 
     @property
     def term(self) -> int:
@@ -140,14 +140,14 @@
         return version_of(self.current)
 
     @property
-    def last(self) -> int:
+    def last_index(self) -> int:
         """Index of the last entry of the log here, known to a majority or not; -1 on a blank disk."""
-        return self._log.last
+        return self._log.last_index
 
     @property
-    def commit(self) -> int:
+    def commit_index(self) -> int:
         """Index up to which it is known here that a majority has the log; -1 on a blank disk."""
-        return self._log.commit
+        return self._log.commit_index
 
     @property
     def founded(self) -> bool:
@@ -160,60 +160,60 @@
         return self._role == "leader"
 
     @property
-    def settled(self) -> bool:
+    def has_committed_in_term(self) -> bool:
         """Whether a leader is known and, here, has committed an entry of its term: calls can be judged."""
         return self.is_leader and self._log.state.term == self.term
 
     @property
     def confirmed(self) -> bool:
         """Whether ``current`` has, in this life, been as new as a leader's word of what is committed."""
-        return self._confirmed or self.settled
+        return self._confirmed or self.has_committed_in_term
 
-    def leads_surely(self, now: float) -> bool:
+    def has_recent_quorum(self, now: float) -> bool:
         """Whether a majority has answered, within the time after which a leader without it steps down, what
         this leader sent: what it hands out from memory can be no older than that."""
-        return self.settled and now - self._quorum_at <= self._timing.quorum
+        return self.has_committed_in_term and now - self._quorum_contact_at <= self._timing.quorum_timeout
 
-    def up_to_date(self, now: float) -> bool:
+    def is_up_to_date(self, now: float) -> bool:
         """Whether what is known here can be no older than the time after which a leader without a majority
         steps down: a leader with one, or a follower that has taken a leader's word within it."""
         if self.is_leader:
-            return self.leads_surely(now)
-        return self.leader is not None and now - self._current_at <= self._timing.quorum
+            return self.has_recent_quorum(now)
+        return self.leader is not None and now - self._up_to_date_at <= self._timing.quorum_timeout
 
     def _stamp(self) -> Stamp:
         """Of what is sent now."""
-        return self._life, self._now
+        return self._incarnation, self._now
 
-    def _hangs(self) -> bool:
-        return self._saving_since is not None and self._now - self._saving_since > self._timing.hang
+    def _save_hangs(self) -> bool:
+        return self._saving_since is not None and self._now - self._saving_since > self._timing.save_timeout
 
     def _begin_save(self) -> dict[str, bytes]:
         save = {}
         if "ballot" in self._dirty:
-            save["ballot"] = encode(self._hard_state.stored())
+            save["ballot"] = encode(self._hard_state.to_json())
         if "log" in self._dirty:
-            self._log.fold()
-            save["log"] = self._log.stored()
-        self._saving, self._dirty = self._dirty, set()
-        self._saving_since, self._saving_last = self._now, self._log.last
+            self._log.compact()
+            save["log"] = self._log.to_bytes()
+        self._saving_keys, self._dirty = self._dirty, set()
+        self._saving_since, self._saving_last_index = self._now, self._log.last_index
         return save
 
     def _send(self, receiver: str, kind: type[Message], **fields: Any) -> None:
         message = kind(disk=self.disk, group_id=self._hard_state.group_id, term=self.term, **fields)
         self._outbox.append((receiver, encode_message(message)))
 
-    def _draw(self) -> float:
-        return self._now + self._rng.uniform(*self._timing.election)
+    def _random_election_deadline(self) -> float:
+        return self._now + self._rng.uniform(*self._timing.election_timeout)
 
-    def _first_draw(self) -> float:
+    def _initial_election_deadline(self) -> float:
         """Before any leader was heard in this life: all may have started together, and a pre-vote does no
         harm where there is a leader."""
-        if self._sticky > float("-inf"):
-            return self._draw()
-        return self._now + self._rng.uniform(*self._timing.split)
+        if self._leader_contact_at > float("-inf"):
+            return self._random_election_deadline()
+        return self._now + self._rng.uniform(*self._timing.split_vote_backoff)
 
-    def _enter(self, term: int) -> None:
+    def _enter_term(self, term: int) -> None:
         if self.is_leader:
             self._step_down("there is a newer term")
         self._hard_state.term, self._hard_state.vote = term, ""
@@ -226,8 +226,8 @@
         log.info("consensus: %s leads no more in term %d: %s", self.disk, self.term, why)
         self._role, self.leader = "follower", None
         self._peers.clear()
-        self._deadline = self._draw()
-        self._answer_all(self._calls.drop(), LEFT)
+        self._election_deadline = self._random_election_deadline()
+        self._answer_all(self._calls.take_all(), LEADERSHIP_LOST)
 
     def _answer_all(self, tickets: list[str], answer: Answer) -> None:
         self._answers += [(ticket, answer) for ticket in tickets]
@@ -243,7 +243,7 @@
         """Ask whether others would vote for this replica (``election``)."""
 
     @abstractmethod
-    def _lead(self) -> None:
+    def _become_leader(self) -> None:
         """Begin to lead in the present term (``replication``)."""
 
     @abstractmethod
@@ -251,21 +251,21 @@
         """Append an entry at the leader; its index (``replication``)."""
 
     @abstractmethod
-    def _roster(self) -> None:
+    def _update_peers(self) -> None:
         """Know all voters and newcomers that the leader sends to (``replication``)."""
 
     @abstractmethod
-    def _change_group(self) -> None:
+    def _change_voters(self) -> None:
         """Append the next change of the voters, if one is due (``membership_change``)."""
 
     @abstractmethod
-    def _confirm(self, answered: int) -> None:
+    def _confirm_round(self, answered: int) -> None:
         """A majority has answered a round (``proposals``)."""
 
     @abstractmethod
-    def _answer_appended(self) -> None:
+    def _answer_committed(self) -> None:
         """Answer the call whose entry is committed (``proposals``)."""
 
     @abstractmethod
-    def _judge(self) -> None:
+    def _process_changes(self) -> None:
         """Judge the calls whose turn it is (``proposals``)."""
--- a/larklb/consensus/timing.py
+++ b/larklb/consensus/timing.py
@@ -11,9 +11,9 @@
 from attrs import define
 
 BASE_CONTACT_MS = 3000.0
-LEAST_SCALE = 0.35  # below it heartbeats would follow each other faster than ticks
-SILENT_PART = 0.6  # of the time in which a successor must count
-LEAST_SILENT_MS = 800.0
+MIN_SCALE = 0.35  # below it heartbeats would follow each other faster than ticks
+SILENCE_FRACTION = 0.6  # of the time in which a successor must count
+MIN_SILENCE_MS = 800.0
 
 
 @define(frozen=True)
@@ -26,27 +26,27 @@
     word for so long a voter may be replaced; ``proposer``: of silence, after which another may propose in
     the place of a founding's proposer; ``scale``: of all but ``silent`` to the base values."""
 
-    heartbeat: float = 150.0
-    election: tuple[float, float] = (700.0, 1300.0)
-    split: tuple[float, float] = (150.0, 500.0)
-    quorum: float = 1000.0
-    hang: float = 400.0
-    silent: float = 2400.0
-    proposer: float = 5000.0
+    heartbeat_interval: float = 150.0
+    election_timeout: tuple[float, float] = (700.0, 1300.0)
+    split_vote_backoff: tuple[float, float] = (150.0, 500.0)
+    quorum_timeout: float = 1000.0
+    save_timeout: float = 400.0
+    voter_silence: float = 2400.0
+    proposer_timeout: float = 5000.0
     scale: float = 1.0
 
     @classmethod
-    def of(cls, contact_ms: float, convergence_ms: float) -> Timing:
+    def from_bounds(cls, contact_ms: float, convergence_ms: float) -> Timing:
         """For these terms."""
         base = cls()
-        scale = min(1.0, max(LEAST_SCALE, contact_ms / BASE_CONTACT_MS))
+        scale = min(1.0, max(MIN_SCALE, contact_ms / BASE_CONTACT_MS))
         return cls(
-            heartbeat=base.heartbeat * scale,
-            election=(base.election[0] * scale, base.election[1] * scale),
-            split=(base.split[0] * scale, base.split[1] * scale),
-            quorum=base.quorum * scale,
-            hang=base.hang * scale,
-            proposer=base.proposer * scale,
+            heartbeat_interval=base.heartbeat_interval * scale,
+            election_timeout=(base.election_timeout[0] * scale, base.election_timeout[1] * scale),
+            split_vote_backoff=(base.split_vote_backoff[0] * scale, base.split_vote_backoff[1] * scale),
+            quorum_timeout=base.quorum_timeout * scale,
+            save_timeout=base.save_timeout * scale,
+            proposer_timeout=base.proposer_timeout * scale,
             scale=scale,
-            silent=min(base.silent, max(LEAST_SILENT_MS, SILENT_PART * convergence_ms)),
+            voter_silence=min(base.voter_silence, max(MIN_SILENCE_MS, SILENCE_FRACTION * convergence_ms)),
         )
--- a/larklb/gateway/control_plane.py
+++ b/larklb/gateway/control_plane.py
@@ -87,7 +87,7 @@
         self.settings, self.post, self.take, self.version, self.rng = settings, post, take, version, rng
         self.born = now
         self.core: Core | None = None
-        scale = Timing.of(settings.bounds.contact, settings.bounds.convergence).scale
+        scale = Timing.from_bounds(settings.bounds.contact, settings.bounds.convergence).scale
         seeds = [host for host, _ in settings.seeds]
         self.subscriber = Subscriber(me, seeds, time_scale=scale, on_change=changed)
         self.forwarding = Forwarding(session, post, after)
--- a/larklb/gateway/core.py
+++ b/larklb/gateway/core.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from larklb.consensus.errors import RefusedError
+from larklb.consensus.errors import InvalidChangeError
 from larklb.consensus.interface import Answer, Call, Ready
 from larklb.consensus.replica import Replica
 from larklb.consensus.timing import Timing
@@ -35,18 +35,18 @@
 
 
 def apply(document: dict[str, Any] | None, call: Call) -> dict[str, Any]:
-    """The document that a change makes of another; RefusedError where it is invalid."""
+    """The document that a change makes of another; InvalidChangeError where it is invalid."""
     try:
         if call.kind == "replace":
             changed = call.body
         elif document is None:
-            raise RefusedError(400, "there is no configuration that could be amended")
+            raise InvalidChangeError(400, "there is no configuration that could be amended")
         else:
             changed = amend(document, call.body)
         schema.check(changed, int(document["version"]) if document is not None else 0)
     except SchemaError as error:
         problems = error.problems if isinstance(error, InvalidError) else ()
-        raise RefusedError(400, str(error), problems) from error
+        raise InvalidChangeError(400, str(error), problems) from error
     return changed
 
 
@@ -65,7 +65,7 @@
     ) -> None:
         """``me`` has the disk's id, ``stored`` is what its saves left."""
         self.settings, self.disk, self.post, self.save = settings, me.disk, post, save
-        timing = Timing.of(settings.bounds.contact, settings.bounds.convergence)
+        timing = Timing.from_bounds(settings.bounds.contact, settings.bounds.convergence)
         self.home = RegistryReplica(
             me, settings.period, now, time_scale=timing.scale, bootstrap=settings.bootstrap
         )
@@ -112,7 +112,7 @@
         self._found(now, cores)
         self.replica.tick(now, cores, members.leaving_disks())
         self.work(now)
-        epoch = self.replica.term if self.replica.leads_surely(now) else None
+        epoch = self.replica.term if self.replica.has_recent_quorum(now) else None
         self.home.tick(now, me, self.replica.voters if self.replica.founded else {}, epoch, self.offer)
 
     def _found(self, now: float, cores: Mapping[str, str]) -> None:
@@ -128,7 +128,7 @@
         if enough and first == self.disk and now - self.seen[1] >= FOUND_QUIET_MS:
             self.seen = (there, now)
             log.info("core: founds a group of %d.", len(there))
-            self.replica.found(now, dict(cores))
+            self.replica.propose_founding(now, dict(cores))
 
     def step(self, now: float, sender: str, message: dict[str, Any]) -> None:
         """A message of another replica."""
@@ -137,13 +137,13 @@
 
     def leave(self, now: float) -> None:
         """This machine is about to end in order."""
-        self.replica.hand_over(now)
+        self.replica.transfer_leadership(now)
         self.work(now)
 
     def may_tell(self, now: float) -> bool:
         """Whether others may be told the configuration that is known here: it follows a leader's word, and a
         majority of the core has just answered this machine."""
-        return self.replica.up_to_date(now) and not self.home.fenced(now)
+        return self.replica.is_up_to_date(now) and not self.home.fenced(now)
 
     # What the replica wants done ----------------------------------------------------------
 
--- a/larklb/gateway/status.py
+++ b/larklb/gateway/status.py
@@ -147,10 +147,10 @@
             "leader": replica.leader or "",
             "term": replica.term,
             "voters": replica.voters,
-            "settled": replica.settled,
+            "settled": replica.has_committed_in_term,
             "version": replica.version,
-            "last": replica.last,
-            "commit": replica.commit,
+            "last": replica.last_index,
+            "commit": replica.commit_index,
             "serves": core.home.ready and not core.home.fenced(limiter.wheel.now()),
         }
     return told
--- a/larklb/lab/consensus_breaks.py
+++ b/larklb/lab/consensus_breaks.py
@@ -7,7 +7,7 @@
 import msgspec
 from attrs import evolve
 
-from larklb.consensus.history import Repeat
+from larklb.consensus.history import ChangeOutcome
 from larklb.consensus.interface import Call, Ready
 from larklb.consensus.log import Log
 from larklb.consensus.messages import AppendEntries, InstallSnapshot, VoteRequest
@@ -43,17 +43,17 @@
 class Deaf(CoarseRounds):
     """Doesn't compare the base of a change."""
 
-    def _verdict(self, call: Call) -> Any:
-        repeat = self._log.state.history.judge(call.base, call.identity, self.version)
-        base = call.base if repeat is Repeat.TAKEN else self.version
-        return super()._verdict(Call(call.kind, base, call.body, call.identity))
+    def _evaluate(self, call: Call) -> Any:
+        repeat = self._log.state.history.outcome_of(call.base, call.identity, self.version)
+        base = call.base if repeat is ChangeOutcome.APPLIED else self.version
+        return super()._evaluate(Call(call.kind, base, call.body, call.identity))
 
 
 class Backward(CoarseRounds):
     """Takes a snapshot that is older than what it has."""
 
     def _on_snapshot(self, sender: str, message: InstallSnapshot) -> None:
-        if message.term == self.term and message.snapshot["index"] < self._log.commit:
+        if message.term == self.term and message.snapshot["index"] < self._log.commit_index:
             self._log = Log(self._hard_state.group_id)
         super()._on_snapshot(sender, message)
 
@@ -61,9 +61,9 @@
 class Obedient(CoarseRounds):
     """Follows leaders of older terms."""
 
-    def _heed(self, sender: str, message: AppendEntries | InstallSnapshot) -> bool:
+    def _accept_leader(self, sender: str, message: AppendEntries | InstallSnapshot) -> bool:
         newest = max(message.term, self.term)
-        return super()._heed(sender, msgspec.structs.replace(message, term=newest))
+        return super()._accept_leader(sender, msgspec.structs.replace(message, term=newest))
 
 
 class Blank(CoarseRounds):
@@ -79,7 +79,7 @@
     def __init__(self, *args: Any, **named: Any) -> None:
         super().__init__(*args, **named)
         kept = self._hard_state
-        self._hard_state = evolve(kept, term=self._log.end[0], vote="")
+        self._hard_state = evolve(kept, term=self._log.last_position[0], vote="")
 
 
 class Hopeful(CoarseRounds):
@@ -92,22 +92,22 @@
 class Hasty(CoarseRounds):
     """Refuses at once, without a majority's word."""
 
-    def _judge(self) -> None:
-        super()._judge()
-        for waiting in self._calls.verdicts:
-            if waiting.verdict is not None:
-                self._answers.append((waiting.ticket, waiting.verdict))
-        self._calls.verdicts.clear()
+    def _process_changes(self) -> None:
+        super()._process_changes()
+        for waiting in self._calls.decided:
+            if waiting.answer is not None:
+                self._answers.append((waiting.ticket, waiting.answer))
+        self._calls.decided.clear()
 
 
 class Shrinking(CoarseRounds):
     """Counts a change of the voters only from its commit on, and needs half of them."""
 
-    def _advance(self) -> None:
+    def _advance_commit(self) -> None:
         kept = self._log
-        if kept.pending("voters") and self.is_leader:
-            self._log.advance(self._durable)
-        super()._advance()
+        if kept.has_uncommitted("voters") and self.is_leader:
+            self._log.advance(self._durable_index)
+        super()._advance_commit()
 
 
 SEEDED: dict[str, type[Replica]] = {
--- a/larklb/lab/consensus_machines.py
+++ b/larklb/lab/consensus_machines.py
@@ -15,13 +15,13 @@
 import attrs
 from attrs import define, evolve, field, frozen
 
-from larklb.consensus.founding_protocol import FOUND_MS
-from larklb.consensus.group import HEARD_MS, SILENT_MS
+from larklb.consensus.founding_protocol import FOUNDING_RETRY_MS
+from larklb.consensus.group import MIN_PRESENCE_MS, VOTER_SILENCE_MS
 from larklb.consensus.interface import Call
 from larklb.consensus.log import Log
-from larklb.consensus.membership_change import LEARNER_MS
+from larklb.consensus.membership_change import LEARNER_TIMEOUT_MS
 from larklb.consensus.messages import Stamp
-from larklb.consensus.replica import RETRY_MS, Replica
+from larklb.consensus.replica import SAVE_RETRY_MS, Replica
 from larklb.consensus.timing import Timing
 
 TIMING = Timing()
@@ -102,22 +102,22 @@
 
 #: Times of a replica, and the age from which on all count alike: nothing compares them with a greater one.
 TIMES = {
-    "_sticky": TIMING.election[1] + BEAT,
-    "_asked": FOUND_MS,
-    "_pushed": TIMING.heartbeat,
-    "_saving_since": TIMING.hang + BEAT,
-    "_failed": RETRY_MS,
-    "heard": max(TIMING.quorum, LEARNER_MS),
-    "_quorum_at": TIMING.quorum,
-    "_rounds": TIMING.quorum,
-    "_current_at": TIMING.quorum,
-    "due": 0.0,
-    "start": SILENT_MS,
-    "_since": HEARD_MS,
-    "_last": SILENT_MS,
+    "_leader_contact_at": TIMING.election_timeout[1] + BEAT,
+    "_proposed_at": FOUNDING_RETRY_MS,
+    "_broadcast_at": TIMING.heartbeat_interval,
+    "_saving_since": TIMING.save_timeout + BEAT,
+    "_save_failed_at": SAVE_RETRY_MS,
+    "replied_at": max(TIMING.quorum_timeout, LEARNER_TIMEOUT_MS),
+    "_quorum_contact_at": TIMING.quorum_timeout,
+    "_round_times": TIMING.quorum_timeout,
+    "_up_to_date_at": TIMING.quorum_timeout,
+    "deadline": 0.0,
+    "start": VOTER_SILENCE_MS,
+    "_present_since": MIN_PRESENCE_MS,
+    "_reported_at": VOTER_SILENCE_MS,
 }
 #: A deadline is over whenever a time-out comes.
-UNSEEN = {"_now", "_rng", "_apply", "_tolerance", "_timing", "_deadline", "node", "encoded"}
+UNSEEN = {"_now", "_rng", "_apply", "_tolerance", "_timing", "_election_deadline", "node", "encoded"}
 
 
 class CoarseRounds(Replica):
@@ -129,8 +129,8 @@
         return 0, 0.0
 
     def _broadcast(self) -> None:
-        waiting = [*self._calls.reads, *self._calls.verdicts]
-        if not any(each.at > self._round for each in waiting):
+        waiting = [*self._calls.reads, *self._calls.decided]
+        if not any(each.awaited > self._round for each in waiting):
             self._round -= 1
         super()._broadcast()
 
@@ -213,7 +213,7 @@
 def _face(machine: Machine) -> Face:
     replica, stored = machine.replica, machine.stored.get("log", b"")
     durable = frozenset(name for name in CALLS if f'"call-{name}"'.encode() in stored)
-    entries = Log.read(stored).entries if stored else []
+    entries = Log.from_bytes(stored).entries if stored else []
     kept = frozenset((entry.index, entry.term) for entry in entries)
     keys = None if machine.saving is None else tuple(sorted(machine.saving))
     if replica is None:
@@ -234,7 +234,7 @@
         )
     document, log = replica.current or {"base": -1, "identity": ""}, replica._log
     known = {
-        *(identity for _, identity in log.state.history.taken),
+        *(identity for _, identity in log.state.history.changes),
         *(entry.identity for entry in log.entries),
     }
     lead = replica.term if replica.is_leader else 0
@@ -251,7 +251,7 @@
         durable,
         frozenset(name for name in CALLS if f"call-{name}" in known),
         kept,
-        (log.commit, log.state.term) if lead else (0, 0),
+        (log.commit_index, log.state.term) if lead else (0, 0),
     )
 
 
@@ -313,7 +313,7 @@
                 apply=apply,
             )
             replica._rng = PINNED
-            replica._deadline = replica._draw()
+            replica._election_deadline = replica._random_election_deadline()
         elif name in ("loses power", "is emptied"):
             machine.stored |= {key: (machine.saving or {})[key] for key in what}
             if name == "is emptied":
@@ -347,7 +347,7 @@
             case "is called":
                 replica.call(machine.clock, what, call_of(what[0]))
             case "founds":
-                replica.found(machine.clock, dict(what))
+                replica.propose_founding(machine.clock, dict(what))
             case "saves" | "fails to save":
                 if name == "saves":
                     machine.stored |= machine.saving or {}
@@ -382,6 +382,6 @@
         for _, message in messages:
             if message["kind"] in ("vote_reply", "pre_vote_reply") and message["yes"]:
                 kept = machine.stored.get("log")
-                if kept is None or Log.read(kept).last < 0:
+                if kept is None or Log.from_bytes(kept).last_index < 0:
                     raise BrokenError(f"the blank disk of {machine.node} votes")
         out += messages
--- a/larklb/lab/control_breaks.py
+++ b/larklb/lab/control_breaks.py
@@ -10,8 +10,8 @@
 from attrs import define, evolve
 
 from larklb.consensus import group, replication
-from larklb.consensus.calls import Calls
-from larklb.consensus.history import History, Repeat
+from larklb.consensus.calls import PendingCalls
+from larklb.consensus.history import ChangeOutcome, History
 from larklb.consensus.interface import Call, Ready
 from larklb.consensus.log import Log
 from larklb.consensus.messages import PreVote, VoteRequest
@@ -34,43 +34,43 @@
 
 
 def _refused_from_memory() -> list[Change]:
-    confirm, judge = Replica._confirm, Replica._judge
+    confirm, judge = Replica._confirm_round, Replica._process_changes
 
     def judged(self: Replica) -> None:
         judge(self)
-        for waiting in self._calls.verdicts:
-            if waiting.verdict is not None:
-                self._answers.append((waiting.ticket, waiting.verdict))
-        self._calls.verdicts.clear()
+        for waiting in self._calls.decided:
+            if waiting.answer is not None:
+                self._answers.append((waiting.ticket, waiting.answer))
+        self._calls.decided.clear()
 
-    return [(Replica, "_judge", judged), (Replica, "_confirm", confirm)]
+    return [(Replica, "_process_changes", judged), (Replica, "_confirm_round", confirm)]
 
 
 def _read_from_memory() -> list[Change]:
-    confirmed, call = Calls.confirmed, Replica.call
+    confirmed, call = PendingCalls.take_confirmed, Replica.call
 
     def at_once(self: Replica, now: float, ticket: str, what: Call) -> None:
         call(self, now, ticket, what)
-        if self.settled:
-            self._confirm(0)
+        if self.has_committed_in_term:
+            self._confirm_round(0)
 
     return [
-        (Calls, "confirmed", lambda self, round_: confirmed(self, 1 << 60)),
+        (PendingCalls, "take_confirmed", lambda self, round_: confirmed(self, 1 << 60)),
         (Replica, "call", at_once),
     ]
 
 
 def _history_of_few() -> list[Change]:
-    judge = History.judge
+    judge = History.outcome_of
 
-    def few(self: History, base: int, identity: str, current: int) -> Repeat:
-        return judge(History(self.taken[-8:], 0), base, identity, current)
+    def few(self: History, base: int, identity: str, current: int) -> ChangeOutcome:
+        return judge(History(self.changes[-8:], 0), base, identity, current)
 
-    return [(History, "judge", few)]
+    return [(History, "outcome_of", few)]
 
 
 def _group_stays_as_founded() -> list[Change]:
-    return [(group, "wanted_size", lambda known, tolerance: 2)]
+    return [(group, "target_voter_count", lambda known, tolerance: 2)]
 
 
 def _answers_by_number_alone() -> list[Change]:
@@ -130,18 +130,18 @@
 
 
 def _base_not_compared() -> list[Change]:
-    verdict = Replica._verdict
+    verdict = Replica._evaluate
 
     def deaf(self: Replica, call: Call) -> Any:
-        known = self._log.state.history.judge(call.base, call.identity, self.version)
-        base = call.base if known is Repeat.TAKEN else self.version
+        known = self._log.state.history.outcome_of(call.base, call.identity, self.version)
+        base = call.base if known is ChangeOutcome.APPLIED else self.version
         return verdict(self, Call(call.kind, base, call.body, call.identity))
 
-    return [(Replica, "_verdict", deaf)]
+    return [(Replica, "_evaluate", deaf)]
 
 
 def _repeats_not_known() -> list[Change]:
-    return [(History, "judge", lambda self, base, identity, current: Repeat.REFUSED)]
+    return [(History, "outcome_of", lambda self, base, identity, current: ChangeOutcome.REJECTED)]
 
 
 def _told_while_cut_off() -> list[Change]:
@@ -178,12 +178,12 @@
 
 def _no_quorum_for_leading() -> list[Change]:
     def forever(self: Replica) -> None:
-        self._roster()
-        self._change_group()
-        self._advance()
-        self._push = True
+        self._update_peers()
+        self._change_voters()
+        self._advance_commit()
+        self._broadcast_due = True
 
-    return [(Replica, "_lead_on", forever)]
+    return [(Replica, "_leader_tick", forever)]
 
 
 BREAKS: dict[str, Break] = {
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -20,12 +20,12 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, rule, run_state_machine_as_test
 
-from larklb.consensus.calls import Calls
-from larklb.consensus.group import Liveness, majority, next_voters, wanted_size
-from larklb.consensus.history import MOST_TAKEN, History, Repeat
+from larklb.consensus.calls import PendingCalls
+from larklb.consensus.group import Liveness, majority, next_voters, target_voter_count
+from larklb.consensus.history import MAX_HISTORY, ChangeOutcome, History
 from larklb.consensus.log import Entry, Log, Snapshot
 from larklb.consensus.messages import InstallSnapshot
-from larklb.consensus.replica import Answer, Call, Ready, RefusedError, Replica
+from larklb.consensus.replica import Answer, Call, InvalidChangeError, Ready, Replica
 
 pytestmark = pytest.mark.simulation
 
@@ -41,7 +41,7 @@
 
 def apply(document: dict[str, Any] | None, call: Call) -> dict[str, Any]:
     if "bad" in call.body or call.body["version"] <= (document or {"version": 0})["version"]:
-        raise RefusedError(400, "invalid")
+        raise InvalidChangeError(400, "invalid")
     return {"version": call.body["version"], "base": call.base, "identity": call.identity}
 
 
@@ -68,7 +68,7 @@
     def __init__(self, seed: int, size: int = 3, loss: float = 0.0, tolerance: int = 0) -> None:
         self.rng, self.size, self.loss = random.Random(seed), size, loss
         self.tolerance = tolerance or (size - 1) // 2
-        self.voters = wanted_size(size, self.tolerance)  # once the group has settled
+        self.voters = target_voter_count(size, self.tolerance)  # once the group has settled
         self.now, self.count = 0.0, 0
         self.queue: list[tuple[float, int, Callable[[], None]]] = []
         self.machines: dict[str, Machine] = {}
@@ -301,7 +301,10 @@
             if self.leaders.setdefault(replica.term, machine.disk) != machine.disk:
                 raise BrokenError("two leaders in one term")
             log = replica._log
-            if sum(entry.kind == "voters" for entry in log.after(log.commit, len(log.entries))) > 1:
+            if (
+                sum(entry.kind == "voters" for entry in log.entries_after(log.commit_index, len(log.entries)))
+                > 1
+            ):
                 raise BrokenError("two changes of the group at the same time")
         if replica.version < machine.version:
             raise BrokenError("a replica went back")
@@ -350,7 +353,7 @@
         return [machine.replica for machine in self.machines.values() if machine.replica]
 
     def leading(self) -> Machine | None:
-        known = [m for m in self.machines.values() if m.up and m.replica and m.replica.settled]
+        known = [m for m in self.machines.values() if m.up and m.replica and m.replica.has_committed_in_term]
         return max(known, key=lambda m: m.replica.term if m.replica else 0, default=None)
 
     def leader(self) -> Machine:
@@ -380,7 +383,7 @@
 
 def propose(world: World, machine: Machine, listed: list[Machine]) -> None:
     if machine.up and machine.replica:
-        machine.replica.found(world.now, {m.disk: m.node for m in listed})
+        machine.replica.propose_founding(world.now, {m.disk: m.node for m in listed})
         world.pump(machine)
 
 
@@ -585,8 +588,8 @@
             for m in others(world, old)
             if m.replica
             and not m.replica.is_leader
-            and m.replica._log.end > (term, entry.index)
-            and m.replica._log.commit < entry.index
+            and m.replica._log.last_position > (term, entry.index)
+            and m.replica._log.commit_index < entry.index
         ]
     follower[0].step(
         world.now,
@@ -775,8 +778,8 @@
     ) -> set[str]:
         voters = {f"d{i}": f"n{i}" for i in range(size)}
         liveness = Liveness(0.0)
-        liveness.told(at - 400, told)
-        liveness.told(at, told)
+        liveness.observe(at - 400, told)
+        liveness.observe(at, told)
         found = next_voters(voters, "d0", ready, liveness, at, tolerance=tolerance)
         return set(voters) ^ set(found if found is not None else voters)
 
@@ -815,29 +818,35 @@
     voters = {f"d{i}": f"n{i}" for i in range(5)}
     there = {f"d{i}": f"n{i}" for i in range(3)}
     liveness = Liveness(0.0)
-    liveness.told(400, voters)
-    liveness.told(5000, there, frozenset({"d3", "d4"}))
+    liveness.observe(400, voters)
+    liveness.observe(5000, there, frozenset({"d3", "d4"}))
     while (found := next_voters(voters, "d0", set(), liveness, 9000, tolerance=1)) is not None:
         assert abs(len(found) - len(voters)) == 1
         voters = found
     assert set(voters) == {"d0", "d1", "d2"}
-    liveness.told(9500, there)
+    liveness.observe(9500, there)
     assert next_voters(voters, "d0", set(), liveness, 19000, tolerance=1) is None, "never below it"
 
 
 def test_what_is_too_old_to_tell_stays_unclear() -> None:
     """Neither acknowledged nor refused, and the snapshot doesn't grow."""
     history = History()
-    for base in range(3 * MOST_TAKEN):
+    for base in range(3 * MAX_HISTORY):
         history = history.with_change(base, f"i{base}")
-    current = 3 * MOST_TAKEN
-    assert history.judge(current - MOST_TAKEN, f"i{current - MOST_TAKEN}", current) is Repeat.TAKEN
-    assert history.judge(current - MOST_TAKEN, "another", current) is Repeat.REFUSED
-    assert history.judge(current - MOST_TAKEN - 1, f"i{current - MOST_TAKEN - 1}", current) is Repeat.UNKNOWN
-    assert history.judge(current + 1, "ahead", current) is Repeat.REFUSED
-    assert len(json.dumps(history.stored())) < 64 * MOST_TAKEN
-    assert History.read(history.stored(), current) == history
-    assert History.read(["of", "an older release"], 7).judge(6, "of", 7) is Repeat.UNKNOWN
+    current = 3 * MAX_HISTORY
+    assert (
+        history.outcome_of(current - MAX_HISTORY, f"i{current - MAX_HISTORY}", current)
+        is ChangeOutcome.APPLIED
+    )
+    assert history.outcome_of(current - MAX_HISTORY, "another", current) is ChangeOutcome.REJECTED
+    assert (
+        history.outcome_of(current - MAX_HISTORY - 1, f"i{current - MAX_HISTORY - 1}", current)
+        is ChangeOutcome.UNKNOWN
+    )
+    assert history.outcome_of(current + 1, "ahead", current) is ChangeOutcome.REJECTED
+    assert len(json.dumps(history.to_json())) < 64 * MAX_HISTORY
+    assert History.from_json(history.to_json(), current) == history
+    assert History.from_json(["of", "an older release"], 7).outcome_of(6, "of", 7) is ChangeOutcome.UNKNOWN
 
 
 def test_a_leader_that_ends_hands_over_within_a_few_round_trips() -> None:
@@ -845,7 +854,7 @@
         world = founded(seed, 3)
         old = world.leader()
         assert old.replica is not None
-        old.replica.hand_over(world.now)
+        old.replica.transfer_leadership(world.now)
         world.pump(old)
         took = world.until(
             functools.partial(lambda world, old: world.leading() not in (None, old), world, old), 200
@@ -929,9 +938,11 @@
     reply = next(message for message in one.sent() if message["kind"] == "append_reply")
     told = {"prev": [1, 1], "commit": 1, "round": 2, "entries": []}
     one.step("b", "append_entries", 1, **told, seen=[reply["stamp"][0] + 1, 0.0])
-    assert not one.replica.confirmed and not one.replica.up_to_date(0.0), "to another life"
+    assert not one.replica.confirmed and not one.replica.is_up_to_date(0.0), "to another life"
     one.step("b", "append_entries", 1, **told, seen=reply["stamp"])
-    assert one.replica.confirmed and one.replica.up_to_date(900.0) and not one.replica.up_to_date(1100.0)
+    assert (
+        one.replica.confirmed and one.replica.is_up_to_date(900.0) and not one.replica.is_up_to_date(1100.0)
+    )
 
 
 def test_an_older_terms_entry_is_committed_only_with_one_of_its_own() -> None:
@@ -942,9 +953,9 @@
     one.step("b", "pre_vote_reply", 1, proposed=2, yes=True)
     one.step("b", "vote_reply", 2, yes=True)
     one.sent()
-    assert one.replica.is_leader and one.replica._log.last == 2
+    assert one.replica.is_leader and one.replica._log.last_index == 2
     one.step("b", "append_reply", 2, ok=True, match=1, tried=0, round=1, stamp=[1, 0.0])
-    assert one.replica._log.commit == 0
+    assert one.replica._log.commit_index == 0
     one.replica.step(
         2000.0,
         "b",
@@ -960,9 +971,9 @@
             "stamp": [1, 0.0],
         },
     )
-    assert one.replica._log.commit == 0, "another disk's word"
+    assert one.replica._log.commit_index == 0, "another disk's word"
     one.step("b", "append_reply", 2, ok=True, match=2, tried=1, round=1, stamp=[1, 0.0])
-    assert one.replica._log.commit == 2
+    assert one.replica._log.commit_index == 2
 
 
 # Seeded faults
@@ -994,10 +1005,10 @@
 
 
 def no_check_of_terms(patch: pytest.MonkeyPatch) -> None:
-    heed = Replica._heed
+    heed = Replica._accept_leader
     patch.setattr(
         Replica,
-        "_heed",
+        "_accept_leader",
         lambda self, sender, message: heed(
             self, sender, msgspec.structs.replace(message, term=max(message.term, self.term))
         ),
@@ -1014,59 +1025,59 @@
 
 
 def read_without_a_round(patch: pytest.MonkeyPatch) -> None:
-    confirmed = Calls.confirmed
-    patch.setattr(Calls, "confirmed", lambda self, round_: confirmed(self, 1 << 60))
+    confirmed = PendingCalls.take_confirmed
+    patch.setattr(PendingCalls, "take_confirmed", lambda self, round_: confirmed(self, 1 << 60))
     call = Replica.call
 
     def at_once(self: Replica, now: float, ticket: str, what: Call) -> None:
         call(self, now, ticket, what)
         if self.is_leader and what.kind == "read":
-            self._advance()
+            self._advance_commit()
 
     patch.setattr(Replica, "call", at_once)
 
 
 def two_changes_of_the_group(patch: pytest.MonkeyPatch) -> None:
-    pending = Log.pending
-    patch.setattr(Log, "pending", lambda self, kind: kind != "voters" and pending(self, kind))
+    pending = Log.has_uncommitted
+    patch.setattr(Log, "has_uncommitted", lambda self, kind: kind != "voters" and pending(self, kind))
 
 
 def base_not_compared(patch: pytest.MonkeyPatch) -> None:
-    verdict = Replica._verdict
+    verdict = Replica._evaluate
     patch.setattr(
         Replica,
-        "_verdict",
+        "_evaluate",
         lambda self, call: verdict(self, Call(call.kind, self.version, call.body, call.identity)),
     )
 
 
 def repeat_not_known(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(History, "judge", lambda self, base, identity, current: Repeat.REFUSED)
+    patch.setattr(History, "outcome_of", lambda self, base, identity, current: ChangeOutcome.REJECTED)
 
 
 def refused_from_memory(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(
-        Calls,
-        "judged",
+        PendingCalls,
+        "add_decided",
         lambda self, waiting, verdict, round_: (
-            self.reads.append(evolve(waiting, verdict=verdict, at=0)) or True
+            self.reads.append(evolve(waiting, answer=verdict, awaited=0)) or True
         ),
     )
-    confirm = Replica._confirm
+    confirm = Replica._confirm_round
 
     def at_once(self: Replica, answered: int) -> None:
-        self._calls.verdicts += [waiting for waiting in self._calls.reads if waiting.verdict is not None]
-        self._calls.reads = [waiting for waiting in self._calls.reads if waiting.verdict is None]
+        self._calls.decided += [waiting for waiting in self._calls.reads if waiting.answer is not None]
+        self._calls.reads = [waiting for waiting in self._calls.reads if waiting.answer is None]
         confirm(self, answered)
 
-    patch.setattr(Replica, "_confirm", at_once)
-    judge = Replica._judge
+    patch.setattr(Replica, "_confirm_round", at_once)
+    judge = Replica._process_changes
 
     def judge_and_tell(self: Replica) -> None:
         judge(self)
-        self._confirm(0)
+        self._confirm_round(0)
 
-    patch.setattr(Replica, "_judge", judge_and_tell)
+    patch.setattr(Replica, "_process_changes", judge_and_tell)
 
 
 FAULTS = [
--- a/tests/test_system_cli.py
+++ b/tests/test_system_cli.py
@@ -392,7 +392,7 @@
         core, me, found = limiter.core, limiter.follower.local_member, []
         assert core is not None
         now = limiter.wheel.now()
-        core.replica.found(now, {core.disk: me.node})
+        core.replica.propose_founding(now, {core.disk: me.node})
         for turn in range(60):
             core.tick(now + 50.0 * turn, me)
             while limiter.disk is not None and limiter.disk.saving is not None:
@@ -452,7 +452,7 @@
                 store.save(ready.save)
                 replica.saved(True)
 
-    replica.found(now, {disk: "n0"})
+    replica.propose_founding(now, {disk: "n0"})
     for _ in range(60):
         turn()
     for version in range(1, versions + 1):
