--- a/larklb/balancing/choice.py
+++ b/larklb/balancing/choice.py
@@ -26,12 +26,12 @@
 IN_FLIGHT_MEAN_MS = 3_000.0
 # Part of the service time that a server with all slots in use costs beside its queue: one more request there
 # makes others wait.
-CONTENTION_COST = 0.5
-# Parts of the response time target that a server in another zone of the region, or in another region, costs.
-SAME_REGION_PENALTY = 0.12
-OTHER_REGION_PENALTY = 0.5
-# Part of the response time target that it costs to miss the target for certain.
-MISS_PENALTY = 0.5
+UTILISATION_COST = 0.5
+# Parts of the latency setpoint that a server in another zone of the region, or in another region, costs.
+SAME_REGION_COST = 0.12
+OTHER_REGION_COST = 0.5
+# Part of the latency setpoint that it costs to miss the setpoint for certain.
+MISS_COST = 0.5
 # Part of the service time by which a server costs less that this limiter prefers to its peers.
 PREFERRED_DISCOUNT = 0.12
 # Part of its standard error by which the logarithm of a slowdown is reduced, so that servers with little
@@ -96,14 +96,14 @@
     estimate: Estimate = field(factory=Estimate)
     slowdown: float = 1.0  # of the estimate, reduced by its uncertainty
     shared_mean: float | None = None  # requests of the others by their reports, None without recent reports
-    mean_load: float = 0.0  # requests of the limiters whose requests in flight aren't known just now
+    mean_load: float = 0.0  # mean requests of the limiters without a valid report of requests in flight
     overdue_observers: int = 0  # other limiters with an overdue request at the server
     # When the server was last added, warmed up or recovered; -inf for those present at the start.
     ready_since: float = -math.inf
     estimated_at: float = -math.inf
     in_flight_at: float = -math.inf
     preferred: bool = False  # by this limiter, see ``_assign_preferred``
-    zone_penalty: float = 0.0  # part of the response time target
+    zone_cost: float = 0.0  # part of the latency setpoint
     pending: list[tuple[float, str]] = field(factory=list)  # start and route of the requests in flight
     # When the first pending request is overdue that started after all answered ones.
     overdue_at: float = math.inf
@@ -128,7 +128,7 @@
     route_service_times: dict[str, RouteServiceTime] = field(factory=dict)
     statistics: dict[str, ServerStatistics] = field(factory=dict)
     service_ms: dict[str, float] = field(factory=dict)  # by target: mean service time with no slowdown
-    longest_aims: dict[str, float] = field(factory=dict)  # by target
+    longest_setpoints: dict[str, float] = field(factory=dict)  # by target
     last_call_at: float = 0.0
     last_route: str = ""
     pending_answer: tuple[ServerState, str, float] | None = None  # an answer whose load report may yet follow
@@ -153,7 +153,7 @@
         }
         self.estimates.retain(self.servers)
         for name, server in self.servers.items():
-            self.statistics[name].zone_penalty = self._zone_penalty(server)
+            self.statistics[name].zone_cost = self._zone_cost(server)
             if server.cold_until > self.last_call_at:
                 self.statistics[name].ready_since = server.cold_until
         for name in silent:
@@ -161,13 +161,13 @@
                 self.statistics[name].ready_since = self.last_call_at
         self._assign_preferred()
 
-    def _zone_penalty(self, server: ServerState) -> float:
+    def _zone_cost(self, server: ServerState) -> float:
         if server.zone == self.zone:
             return 0.0
         return (
-            SAME_REGION_PENALTY
+            SAME_REGION_COST
             if self.regions.get(server.zone) == self.regions.get(self.zone)
-            else OTHER_REGION_PENALTY
+            else OTHER_REGION_COST
         )
 
     def _assign_preferred(self) -> None:
@@ -228,7 +228,7 @@
         return stats.slowdown * (admission.COLD_FACTOR if now < server.cold_until else 1.0)
 
     def _mean_load(self, now: float, server: ServerState, stats: ServerStatistics) -> float:
-        """Returns the mean requests of the limiters whose requests in flight aren't known just now."""
+        """Returns the mean requests of the limiters without a valid report of their requests in flight."""
         usual, reported = self.mean_loads.get(server.target, 0.0) * server.slots, stats.reported_load
         if stats.shared_mean is not None and (self.in_flight.totals or not reported.trusted()):
             mean = stats.shared_mean
@@ -280,32 +280,32 @@
         now: float,
         target: str,
         route: str,
-        aim: float,
+        setpoint: float,
         exclude: Collection[str] = (),
         caller: int | None = None,
     ) -> ServerState | None:
         """Returns the server with the least expected cost for a request, None if no server can take it.
 
-        ``aim``: the response time target of the route in ms; ``exclude``: ids of servers that are left out.
+        ``setpoint``: the latency setpoint of the route in ms; ``exclude``: ids of servers that are left out.
         """
         self._flush_pending_answer()
         self.last_call_at, self.last_route = now, route
         if not self.exchange_enabled:  # without the reports of other limiters it is no better than the base
-            return ServerSelector.pick(self, now, target, route, aim, exclude, caller)
+            return ServerSelector.pick(self, now, target, route, setpoint, exclude, caller)
         if caller is not None and target in self.assignments:
             self.callers.record_request(now, caller, self.route_latency(route).mean)
             if (server := self._sticky_server(now, target, caller, exclude)) is not None:
                 return server
-        if aim > self.longest_aims.get(target, 0.0):
-            self.longest_aims[target] = aim
+        if setpoint > self.longest_setpoints.get(target, 0.0):
+            self.longest_setpoints[target] = setpoint
         service_time, usual = (
             self.route_service_time(route),
             self.service_ms.get(target, admission.INITIAL_LATENCY_MS),
         )
-        route_ms, longest_aim = service_time.mean_ms(), self.longest_aims[target]
+        route_ms, longest_setpoint = service_time.mean_ms(), self.longest_setpoints[target]
         log_mean, steepness = service_time.log_mean, 1.702 / math.sqrt(max(service_time.log_variance, 0.01))
         best, least, limit = None, math.inf, self.in_flight_limit(target)
-        ejected: list[ServerState] = []
+        impaired: list[ServerState] = []
         reported_full: list[tuple[int, float, ServerState]] = []
         random, log, exp, statistics = self.random.random, math.log, math.exp, self.statistics
         for server in self.by_target.get(target, ()):
@@ -319,7 +319,7 @@
             known, others = self.load_of_others(now, server, stats, service_ms)
             slots, known = server.slots or 1, known + server.in_flight - stats.dropped
             load = known + others
-            if load >= slots and load >= max_in_flight(slots, usual, slowdown, longest_aim):
+            if load >= slots and load >= max_in_flight(slots, usual, slowdown, longest_setpoint):
                 if (
                     known < slots
                     and now - stats.reported_load.updated_at > FULL_RETRY_MS
@@ -328,11 +328,11 @@
                     reported_full.append((known, stats.reported_load.updated_at, server))
                 continue
             if server.silent or server.probing or now < server.ejected_until:
-                ejected.append(server)
+                impaired.append(server)
                 continue
             wait = expected_queue(known + (known >= slots), others, slots) * service_ms
-            left = aim - wait
-            # The probability of missing the target, by the logistic curve closest to the normal distribution.
+            left = setpoint - wait
+            # Probability of missing the setpoint, by the logistic curve closest to the normal distribution.
             miss = (
                 1.0 / (1.0 + exp(min(50.0, steepness * (log(left / slowdown) - log_mean))))
                 if left > 1.0
@@ -342,8 +342,8 @@
                 wait
                 + slowdown
                 * route_ms
-                * (1.0 + CONTENTION_COST * load / slots - (PREFERRED_DISCOUNT if stats.preferred else 0.0))
-                + aim * (stats.zone_penalty + MISS_PENALTY * miss)
+                * (1.0 + UTILISATION_COST * load / slots - (PREFERRED_DISCOUNT if stats.preferred else 0.0))
+                + setpoint * (stats.zone_cost + MISS_COST * miss)
             ) * (1.0 + COST_JITTER * random())
             if now > stats.overdue_at or stats.overdue_observers > MAX_OVERDUE_OBSERVERS:
                 cost *= OVERDUE_COST_FACTOR
@@ -351,22 +351,22 @@
                 cost *= FAILED_COST_FACTOR
             if cost < least:
                 best, least = server, cost
-        if best is None and ejected:
-            best = min(ejected, key=lambda p: (p.silent, p.ejected_until, random()))
+        if best is None and impaired:
+            best = min(impaired, key=lambda p: (p.silent, p.ejected_until, random()))
         if best is None and reported_full:
             best = min(reported_full, key=lambda p: p[:2])[2]
         return best
 
     def has_room(self, now: float, target: str) -> bool:
         """Returns whether some server of the service can take one more request."""
-        usual, longest_aim = (
+        usual, longest_setpoint = (
             self.service_ms.get(target, admission.INITIAL_LATENCY_MS),
-            self.longest_aims.get(target, math.inf),
+            self.longest_setpoints.get(target, math.inf),
         )
         return any(
             not p.draining
             and self.load(now, p)
-            < max_in_flight(max(1, p.slots), usual, self.statistics[p.id].slowdown, longest_aim)
+            < max_in_flight(max(1, p.slots), usual, self.statistics[p.id].slowdown, longest_setpoint)
             for p in self.by_target.get(target, ())
         )
 
@@ -418,15 +418,17 @@
             stats.last_answered_start = max(stats.last_answered_start, started)
         self._update_overdue(now, stats)
 
-    def record_answer(self, now: float, server: ServerState, route: str, took: float, worked: bool) -> None:
-        """Records an answer after ``took`` ms; ``worked``: whether it was no failure of the server."""
-        self._end_attempt(now, server, now - took, answered=True)
+    def record_answer(
+        self, now: float, server: ServerState, route: str, latency_ms: float, succeeded: bool
+    ) -> None:
+        """Records an answer; ``succeeded``: the server ran the request without an error."""
+        self._end_attempt(now, server, now - latency_ms, answered=True)
         recovered = server.probing
-        ServerSelector.record_answer(self, now, server, route, took, worked)
+        ServerSelector.record_answer(self, now, server, route, latency_ms, succeeded)
         if recovered and server.id in self.statistics:
             self.statistics[server.id].ready_since = now
-        if worked:
-            self.pending_answer = server, route, took
+        if succeeded:
+            self.pending_answer = server, route, latency_ms
 
     def record_load(self, now: float, server: ServerState, running: int, waiting: int) -> None:
         """Records the load that the server reported with the answer recorded before."""
@@ -441,24 +443,24 @@
             self.service_ms.get(server.target, admission.INITIAL_LATENCY_MS)
             * self._slowdown(now, server, stats),
         )
-        took = answer[2] if answer is not None and answer[0] is server else usual
-        stats.reported_load.record(now, running, waiting, server.slots, server.in_flight, took / usual)
+        latency_ms = answer[2] if answer is not None and answer[0] is server else usual
+        stats.reported_load.record(now, running, waiting, server.slots, server.in_flight, latency_ms / usual)
         if answer is None or answer[0] is not server:
             return
         if not stats.reported_load.trusted():
-            self._add_sample(now, server, stats, answer[1], took, None)
+            self._add_sample(now, server, stats, answer[1], latency_ms, None)
         else:
             free = running < server.slots and not waiting
             queue = 0.0 if free else (waiting + 0.5) / max(1, server.slots)
-            self._add_sample(now, server, stats, answer[1], took, queue)
+            self._add_sample(now, server, stats, answer[1], latency_ms, queue)
 
     def _flush_pending_answer(self) -> None:
         """Adds the sample of an answer that came without a load report."""
         if self.pending_answer is not None:
-            (server, route, took), self.pending_answer = self.pending_answer, None
+            (server, route, latency_ms), self.pending_answer = self.pending_answer, None
             stats = self.statistics.get(server.id)
             if stats is not None:
-                self._add_sample(self.last_call_at, server, stats, route, took, None)
+                self._add_sample(self.last_call_at, server, stats, route, latency_ms, None)
 
     def _add_sample(
         self,
@@ -466,7 +468,7 @@
         server: ServerState,
         stats: ServerStatistics,
         route: str,
-        took: float,
+        latency_ms: float,
         queue: float | None,
     ) -> None:
         """Adds one response time to the evidence.
@@ -481,10 +483,10 @@
             weight = 1.0 - 0.5 * min(1.0, queue)
         elif queue > 0.0:
             weight = QUEUED_SAMPLE_WEIGHT
-        if now - took < server.cold_until:
+        if now - latency_ms < server.cold_until:
             weight = QUEUED_SAMPLE_WEIGHT
-        service_ms = max(0.2 * took, took - queue * usual * slowdown, 0.5)
-        log_cold = math.log(admission.COLD_FACTOR) if now - took < server.cold_until else 0.0
+        service_ms = max(0.2 * latency_ms, latency_ms - queue * usual * slowdown, 0.5)
+        log_cold = math.log(admission.COLD_FACTOR) if now - latency_ms < server.cold_until else 0.0
         service_time, log_ms = self.route_service_time(route), math.log(service_ms) - log_cold
         if service_time.count >= 8:
             variance = max(0.2, service_time.log_variance)
@@ -509,11 +511,11 @@
                 now,
             )
 
-    def record_failure(self, now: float, server: ServerState, silent: bool) -> None:
-        """Records that an attempt failed; ``silent``: the server sent nothing."""
+    def record_failure(self, now: float, server: ServerState, unresponsive: bool) -> None:
+        """Records that an attempt failed; ``unresponsive``: the server sent nothing."""
         stats = self.statistics.get(server.id)
         dropped = (
-            silent
+            unresponsive
             and stats is not None
             and bool(stats.pending)
             and stats.pending[0][0] < stats.last_answered_start
@@ -524,11 +526,11 @@
             # where all servers are nearly full.
             ServerSelector.release(self, server)
         else:
-            ServerSelector.record_failure(self, now, server, silent)
+            ServerSelector.record_failure(self, now, server, unresponsive)
 
-    def record_abandonment(self, now: float, server: ServerState, route: str, waited: float) -> None:
-        """Records an attempt that was cancelled here; it would have taken at least ``waited`` ms."""
-        stats, started = self.statistics.get(server.id), now - waited
+    def record_abandonment(self, now: float, server: ServerState, route: str, waited_ms: float) -> None:
+        """Records an attempt that was cancelled here; it would have taken at least ``waited_ms``."""
+        stats, started = self.statistics.get(server.id), now - waited_ms
         if stats is None:
             ServerSelector.release(self, server)
             return
@@ -538,8 +540,8 @@
             ServerSelector.record_failure(self, now, server, True)
             return
         ServerSelector.release(self, server)
-        if waited > self.route_service_time(route).mean_ms() * self._slowdown(now, server, stats):
-            self._add_sample(now, server, stats, route, waited, None)
+        if waited_ms > self.route_service_time(route).mean_ms() * self._slowdown(now, server, stats):
+            self._add_sample(now, server, stats, route, waited_ms, None)
 
     def release(self, server: ServerState) -> None:
         """Records the end of an attempt that says nothing about the server."""
--- a/larklb/balancing/load.py
+++ b/larklb/balancing/load.py
@@ -181,15 +181,15 @@
                 self.totals.pop(server, None)
 
 
-def max_in_flight(slots: int, service_ms: float, slowdown: float, target_ms: float) -> float:
+def max_in_flight(slots: int, service_ms: float, slowdown: float, setpoint_ms: float) -> float:
     """Returns how many requests all limiters together may have in flight at a server.
 
-    As many as end within ``target_ms``, the longest response time target, but at least one per slot (so that
+    As many as end within ``setpoint_ms``, the longest latency setpoint, but at least one per slot (so that
     the slowest server serves too), and no longer a queue than servers keep.
     """
     own_service_ms = max(1.0, service_ms * slowdown)
     return slots * max(
-        1.0, min(1.0 + MAX_QUEUE_PER_SLOT, 1.0 + (target_ms - own_service_ms) / own_service_ms)
+        1.0, min(1.0 + MAX_QUEUE_PER_SLOT, 1.0 + (setpoint_ms - own_service_ms) / own_service_ms)
     )
 
 
