--- a/larklb/interface.py
+++ b/larklb/interface.py
@@ -123,6 +123,14 @@
 class Settings:
     """Settings of one limiter: ``number`` of ``gateways``, counted from 0.
 
+    ``tick`` is the resolution of timers in ms, and ``inbox_per_s`` the number of messages a second that a
+    limiter takes in, 0 if unknown.  ``can_tell``, ``can_cancel`` and ``can_copy`` say whether messages to
+    peers, cancelling of attempts and duplicate attempts are possible; with ``must_ask_list`` the list of
+    servers has to be subscribed to.  A server starts with ``cold_share`` of its capacity and reaches all of
+    it after ``warm_within`` ms; more than ``tip_multiple`` times its capacity overloads it.  ``drain_grace``
+    is in ms.  With ``trued_up`` the owner gets back the units that a request did not use.  ``most_units``
+    bounds the units of one request.
+
     Raises ``ValueError``, which names the field, for a value out of range.
     """
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -16,7 +16,7 @@
     return ring_owner(digest(customer), range(gateways))
 
 
-def other_than(customer: str, gateways: int) -> int:
+def non_owner_of(customer: str, gateways: int) -> int:
     return (owner_of(customer, gateways) + 1) % gateways
 
 
@@ -62,20 +62,21 @@
     for both_sides_ask in (True, False):
         bed = Bed(gateways=2)
         bed.cut, bed.serve = True, 50.0
-        far = other_than("c", 2)
-        near = next(f"d{i}" for i in range(99) if owner_of(f"d{i}", 2) == far)
-        other = next(f"e{i}" for i in range(99) if owner_of(f"e{i}", 2) != far)     # with tokens left
+        non_owner = non_owner_of("c", 2)
+        owned_here = next(f"d{i}" for i in range(99) if owner_of(f"d{i}", 2) == non_owner)
+        # A customer whose bucket still holds tokens.
+        other = next(f"e{i}" for i in range(99) if owner_of(f"e{i}", 2) != non_owner)
         for i in range(6):
-            bed.ask(far, f"r{i}")
+            bed.ask(non_owner, f"r{i}")
             if both_sides_ask:
-                bed.ask(1 - far, f"s{i}", customer=near)
+                bed.ask(1 - non_owner, f"s{i}", customer=owned_here)
             bed.run(400)
         bed.cut = False
         bed.run(1000)
-        bed.ask(far, "knocks")
+        bed.ask(non_owner, "knocks")
         bed.run(100)
         sent = len(bed.of(io.SendToPeer))
-        bed.ask(far, "asks", customer=other)
+        bed.ask(non_owner, "asks", customer=other)
         assert any(isinstance(item, pw.Ask)
                    for a in bed.of(io.SendToPeer)[sent:] for item in pw.unpack(a.data))
 
@@ -104,74 +105,76 @@
     plan = io.Plan("rate", rate=10.0, burst=12.0)
     bed = Bed(gateways=2, delay=40.0, plans=(plan,), inbox_per_s=60.0)
     bed.serve = 50.0
-    far = other_than("c", 2)
+    non_owner = non_owner_of("c", 2)
     for i in range(300):
-        bed.ask(far, f"r{i}")
+        bed.ask(non_owner, f"r{i}")
         bed.run(104)
     assert not bed.of(io.Refuse)
 
 
 def test_concurrency_quota_holds_across_gateways_and_releases_free_it() -> None:
     bed = Bed(gateways=2)
-    far = other_than("c", 2)
-    bed.ask(far, "r0", plan="open")
-    bed.ask(1 - far, "r1", plan="open")
+    non_owner = non_owner_of("c", 2)
+    bed.ask(non_owner, "r0", plan="open")
+    bed.ask(1 - non_owner, "r1", plan="open")
     bed.run(300)
-    bed.ask(far, "r2", plan="open")
+    bed.ask(non_owner, "r2", plan="open")
     bed.run(300)
     assert len(bed.of(io.Send)) == 2 and bed.of(io.Refuse, "r2")
-    bed.end(far, "r0")
+    bed.end(non_owner, "r0")
     bed.run(300)
-    bed.ask(far, "r3", plan="open")
+    bed.ask(non_owner, "r3", plan="open")
     bed.run(300)
     assert bed.of(io.Send, "r3")
 
 
 def test_lost_ask_is_repeated_and_takes_its_units_once() -> None:
     bed = Bed(gateways=2)
-    far, lost = other_than("c", 2), [0]
+    non_owner, messages = non_owner_of("c", 2), [0]
 
     def drop(sender: int, to: int) -> bool:
-        lost[0] += 1
-        return lost[0] == 2            # the verdict on the first ask
+        messages[0] += 1
+        return messages[0] == 2            # the verdict on the first ask
     bed.drop = drop
-    bed.ask(far, "r0")
+    bed.ask(non_owner, "r0")
     bed.run(900)
     assert bed.of(io.Send, "r0")
     bed.drop = lambda sender, to: False
     for i in range(1, 4):
-        bed.ask(1 - far, f"r{i}")
+        bed.ask(1 - non_owner, f"r{i}")
     bed.run(500)
     assert len(bed.of(io.Refuse)) <= 1 and len(bed.of(io.Send)) >= 3
 
 
 def test_unreachable_owner_opens_the_breaker_and_the_share_decides() -> None:
     bed = Bed(gateways=2)
-    far = other_than("c", 2)
+    non_owner = non_owner_of("c", 2)
     bed.cut = True
     for i in range(3):
-        bed.ask(far, f"r{i}")
+        bed.ask(non_owner, f"r{i}")
         bed.run(1500)
-    breaker = bed.gateways[far].breakers[1 - far]
+    breaker = bed.gateways[non_owner].breakers[1 - non_owner]
     assert breaker.failures >= 3 and not breaker.allows(bed.now)
     assert 1 <= len(bed.of(io.Send)) <= 3, "half of the quota"
     bed.cut = False
-    bed.ask(1 - far, "x", customer=next(f"k{i}" for i in range(99) if owner_of(f"k{i}", 2) == far))
+    bed.ask(1 - non_owner, "x",
+            customer=next(f"k{i}" for i in range(99) if owner_of(f"k{i}", 2) == non_owner))
     bed.run(300)
-    assert bed.gateways[far].breakers[1 - far].allows(bed.now), "a word from the owner closes it early"
+    assert bed.gateways[non_owner].breakers[1 - non_owner].allows(
+        bed.now), "a word from the owner closes it early"
 
 
 def test_restarted_owner_does_not_grant_a_second_burst() -> None:
     bed = Bed(gateways=2)
-    far = other_than("c", 2)
+    non_owner = non_owner_of("c", 2)
     for i in range(4):
-        bed.ask(far, f"r{i}")
+        bed.ask(non_owner, f"r{i}")
         bed.run(100)
     assert len(bed.of(io.Send)) == 3
-    bed.begin(1 - far)
+    bed.begin(1 - non_owner)
     bed.run(300)
-    bed.ask(far, "again")
-    bed.ask(1 - far, "again2")
+    bed.ask(non_owner, "again")
+    bed.ask(1 - non_owner, "again2")
     bed.run(300)
     assert len(bed.of(io.Send)) <= 4
 
@@ -249,18 +252,18 @@
     It received thousands of connection attempts per second.
     """
     bed = Bed(servers=3)
-    tries = 0
+    attempts = 0
     for i in range(80):
         bed.ask(0, f"r{i}", plan="free")
         for attempt in range(4):
             sends = bed.of(io.Send, f"r{i}")
             if len(sends) == attempt + 1 and sends[attempt].server == "s0":
-                tries += 1
+                attempts += 1
                 bed.end(0, f"r{i}", io.Result.CONNECT_FAILED, attempt=attempt, took=1.0)
         if i >= 6 and bed.of(io.Send, f"r{i - 6}")[-1].server != "s0":
             bed.end(0, f"r{i - 6}", attempt=len(bed.of(io.Send, f"r{i - 6}")) - 1, took=60.0)
         bed.run(10)
-    assert tries <= 6
+    assert attempts <= 6
 
 
 def test_silent_peers_are_assumed_to_have_as_much_load_as_this_gateway() -> None:
@@ -312,7 +315,7 @@
 def test_without_messages_to_peers_the_share_decides() -> None:
     bed = Bed(gateways=3, can_tell=False)
     for i in range(6):
-        bed.ask(other_than("c", 3), f"r{i}")
+        bed.ask(non_owner_of("c", 3), f"r{i}")
     assert len(bed.of(io.Send)) == 1 and not bed.of(io.SendToPeer)
 
 
@@ -322,9 +325,9 @@
     for i in range(300):
         bed.ask(i % 3, f"r{i}", customer=f"k{i % 40}")
         bed.run(5)
-    told = [a for _, _, a in bed.log[before:] if isinstance(a, io.SendToPeer)]
-    assert all(len(a.data) <= pw.MOST_BYTES for a in told)
-    assert all(sum(a.peer == g for a in told) <= 40 * 1.5 + 4 for g in range(3))
+    sent = [a for _, _, a in bed.log[before:] if isinstance(a, io.SendToPeer)]
+    assert all(len(a.data) <= pw.MOST_BYTES for a in sent)
+    assert all(sum(a.peer == g for a in sent) <= 40 * 1.5 + 4 for g in range(3))
 
 
 def test_lost_server_list_is_requested_again() -> None:
@@ -360,20 +363,20 @@
 
 def test_slot_is_freed_although_the_first_release_message_is_lost() -> None:
     bed = Bed(gateways=2)
-    far, lost = other_than("c", 2), [0]
+    non_owner, messages = non_owner_of("c", 2), [0]
     for i in range(2):
-        bed.ask(far, f"r{i}", plan="open")
+        bed.ask(non_owner, f"r{i}", plan="open")
     bed.run(300.0)
 
     def drop(sender: int, to: int) -> bool:
-        lost[0] += 1
-        return lost[0] == 1
+        messages[0] += 1
+        return messages[0] == 1
     bed.drop = drop
-    bed.end(far, "r0")
+    bed.end(non_owner, "r0")
     bed.run(300.0)
-    bed.ask(far, "next", plan="open")
+    bed.ask(non_owner, "next", plan="open")
     bed.run(300.0)
-    assert lost[0] > 1 and bed.of(io.Send, "next")
+    assert messages[0] > 1 and bed.of(io.Send, "next")
 
 
 def test_retry_after_a_reset_prefers_a_server_that_was_not_tried() -> None:
@@ -416,6 +419,6 @@
         for name in more:
             out.append(name)
             bed.end(0, name, took=150.0)
-    stuck = len(gateway.waiting)
+    waiting_before = len(gateway.waiting)
     bed.run(100.0)
-    assert stuck and not gateway.waiting and len({a.request for a in bed.of(io.Send)}) == 320
+    assert waiting_before and not gateway.waiting and len({a.request for a in bed.of(io.Send)}) == 320
