--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,9 @@
-"""Quotas over twelve limiters in simulated time, and the budget of further tries, against plain models."""
+"""Tests of tenant quotas and retry budgets in simulated time.
+
+Twelve limiters share the quota of a tenant over lossy links, with crashes, partitions and changes of the
+ring.  What they admit in any window is compared with the permitted overshoot.  Retry budgets are compared
+with a model that sees the requests of all limiters.  Some tests inject a fault, which the checks must detect.
+"""
 
 from __future__ import annotations
 
@@ -10,259 +15,274 @@
 from typing import Any
 
 import pytest
-from hypothesis import given
-from hypothesis import settings as tries
+from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from larklb.admission import quotas as q
+from larklb.admission import quotas
 from larklb.admission.budget import RetryBudget
 from larklb.admission.quota_records import Allowance, Ask, Verdict
 from larklb.admission.quotas import Quotas
 from larklb.quota.breaker import CircuitBreaker
 from larklb.quota.ring import digest, ring_owner
 
-N = 12
-WINDOW = 5000.0
-Lost = Callable[[float, int, int, random.Random], bool]
+LIMITERS = 12
+WINDOW_MS = 5000.0
+# Whether a message is lost: time, sender, receiver and a source of random numbers.
+LossModel = Callable[[float, int, int, random.Random], bool]
 
 
-class Net:
-    """Limiters, lossy links between them, and clients; everything at its simulated time."""
+class QuotaNetwork:
+    """Simulates limiters, lossy links between them, and clients that send the requests of one tenant."""
 
-    def __init__(self, allowance: Allowance, seed: int, lost: Lost = lambda *_: False) -> None:
-        self.allowance, self.chance, self.lost = allowance, random.Random(seed), lost
-        self.now, self.order, self.events = 0.0, itertools.count(), list[Any]()
-        self.numbers = {i: f"n{i}" for i in range(N)}
-        self.owner = ring_owner(digest(allowance.tenant), range(N))
+    def __init__(self, allowance: Allowance, seed: int, is_lost: LossModel = lambda *_: False) -> None:
+        self.allowance, self.rng, self.is_lost = allowance, random.Random(seed), is_lost
+        self.now, self.sequence, self.events = 0.0, itertools.count(), list[Any]()
+        self.numbers = {i: f"n{i}" for i in range(LIMITERS)}
+        self.owner = ring_owner(digest(allowance.tenant), range(LIMITERS))
         self.limiters: dict[int, Quotas | None] = {}
-        self.let_in: list[float] = []
-        self.asked, self.refused, self.asks = 0, 0, list[tuple[float, int]]()
-        self.by: dict[str, int] = {}
-        for i in range(N):
-            self.start(i, settled=True)
-        self.upkeep()
-
-    def start(self, i: int, *, settled: bool) -> None:
-        limiter = Quotas(f"n{i}", self.now, i, first_start=settled)
+        self.admitted_at: list[float] = []
+        self.requests, self.refused, self.asks = 0, 0, list[tuple[float, int]]()
+        self.decisions: dict[str, int] = {}
+        for i in range(LIMITERS):
+            self.start(i, first_start=True)
+        self.maintain()
+
+    def start(self, i: int, *, first_start: bool) -> None:
+        limiter = Quotas(f"n{i}", self.now, i, first_start=first_start)
         limiter.set_limiters(self.now, self.numbers, i)
         self.limiters[i] = limiter
 
-    def at(self, when: float, do: Callable[[], None]) -> None:
-        heapq.heappush(self.events, (when, next(self.order), do))
+    def schedule(self, when: float, action: Callable[[], None]) -> None:
+        heapq.heappush(self.events, (when, next(self.sequence), action))
 
-    def view(self, when: float, numbers: dict[int, str], whose: set[int]) -> None:
-        """The limiters get a new table, each at its own time within half a second."""
-        def take(i: int) -> None:
+    def change_ring(self, when: float, numbers: dict[int, str], receivers: set[int]) -> None:
+        """Give a new ring to ``receivers``, each at a random time within half a second after ``when``."""
+        def apply(i: int) -> None:
             limiter = self.limiters[i]
             if limiter is not None:
                 limiter.set_limiters(self.now, numbers, i if i in numbers else None)
-        for i in whose:
-            self.at(when + self.chance.uniform(0, 500), lambda i=i: take(i))        # type: ignore[misc]
+        for i in receivers:
+            self.schedule(when + self.rng.uniform(0, 500), lambda i=i: apply(i))    # type: ignore[misc]
 
     def kill(self, i: int) -> None:
         self.limiters[i] = None
 
-    def upkeep(self) -> None:
+    def maintain(self) -> None:
         for i, limiter in self.limiters.items():
             if limiter is not None:
                 limiter.expire(self.now)
-                for to, note in limiter.pending_messages(self.now):
-                    self.post(i, to, note)
-        self.at(self.now + 250.0, self.upkeep)
+                for receiver, message in limiter.pending_messages(self.now):
+                    self.send(i, receiver, message)
+        self.schedule(self.now + 250.0, self.maintain)
 
-    def post(self, sender: int, to: int, message: dict[str, Any]) -> None:
-        if not self.lost(self.now, sender, to, self.chance):
-            self.at(self.now + self.chance.uniform(1, 4), lambda: self.arrive(sender, to, message))
+    def send(self, sender: int, receiver: int, message: dict[str, Any]) -> None:
+        if not self.is_lost(self.now, sender, receiver, self.rng):
+            self.schedule(self.now + self.rng.uniform(1, 4), lambda: self.deliver(sender, receiver, message))
 
-    def arrive(self, sender: int, to: int, message: dict[str, Any]) -> None:
-        limiter = self.limiters[to]
+    def deliver(self, sender: int, receiver: int, message: dict[str, Any]) -> None:
+        limiter = self.limiters[receiver]
         if limiter is None:
             return
         if message["k"] in ("ask", "back", "hello"):
-            if (answer := limiter.handle_request(self.now, sender, message)) is not None:
-                self.post(to, sender, answer)
-        elif (told := limiter.handle_reply(self.now, message)) is not None:
-            self.decided(told[1])
+            if (reply := limiter.handle_request(self.now, sender, message)) is not None:
+                self.send(receiver, sender, reply)
+        elif (decision := limiter.handle_reply(self.now, message)) is not None:
+            self.record_verdict(decision[1])
 
     def request(self, i: int) -> None:
         if (limiter := self.limiters[i]) is None:
             return
-        self.asked += 1
-        got = limiter.request(self.now, self.allowance)
-        if isinstance(got, Verdict):
-            return self.decided(got)
+        self.requests += 1
+        result = limiter.request(self.now, self.allowance)
+        if isinstance(result, Verdict):
+            return self.record_verdict(result)
         self.asks.append((self.now, i))
-        self.at(got.deadline, lambda: self.late(i, got))
-        self.post(i, got.owner, got.message)
+        self.schedule(result.deadline, lambda: self.time_out(i, result))
+        self.send(i, result.owner, result.message)
 
-    def late(self, i: int, ask: Ask) -> None:
+    def time_out(self, i: int, ask: Ask) -> None:
         limiter = self.limiters[i]
-        if limiter is not None and (sent := limiter._pending.get(ask.number)) is not None \
-                and not sent.timed_out:
-            self.decided(limiter.handle_timeout(self.now, ask.number))
+        if limiter is not None and (pending := limiter._pending.get(ask.number)) is not None \
+                and not pending.timed_out:
+            self.record_verdict(limiter.handle_timeout(self.now, ask.number))
 
-    def decided(self, verdict: Verdict) -> None:
-        self.by[verdict.decided_by] = self.by.get(verdict.decided_by, 0) + 1
+    def record_verdict(self, verdict: Verdict) -> None:
+        self.decisions[verdict.decided_by] = self.decisions.get(verdict.decided_by, 0) + 1
         if verdict.allowed:
-            self.let_in.append(self.now)
+            self.admitted_at.append(self.now)
         else:
             self.refused += 1
 
-    def load(self, begin: float, end: float, per_s: float, weights: list[float] | None = None) -> None:
+    def add_load(self, begin: float, end: float, rate_per_s: float,
+                 weights: list[float] | None = None) -> None:
         now = begin
-        while (now := now + self.chance.expovariate(per_s / 1000.0)) < end:
-            i = self.chance.choices(range(N), weights)[0]
-            self.at(now, lambda i=i: self.request(i))                               # type: ignore[misc]
+        while (now := now + self.rng.expovariate(rate_per_s / 1000.0)) < end:
+            i = self.rng.choices(range(LIMITERS), weights)[0]
+            self.schedule(now, lambda i=i: self.request(i))                         # type: ignore[misc]
 
     def run(self, until: float) -> None:
         while self.events and self.events[0][0] <= until:
-            self.now, _, do = heapq.heappop(self.events)
-            do()
-
-    def over(self) -> float:
-        """Requests let in over the rule's bound in the worst window; below 0 when it is kept."""
-        bound = (self.allowance.rate * WINDOW / 1000.0 + self.allowance.burst) * 1.1 + 20.0
-        times = sorted(self.let_in)
-        most = max(i + 1 - bisect_left(times, t - WINDOW) for i, t in enumerate(times))
-        return most - bound
-
-
-def perfect(allowance: Allowance, per_s: float, seconds: float) -> float:
-    """What one bucket lets in of an even stream."""
-    tokens, let_in = allowance.burst, 0
-    for _ in range(int(per_s * seconds)):
-        tokens = min(allowance.burst, tokens + allowance.rate / per_s)
+            self.now, _, action = heapq.heappop(self.events)
+            action()
+
+    def excess(self) -> float:
+        """Return by how many requests the worst window exceeds the bound; at most 0 if it holds."""
+        bound = (self.allowance.rate * WINDOW_MS / 1000.0 + self.allowance.burst) * 1.1 + 20.0
+        times = sorted(self.admitted_at)
+        max_admitted = max(i + 1 - bisect_left(times, t - WINDOW_MS) for i, t in enumerate(times))
+        return max_admitted - bound
+
+
+def admitted_by_one_bucket(allowance: Allowance, rate_per_s: float, seconds: float) -> float:
+    """Return how many requests of an even stream a single bucket admits."""
+    tokens, admitted = allowance.burst, 0
+    for _ in range(int(rate_per_s * seconds)):
+        tokens = min(allowance.burst, tokens + allowance.rate / rate_per_s)
         if tokens >= 1.0:
-            tokens, let_in = tokens - 1.0, let_in + 1
-    return let_in
+            tokens, admitted = tokens - 1.0, admitted + 1
+    return admitted
 
 
-HALF = set(range(0, N, 2))
+HALF = set(range(0, LIMITERS, 2))
 
 
-def cut(begin: float, end: float) -> Lost:
-    return lambda now, a, b, _: begin <= now < end and (a in HALF) != (b in HALF)
+def partition(begin: float, end: float) -> LossModel:
+    """Lose all messages between the two halves of the limiters from ``begin`` to ``end`` (ms)."""
+    return lambda now, sender, receiver, _: begin <= now < end and (sender in HALF) != (receiver in HALF)
 
 
-def crash(net: Net) -> None:
+def crash(net: QuotaNetwork) -> None:
+    """The owner crashes, leaves the ring, restarts and joins the ring again."""
     rest = {i: n for i, n in net.numbers.items() if i != net.owner}
-    net.at(8000, lambda: net.kill(net.owner))
-    net.view(10500, rest, set(rest))
-    net.at(16000, lambda: net.start(net.owner, settled=False))
-    net.view(16500, net.numbers, set(net.numbers))
+    net.schedule(8000, lambda: net.kill(net.owner))
+    net.change_ring(10500, rest, set(rest))
+    net.schedule(16000, lambda: net.start(net.owner, first_start=False))
+    net.change_ring(16500, net.numbers, set(net.numbers))
 
 
-def quick_restart(net: Net) -> None:
-    net.at(8000, lambda: net.kill(net.owner))
-    net.at(8700, lambda: net.start(net.owner, settled=False))
+def quick_restart(net: QuotaNetwork) -> None:
+    """The owner restarts so quickly that it stays in the ring."""
+    net.schedule(8000, lambda: net.kill(net.owner))
+    net.schedule(8700, lambda: net.start(net.owner, first_start=False))
 
 
-def sides(net: Net) -> None:
-    """Cut in halves at 8 s, each side with its own table from 11 s, healed at 20 s."""
-    net.lost = cut(8000, 20000)
+def partition_splits_ring(net: QuotaNetwork) -> None:
+    """A partition at 8 s, each half with a ring of its own from 11 s, healed at 20 s."""
+    net.is_lost = partition(8000, 20000)
     for side in (HALF, set(net.numbers) - HALF):
-        net.view(11000, {i: net.numbers[i] for i in side}, side)
-    net.view(21500, net.numbers, set(net.numbers))
+        net.change_ring(11000, {i: net.numbers[i] for i in side}, side)
+    net.change_ring(21500, net.numbers, set(net.numbers))
 
 
-def halves(net: Net) -> None:
-    net.lost = cut(8000, 16000)
+def partition_keeps_ring(net: QuotaNetwork) -> None:
+    """A partition during which the ring does not change."""
+    net.is_lost = partition(8000, 16000)
 
 
-def losses(net: Net) -> None:
-    net.lost = lambda now, a, b, chance: chance.random() < 1.0 - 1.0 / N and 8000 <= now < 18000
+def loss(net: QuotaNetwork) -> None:
+    """Most messages are lost for 10 s."""
+    net.is_lost = lambda now, sender, receiver, rng: (
+        rng.random() < 1.0 - 1.0 / LIMITERS and 8000 <= now < 18000)
 
 
-def losses_at_first(net: Net) -> None:
-    net.lost = lambda now, a, b, chance: chance.random() < 1.0 - 1.0 / N
+def loss_from_start(net: QuotaNetwork) -> None:
+    """Most messages are lost all the time."""
+    net.is_lost = lambda now, sender, receiver, rng: rng.random() < 1.0 - 1.0 / LIMITERS
 
 
-def moves(net: Net) -> None:
-    """Limiters leave the ring and come back, the owner among them, all the while running."""
+def ring_changes(net: QuotaNetwork) -> None:
+    """Limiters, among them the owner, leave the ring and join it again while they keep running."""
     for k, at in enumerate(range(7000, 19000, 4000)):
-        less = {i: n for i, n in net.numbers.items() if i not in (net.owner, (net.owner + k + 1) % N)}
-        net.view(at, less, set(net.numbers))
-        net.view(at + 2000, net.numbers, set(net.numbers))
-
-
-def hot(trouble: Callable[[Net], None], seed: int, allowance: Allowance, calm_s: float = 6.0) -> Net:
-    net = Net(allowance, seed)
-    trouble(net)
-    net.load(0, calm_s * 1000, allowance.rate * 0.7)
-    net.load(calm_s * 1000, 26000, allowance.rate * 8)
+        rest = {i: n for i, n in net.numbers.items() if i not in (net.owner, (net.owner + k + 1) % LIMITERS)}
+        net.change_ring(at, rest, set(net.numbers))
+        net.change_ring(at + 2000, net.numbers, set(net.numbers))
+
+
+def overload(disturbance: Callable[[QuotaNetwork], None], seed: int, allowance: Allowance,
+             calm_s: float = 6.0) -> QuotaNetwork:
+    """Run 26 s with a disturbance: load below the rate for ``calm_s`` seconds, then eight times the rate."""
+    net = QuotaNetwork(allowance, seed)
+    disturbance(net)
+    net.add_load(0, calm_s * 1000, allowance.rate * 0.7)
+    net.add_load(calm_s * 1000, 26000, allowance.rate * 8)
     net.run(26000)
     return net
 
 
 ALLOWANCES = [Allowance("huka270", 63, 63), Allowance("miro311", 20, 100), Allowance("tavo902", 8, 8),
               Allowance("kilo550", 10, 200)]
-TROUBLES = [crash, quick_restart, sides, halves, losses, losses_at_first, moves]
+DISTURBANCES = [crash, quick_restart, partition_splits_ring, partition_keeps_ring, loss, loss_from_start,
+                ring_changes]
 
 
 @pytest.mark.parametrize("allowance", ALLOWANCES, ids=lambda a: f"{a.rate}-{a.burst}")
-@pytest.mark.parametrize("trouble", TROUBLES)
+@pytest.mark.parametrize("disturbance", DISTURBANCES)
 @pytest.mark.parametrize("calm_s", [6.0, 7.9])
-def test_a_hot_tenant_stays_inside_the_bound(trouble: Callable[[Net], None], allowance: Allowance,
-                                             calm_s: float) -> None:
-    """Hot for two seconds when the trouble comes, or in the middle of its burst."""
-    net = hot(trouble, 1, allowance, calm_s)
-    assert net.over() <= 0, net.by
+def test_an_overloaded_tenant_stays_within_the_bound(disturbance: Callable[[QuotaNetwork], None],
+                                                     allowance: Allowance, calm_s: float) -> None:
+    """The disturbance comes two seconds after the overload has begun, or in the middle of its burst."""
+    net = overload(disturbance, 1, allowance, calm_s)
+    assert net.excess() <= 0, net.decisions
 
 
-FEW = [1.0 if i in (1, 4, 7) else 0.0 for i in range(N)]
+FEW = [1.0 if i in (1, 4, 7) else 0.0 for i in range(LIMITERS)]
 SMALL = Allowance("sela118", 10, 10)
 
 
 @pytest.mark.parametrize("allowance", [ALLOWANCES[0], SMALL], ids=lambda a: f"{a.rate}")
 @pytest.mark.parametrize("weights", [None, FEW], ids=["all", "few"])
-def test_calm_tenants_are_not_refused(allowance: Allowance, weights: list[float] | None) -> None:
-    """Also one that comes by few limiters, and by others from halfway on."""
-    net = Net(allowance, 3)
-    net.load(0, 30000, allowance.rate * 0.7, weights)
-    net.load(30000, 60000, allowance.rate * 0.7, weights and weights[1:] + weights[:1])
+def test_a_tenant_below_its_rate_is_not_refused(allowance: Allowance, weights: list[float] | None) -> None:
+    """Also if its requests arrive at a few limiters, and at other ones in the second half."""
+    net = QuotaNetwork(allowance, 3)
+    net.add_load(0, 30000, allowance.rate * 0.7, weights)
+    net.add_load(30000, 60000, allowance.rate * 0.7, weights and weights[1:] + weights[:1])
     net.run(60000)
-    assert net.refused <= 0.005 * net.asked, (net.refused, net.asked)
+    assert net.refused <= 0.005 * net.requests, (net.refused, net.requests)
 
 
-@pytest.mark.parametrize("trouble", [crash, quick_restart, sides, halves, losses])
-def test_troubles_cost_little_of_a_hot_tenants_quota(trouble: Callable[[Net], None]) -> None:
-    net = hot(trouble, 2, ALLOWANCES[0])
-    even = perfect(ALLOWANCES[0], 63 * 0.7, 6.0) + perfect(ALLOWANCES[0], 63 * 8, 20.0)
-    assert len(net.let_in) > 0.85 * even
+@pytest.mark.parametrize("disturbance",
+                         [crash, quick_restart, partition_splits_ring, partition_keeps_ring, loss])
+def test_a_disturbance_costs_little_of_an_overloaded_tenants_quota(
+        disturbance: Callable[[QuotaNetwork], None]) -> None:
+    net = overload(disturbance, 2, ALLOWANCES[0])
+    undisturbed = admitted_by_one_bucket(ALLOWANCES[0], 63 * 0.7, 6.0) \
+        + admitted_by_one_bucket(ALLOWANCES[0], 63 * 8, 20.0)
+    assert len(net.admitted_at) > 0.85 * undisturbed
 
 
-def test_a_restarted_owner_begins_with_little_and_a_lost_ask_is_told_once() -> None:
+def test_a_restarted_owner_starts_with_few_tokens_and_slice_usage_is_deducted_once() -> None:
     allowance = Allowance("huka270", 1, 40)
     numbers = {0: "a", 1: "b"}
-    mine = ring_owner(digest("huka270"), [0, 1])
+    owner_number = ring_owner(digest("huka270"), [0, 1])
     owner, asker = (Quotas("x", 0.0, 1, first_start=False), Quotas("y", 0.0, 2, first_start=True))
-    owner.set_limiters(0.0, numbers, mine)
-    asker.set_limiters(0.0, numbers, 1 - mine)
+    owner.set_limiters(0.0, numbers, owner_number)
+    asker.set_limiters(0.0, numbers, 1 - owner_number)
 
     def ask(now: float) -> Ask:
-        got = asker.request(now, allowance)
-        assert isinstance(got, Ask)
-        return got
+        result = asker.request(now, allowance)
+        assert isinstance(result, Ask)
+        return result
 
-    def row(now: float) -> float:
+    def tokens(now: float) -> float:
         return float(owner.rows(now)[0]["tokens"])
 
-    answer = owner.handle_request(0.0, 1 - mine, ask(0.0).message)
-    assert answer is not None and row(0.0) == 40 * q.MOVED_BURST_FRACTION - 1
-    assert asker.handle_reply(1.0, answer) == (1, Verdict(True, 0.0, "asked"))
-    assert asker.handle_reply(1.0, answer) is None
-    late, lost = ask(2.0), ask(2.0)
-    assert asker.handle_timeout(70.0, late.number).allowed \
-        and asker.handle_timeout(70.0, lost.number).decided_by == "copy"
-    again = ask(80.0)
-    assert again.message["spent"] == 2
-    first = owner.handle_request(81.0, 1 - mine, again.message)
-    assert first is not None and abs(row(81.0) - (9 - 2 - 1)) < 0.2
-    assert owner.handle_request(82.0, 1 - mine, again.message) is not None  # a repeat takes its token only
-    assert abs(row(82.0) - (9 - 2 - 2)) < 0.2
-
-
-def test_a_lower_limit_of_a_newer_version_binds_at_the_owner() -> None:
+    reply = owner.handle_request(0.0, 1 - owner_number, ask(0.0).message)
+    assert reply is not None and tokens(0.0) == 40 * quotas.MOVED_BURST_FRACTION - 1
+    assert asker.handle_reply(1.0, reply) == (1, Verdict(True, 0.0, "asked"))
+    assert asker.handle_reply(1.0, reply) is None
+    first, second = ask(2.0), ask(2.0)
+    assert asker.handle_timeout(70.0, first.number).allowed \
+        and asker.handle_timeout(70.0, second.number).decided_by == "copy"
+    third = ask(80.0)
+    assert third.message["spent"] == 2
+    answer = owner.handle_request(81.0, 1 - owner_number, third.message)
+    assert answer is not None and abs(tokens(81.0) - (9 - 2 - 1)) < 0.2
+    # A duplicate of the ask takes a token of its own, but the usage it reports is not deducted again.
+    assert owner.handle_request(82.0, 1 - owner_number, third.message) is not None
+    assert abs(tokens(82.0) - (9 - 2 - 2)) < 0.2
+
+
+def test_the_owner_applies_the_newest_version_of_an_allowance() -> None:
     owner = Quotas("x", 0.0, 1, first_start=True)
     owner.set_limiters(0.0, {0: "a", 1: "b"}, 0)
     ask = {"k": "ask", "n": 1, "t": "t", "r": 10.0, "b": 50.0, "v": 3, "life": 1, "spent": 0, "heard": 0}
@@ -270,76 +290,77 @@
     assert first is not None and first["left"] == 49
     owner.set_allowances(1.0, 5, {"t": Allowance("t", 1.0, 5.0)})
     for message in (ask, ask | {"v": 4, "b": 90.0}):
-        assert (answer := owner.handle_request(2.0, 1, message)) is not None and answer["left"] < 5
+        assert (reply := owner.handle_request(2.0, 1, message)) is not None and reply["left"] < 5
     assert owner.handle_request(3.0, 1, ask | {"v": 6, "r": 2.0, "b": 9.0}) is not None
     assert owner.rows(3.0)[0]["burst"] == 9.0
 
 
-WORDS: list[dict[str, Any]] = [
+MESSAGES: list[dict[str, Any]] = [
     {"k": "ask", "n": 1, "t": "t", "r": 10.0, "b": 50.0, "v": 3, "life": 1, "spent": 0, "heard": 0,
      "left": 1.0, "of": 1},
     {"k": "back", "n": 1, "t": "t", "life": 1, "spent": 0, "heard": 0}, {"k": "hello", "ring": 4}]
-ODD: list[Any] = [None, -2, float("nan"), float("inf"), [], "", {}, True, 10 ** 30]
+INVALID_VALUES: list[Any] = [None, -2, float("nan"), float("inf"), [], "", {}, True, 10 ** 30]
 
 
-@pytest.mark.parametrize("word,key", [(word, key) for word in WORDS for key in word])
-def test_one_odd_field_makes_a_word_unreadable(word: dict[str, Any], key: str) -> None:
+@pytest.mark.parametrize("message,key", [(message, key) for message in MESSAGES for key in message])
+def test_a_message_with_one_invalid_value_is_ignored(message: dict[str, Any], key: str) -> None:
     limiter = Quotas("x", 0.0, 1, first_start=True)
     limiter.set_limiters(0.0, {0: "a", 1: "b"}, 0)
-    for odd in ODD:
-        assert limiter.handle_request(0.0, 1, word | {key: odd}) is None
-        assert limiter.handle_reply(0.0, word | {key: odd}) is None
-    assert not limiter.rows(0.0) and limiter.handle_request(0.0, 1, word) is not None
+    for value in INVALID_VALUES:
+        assert limiter.handle_request(0.0, 1, message | {key: value}) is None
+        assert limiter.handle_reply(0.0, message | {key: value}) is None
+    assert not limiter.rows(0.0) and limiter.handle_request(0.0, 1, message) is not None
 
 
-# Faults put in on purpose: the checks above must see each.
+# Injected faults, which the checks above must detect.
 
 
-def test_a_burst_anew_at_each_move_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    own = Quotas._get_owned
+def test_a_full_burst_after_each_change_of_owner_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
+    get_owned = Quotas._get_owned
 
-    def full(self: Quotas, now: float, allowance: Allowance, version: int, left: float | None) -> Any:
-        known = self._owned.get(allowance.tenant)
-        fresh = known is None or known.ownership_lost and self._owner(allowance.tenant) == self._own_number
-        owned = own(self, now, allowance, version, None)
-        if fresh:
+    def get_full(self: Quotas, now: float, allowance: Allowance, version: int, left: float | None) -> Any:
+        existing = self._owned.get(allowance.tenant)
+        is_new = existing is None \
+            or existing.ownership_lost and self._owner(allowance.tenant) == self._own_number
+        owned = get_owned(self, now, allowance, version, None)
+        if is_new:
             owned.bucket.tokens, owned.recently_moved = allowance.burst, False
         return owned
 
-    monkeypatch.setattr(Quotas, "_get_owned", full)
-    assert hot(moves, 1, ALLOWANCES[0]).over() > 0
+    monkeypatch.setattr(Quotas, "_get_owned", get_full)
+    assert overload(ring_changes, 1, ALLOWANCES[0]).excess() > 0
 
 
-def test_a_copy_spent_by_all_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_copy_that_every_limiter_spends_in_full_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Quotas, "_limiter_count", lambda self: 1)
-    assert hot(halves, 1, ALLOWANCES[0]).over() > 0
+    assert overload(partition_keeps_ring, 1, ALLOWANCES[0]).excess() > 0
 
 
 @pytest.mark.parametrize("ignored", [False, True])
-def test_an_open_breaker_stops_asks(ignored: bool, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_open_circuit_breaker_stops_asks(ignored: bool, monkeypatch: pytest.MonkeyPatch) -> None:
     if ignored:
         monkeypatch.setattr(CircuitBreaker, "allows", lambda self, now: True)
-    net = hot(halves, 1, ALLOWANCES[0])
-    far = [i for at, i in net.asks if 8500 <= at < 16000 and (i in HALF) != (net.owner in HALF)]
-    assert (len(far) > 0) is ignored
+    net = overload(partition_keeps_ring, 1, ALLOWANCES[0])
+    across = [i for at, i in net.asks if 8500 <= at < 16000 and (i in HALF) != (net.owner in HALF)]
+    assert (len(across) > 0) is ignored
 
 
 class Model:
-    """Every request and further try of a service at its time, over all limiters."""
+    """All requests and retries of a service over all limiters, each with its time."""
 
     def __init__(self, ratio: float, slack: float) -> None:
         self.ratio, self.slack = ratio, slack
-        self.firsts: list[float] = []
-        self.repeats: list[float] = []
+        self.requests: list[float] = []
+        self.retries: list[float] = []
 
     def over(self, window: float) -> float:
-        """Further tries over the rule's bound in the worst window that begins with one."""
+        """Return by how many retries the worst window that begins with a retry exceeds the bound."""
         worst = -self.slack
-        for begin in self.repeats:
+        for begin in self.retries:
             def inside(times: list[float], a: float) -> int:
                 return bisect_left(times, a + window + 1e-6) - bisect_left(times, a)
-            firsts = max(inside(self.firsts, begin - back) for back in (0.0, window / 2, window))
-            worst = max(worst, inside(self.repeats, begin) - self.ratio * firsts - self.slack)
+            requests = max(inside(self.requests, begin - back) for back in (0.0, window / 2, window))
+            worst = max(worst, inside(self.retries, begin) - self.ratio * requests - self.slack)
         return worst
 
 
@@ -348,43 +369,44 @@
 
 
 def play(phases: list[tuple[float, int, int, int, bool]], limiters: int, slack: float) -> Model:
-    """Each phase lasts some ms, with firsts and wishes for further tries at a limiter, which may restart."""
+    """Run phases: each has a length in ms, requests, wanted retries, a limiter, and whether it restarts."""
     model, window, now = Model(0.2, slack), 10_000.0, 5.0
     budgets = [RetryBudget(0.2, window, slack, limiters, now, first_start=True, node=f"n{i}")
                for i in range(limiters)]
     restarted: dict[int, float] = {}
-    for length, firsts, wishes, at, restart in phases:
-        at %= limiters
-        if restart and now - restarted.get(at, -window) >= window:
-            budgets[at], restarted[at] = RetryBudget(0.2, window, slack, limiters, now, first_start=False,
-                                                node=f"n{at}"), now
-        for k in range(firsts + wishes):
-            now += length / (firsts + wishes)
-            who = budgets[(at + k % 2) % limiters]
-            if k < firsts:
-                who.record_request(now, "s")
-                model.firsts.append(now)
-            elif who.take_retry(now, "s"):
-                model.repeats.append(now)
+    for length, requests, wanted, i, restart in phases:
+        i %= limiters
+        if restart and now - restarted.get(i, -window) >= window:
+            budgets[i], restarted[i] = RetryBudget(0.2, window, slack, limiters, now, first_start=False,
+                                                   node=f"n{i}"), now
+        for k in range(requests + wanted):
+            now += length / (requests + wanted)
+            budget = budgets[(i + k % 2) % limiters]
+            if k < requests:
+                budget.record_request(now, "s")
+                model.requests.append(now)
+            elif budget.take_retry(now, "s"):
+                model.retries.append(now)
     return model
 
 
-@tries(derandomize=True, deadline=None, max_examples=150)
+# Hypothesis derives the examples of this test from its source text.
+@settings(derandomize=True, deadline=None, max_examples=150)
 @given(PHASES, st.sampled_from([1, 3, 12, 48]), st.sampled_from([0.0, 20.0, 64.0]))
 def test_further_tries_stay_inside_the_budget(phases: list[tuple[float, int, int, int, bool]], limiters: int,
                                               slack: float) -> None:
     assert play(phases, limiters, slack).over(10_000.0) <= 0
 
 
-def test_the_budget_can_be_used_and_a_missing_window_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_budget_can_be_used_and_a_missing_window_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     def steady(calm: int, busy: int) -> Model:
         return play([(500.0, 11, 0, 0, False)] * calm + [(500.0, 11, 11, 0, False)] * busy, 1, 0.0)
 
-    assert len(steady(60, 20).repeats) > 0.75 * 0.2 * 220 and len(steady(60, 1).repeats) > 5
+    assert len(steady(60, 20).retries) > 0.75 * 0.2 * 220 and len(steady(60, 1).retries) > 5
     assert steady(60, 60).over(10_000.0) <= 0
 
-    def whole_life(self: RetryBudget, now: float, counts: Any) -> bool:
+    def within_total(self: RetryBudget, now: float, counts: Any) -> bool:
         return bool(1 + sum(counts.retries) <= 0.85 * 0.2 * sum(counts.requests))
 
-    monkeypatch.setattr(RetryBudget, "_within_budget", whole_life)
+    monkeypatch.setattr(RetryBudget, "_within_budget", within_total)
     assert steady(60, 60).over(10_000.0) > 0
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -1,4 +1,4 @@
-"""The choice of server: callers that stay put, and servers that are falsely said to be full."""
+"""Tests of the server selector: caller affinity, and servers that wrongly report that they are full."""
 
 from __future__ import annotations
 
@@ -7,37 +7,37 @@
 from larklb.admission.choice import FULL_RETRY_MS, ServerSelector, ServerState
 
 
-def places(names: range) -> list[ServerState]:
+def servers(names: range) -> list[ServerState]:
     return [ServerState(f"i-{n}", "orders", f"10.0.0.{n}:80", "north", 4) for n in names]
 
 
-def held(choice: ServerSelector, now: float) -> dict[int, str]:
-    drawn = random.Random(1)
-    callers = [drawn.getrandbits(64) for _ in range(400)]
-    found = {}
+def assigned_servers(selector: ServerSelector, now: float) -> dict[int, str]:
+    rng = random.Random(1)
+    callers = [rng.getrandbits(64) for _ in range(400)]
+    assigned = {}
     for caller in callers:
-        place = choice.pick(now, "orders", "r", 400.0, caller=caller)
-        assert place is not None
-        found[caller] = place.id
-    return found
-
-
-def test_a_server_that_leaves_moves_only_the_callers_that_it_held() -> None:
-    choice = ServerSelector("north", {"north": "land"}, 1)
-    choice.update(places(range(12)))
-    choice.assign(0.0, 1)
-    before = held(choice, 0.0)
-    choice.update(places(range(1, 12)))
-    choice.assign(100.0, 1)
-    after = held(choice, 100.0)
+        server = selector.pick(now, "orders", "r", 400.0, caller=caller)
+        assert server is not None
+        assigned[caller] = server.id
+    return assigned
+
+
+def test_removing_a_server_moves_only_its_own_callers() -> None:
+    selector = ServerSelector("north", {"north": "land"}, 1)
+    selector.update(servers(range(12)))
+    selector.assign(0.0, 1)
+    before = assigned_servers(selector, 0.0)
+    selector.update(servers(range(1, 12)))
+    selector.assign(100.0, 1)
+    after = assigned_servers(selector, 100.0)
     moved = {caller for caller in before if before[caller] != after[caller]}
     assert moved == {caller for caller, name in before.items() if name == "i-0"} and moved
 
 
-def test_where_all_are_said_to_be_full_one_is_tried_again() -> None:
-    choice = ServerSelector("north", {"north": "land"}, 1)
-    choice.update(places(range(3)))
-    for place in choice.servers.values():
-        choice.record_load(0.0, place, 4, 60)          # false, and told again with nothing
-    assert choice.pick(FULL_RETRY_MS / 2, "orders", "r", 400.0) is None
-    assert choice.pick(FULL_RETRY_MS * 1.1, "orders", "r", 400.0) is not None
+def test_a_server_is_tried_again_when_all_report_that_they_are_full() -> None:
+    selector = ServerSelector("north", {"north": "land"}, 1)
+    selector.update(servers(range(3)))
+    for server in selector.servers.values():
+        selector.record_load(0.0, server, 4, 60)  # wrong, and not corrected by a later report
+    assert selector.pick(FULL_RETRY_MS / 2, "orders", "r", 400.0) is None
+    assert selector.pick(FULL_RETRY_MS * 1.1, "orders", "r", 400.0) is not None
