--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -48,10 +48,10 @@
 from larklb.gateway.front import in_force
 from larklb.gateway.main import Limiter
 from larklb.gateway.messages import AnyMessage, Message, QuotaMessage
-from larklb.gateway.near_exchange import NearExchange
 from larklb.gateway.quota_exchange import QuotaExchange
 from larklb.gateway.settings import Settings
 from larklb.gateway.transport import Transport
+from larklb.gateway.zone_exchange import ZoneExchange
 from larklb.membership.members import Member
 from larklb.quota.ring import digest as ring_digest
 from larklb.quota.ring import ring_owner
@@ -128,12 +128,13 @@
 class HollowTransport(Transport):
     """Words over the fabric."""
 
-    def __init__(self, fabric: Fabric, node: str, ip: str, heard: Callable[[AnyMessage], object]) -> None:
-        super().__init__(node, ip, 1, heard)
+    def __init__(self, fabric: Fabric, node: str, ip: str,
+                 on_message: Callable[[AnyMessage], object]) -> None:
+        super().__init__(node, ip, 1, on_message)
         self.fabric = fabric
 
-    def post(self, ip: str, message: Message) -> None:
-        message = messages.addressed(message, self.node, self.ip)
+    def send(self, ip: str, message: Message) -> None:
+        message = messages.with_sender(message, self.node, self.ip)
         if ip == self.ip:
             self.fabric.at(0.0, self.fabric.local, ip, message)
             return
@@ -148,43 +149,44 @@
     def done_at_once(self, ready: Ready) -> None:
         """A save on it."""
         self.fabric.saved += sum(map(len, (ready.save or {}).values()))
-        self.saved(self.fabric.now, ready, True)
+        self.handle_save_result(self.fabric.now, ready, True)
 
 
 class Hollow(Limiter):
     """One limiter without sockets; ``disk`` makes it a core machine."""
 
     def __init__(self, fabric: Fabric, node: str, zone: str, disk: str, life: int) -> None:
-        s = Settings(path="", node=node, ip=node, zone=zone, region="r", bootstrap=True, data="",
+        s = Settings(path="", node=node, ip=node, zone=zone, region="r", bootstrap=True, data_dir="",
                      counted=False, memory_mb=300, descriptors=3000, cores=1.0, edge=None, readiness=None,
                      control=None,
-                     ports=(1, 2), seeds=(), zones=dict.fromkeys(ZONES, "r"), period=PERIOD_MS, tolerance=1)
+                     ports=(1, 2), seeds=(), zones=dict.fromkeys(ZONES, "r"),
+                     heartbeat_period_ms=PERIOD_MS, tolerance=1)
         super().__init__(s)
         me = Member(node, node, zone, life, disk)
         self.life = life
         self.wheel = HollowWheel(fabric, lambda: fabric.of.get(node) is self)
         self.random = random.Random(node)
-        self.born = fabric.now
-        self.transport = HollowTransport(fabric, node, node, self.heard)
+        self.started_at = fabric.now
+        self.transport = HollowTransport(fabric, node, node, self.handle_message)
         self.plane = ControlPlane(
             s,
             me,
             f"{node} {life}",
             fabric.now,
-            post=self.transport.post,
+            send=self.transport.send,
             after=self.wheel.after,
-            take=self._take,
-            version=lambda: self.version,
-            changed=self._changed,
+            apply_configuration=self._apply_configuration,
+            current_version=lambda: self.version,
+            on_change=self._on_members_changed,
             rng=self.random,
         )
-        self.follower.seeds = [n for n in fabric.seeds if n != node]
+        self.subscriber.seeds = [n for n in fabric.seeds if n != node]
         quotas = Quotas(node, fabric.now, 1, first_start=True)
-        self.quota_exchange = QuotaExchange(quotas, self.wheel, self.transport.post, self.count)
-        self.near = NearExchange(self.choice, self.transport.post)
+        self.quota_exchange = QuotaExchange(quotas, self.wheel, self.transport.send, self.count)
+        self.zone_exchange = ZoneExchange(self.choice, self.transport.send)
         if disk:
             core = HollowCore(
-                s, me, None, fabric.now, 1, self.transport.post, lambda ready: core.done_at_once(ready)
+                s, me, None, fabric.now, 1, self.transport.send, lambda ready: core.done_at_once(ready)
             )
             core.fabric = fabric
             self.plane.core = core
@@ -254,7 +256,7 @@
     def settle(self, most: float) -> float:
         """Until every limiter has its home's whole table, at most so long; the ms it took."""
         began = self.now
-        while self.now - began < most and not all(n.follower.complete for n in self.of.values()):
+        while self.now - began < most and not all(n.subscriber.complete for n in self.of.values()):
             self.run(10.0)
         return self.now - began
 
@@ -290,13 +292,13 @@
         """... and is heard there, if it is there."""
         if (hollow := self.of.get(ip)) is not None:
             began = time.process_time()
-            hollow.heard(messages.decode(line))
+            hollow.handle_message(messages.decode(line))
             self.meter.spent[role_of(kind), kind].append(time.process_time() - began)
 
     def local(self, ip: str, message: AnyMessage) -> None:
         """A message of a limiter to itself."""
         if (hollow := self.of.get(ip)) is not None:
-            hollow.heard(message)
+            hollow.handle_message(message)
 
     # Servers ------------------------------------------------------------------------------
 
@@ -306,7 +308,7 @@
             near = [c for c in self.cores if c.settings.zone == server.zone] or self.cores
             self.servers[server.id] = (server, near[ring_digest(server.id) % len(near)])
         rows = [(name, server.to_row()) for name, (server, _) in self.servers.items()]
-        line = messages.encode(messages.addressed(RowsUpdate(members=[], servers=rows), "", ""))
+        line = messages.encode(messages.with_sender(RowsUpdate(members=[], servers=rows), "", ""))
         for core in self.cores:
             assert core.core is not None
             core.core.home.handle_rows_update(self.now, decoded(line, RowsUpdate))
@@ -460,7 +462,7 @@
     x, per, target = {"limiters": (limiters, "limiter", LIMITERS), "servers": (servers, "server", SERVERS),
                       "cores": (cores, "core machine", CONTROL)}[by]
     plain = limiters - cores
-    silent = sum(s.silent for s in fabric.of[fabric.seeds[0]].follower.servers.values())
+    silent = sum(s.silent for s in fabric.of[fabric.seeds[0]].subscriber.servers.values())
     words, sent = sum(meter.words.values()) / seconds, sum(meter.bytes.values()) / seconds / 1e3
     print(f"at rest, {limiters} limiters, {servers} servers, {cores} core machines: {words:.0f} words a s, "
           f"{sent:.0f} KB/s, {silent} servers taken for silent; CPU us each: "
@@ -503,7 +505,7 @@
     meter.reset()
     fabric.drain(name)
     fabric.run(400.0)
-    told = sum(n.follower.servers[name].state == DRAINING for n in fabric.of.values())
+    told = sum(n.subscriber.servers[name].state == DRAINING for n in fabric.of.values())
     rows = meter.words["limiter", "delta+rows"]
     words = [("limiter", "delta+rows"), ("home", "rows"), ("home", "known"), ("home", "has")]
     add("drain: CPU of a limiter for the row", "us", meter.each("limiter", "delta+rows"))
@@ -554,7 +556,7 @@
     """One home and one follower with so many servers, by themselves."""
     told = servers_of(servers, ZONES)
     rows = [(s.id, s.to_row()) for s in told]
-    line = messages.encode(messages.addressed(RowsUpdate(members=[], servers=rows), "", ""))
+    line = messages.encode(messages.with_sender(RowsUpdate(members=[], servers=rows), "", ""))
     me = Member("n0", "n0", "a", 1, "d0", ring_number=0, grant=1)
 
     def home_of() -> RegistryReplica:
@@ -573,7 +575,7 @@
                                    have=follower.revision, of=("n0", 1))
             source.handle_heartbeat(0.0, beat, (0, ""))
             for _, message in source.outbox:
-                lines.append(messages.encode(messages.addressed(message, "n0", "n0")))
+                lines.append(messages.encode(messages.with_sender(message, "n0", "n0")))
                 follower.handle_delta(0.0, decoded(lines[-1], Delta))
             source.outbox.clear()
         assert len(follower.servers) == servers
@@ -699,11 +701,11 @@
         asked = asker.request(now, allowance)
         assert isinstance(asked, Ask)
         question = QuotaMessage(message=asked.message)
-        there = messages.encode(messages.addressed(question, "n00009", "10.128.0.9"))
+        there = messages.encode(messages.with_sender(question, "n00009", "10.128.0.9"))
         first = time.process_time()
         answer = holder.handle_request(now, me, decoded(there, QuotaMessage).message)
         assert answer is not None
-        back = messages.encode(messages.addressed(QuotaMessage(message=answer), "n00009", "10.128.0.9"))
+        back = messages.encode(messages.with_sender(QuotaMessage(message=answer), "n00009", "10.128.0.9"))
         second = time.process_time()
         asker.handle_reply(now, decoded(back, QuotaMessage).message)
         sizes.append(len(there) + len(back))
--- a/larklb/cli/system_config.py
+++ b/larklb/cli/system_config.py
@@ -53,7 +53,7 @@
     else:
         bound = [name for name in ("edge", "readiness", "control") if getattr(found, name) is not None]
         print(f"{file}: usable, {found.node} at {found.ip} in {found.zone}, serves {', '.join(bound) or '-'}"
-              f"{', core machine' if found.data and found.control else ''}")
+              f"{', core machine' if found.data_dir and found.control else ''}")
     complain("\n".join(doubts))
     return OFF if doubts else DONE
 
@@ -62,7 +62,7 @@
     found = []
     if s.zones and s.zone not in s.zones:
         found.append(f"self.zone: {s.zone!r}: must be one of network.zones, {', '.join(sorted(s.zones))}")
-    if s.data and s.control is None:
+    if s.data_dir and s.control is None:
         found.append("self.dataDir: is of no use without network.bindings.control")
     if s.edge is not None and s.readiness is None:
         found.append("network.bindings.readiness: missing: no client comes to who never says it is ready")
--- a/larklb/gateway/control.py
+++ b/larklb/gateway/control.py
@@ -25,7 +25,7 @@
 
 
 @define(frozen=True)
-class OperatorOrder:
+class OperatorRequest:
     """An operator's call: ``kind`` is 'replace', 'amend' or 'read', ``base`` the version that a change builds
     on, ``body`` its text."""
 
@@ -34,15 +34,15 @@
     body: str = ""
 
 
-AWAY = CallResult(503, "nobody who can settle this is in reach: try again, or another limiter")
+UNAVAILABLE = CallResult(503, "nobody who can settle this is in reach: try again, or another limiter")
 
 SettleServer = Callable[[Server | str], Awaitable[CallResult]]  # a beat, or the id of one that leaves
-SettleOrder = Callable[[OperatorOrder], Awaitable[CallResult]]
+SettleOrder = Callable[[OperatorRequest], Awaitable[CallResult]]
 StatusCall = Callable[[str, Mapping[str, str]], dict[str, Any] | None]  # path, query
 
 
 @define
-class Control:
+class ControlApi:
     """Answers servers and operators."""
 
     server: SettleServer
@@ -76,7 +76,7 @@
         if path == calls.READ:
             if head.method != b"GET":
                 return Reply(405)
-            return self._reply(await self.operator(OperatorOrder("read")))
+            return self._reply(await self.operator(OperatorRequest("read")))
         if path in (calls.REPLACE, calls.AMEND):
             if head.method != b"POST":
                 return Reply(405)
@@ -102,7 +102,7 @@
             text = body.decode()
         except UnicodeDecodeError:
             return _invalid(["the body is no JSON: it is not UTF-8"])
-        return self._reply(await self.operator(OperatorOrder(kind, int(base), text)))
+        return self._reply(await self.operator(OperatorRequest(kind, int(base), text)))
 
     @staticmethod
     def _reply(result: CallResult) -> Reply:
--- a/larklb/gateway/control_plane.py
+++ b/larklb/gateway/control_plane.py
@@ -1,7 +1,7 @@
 """One limiter's part in the control plane: what it knows of the others, and where calls of servers and
 operators go.
 
-Without I/O: messages come in by ``heard`` and leave by ``post``, time is an argument, and calls are answered
+Without I/O: messages come in by ``heard`` and leave by ``send``, time is an argument, and calls are answered
 through ``done``. A core machine settles servers' calls itself while it is in contact with a majority of the
 core, and operators' calls while it leads; all other calls are passed on, to the home or to the leader.
 """
@@ -17,9 +17,9 @@
 
 from larklb.consensus.interface import Answer
 from larklb.consensus.timing import Timing
-from larklb.gateway.control import AWAY, OperatorOrder
+from larklb.gateway.control import UNAVAILABLE, OperatorRequest
 from larklb.gateway.core import Core
-from larklb.gateway.forwarding import After, Forwarding
+from larklb.gateway.forwarding import After, CallForwarder
 from larklb.gateway.messages import (
     CallAnswer,
     CallResult,
@@ -77,20 +77,26 @@
         session: str,
         now: float,
         *,
-        post: Callable[[str, Message], object],
+        send: Callable[[str, Message], object],
         after: After,
-        take: Callable[[dict[str, Any]], object],
-        version: Callable[[], int],
-        changed: Callable[[], object],
+        apply_configuration: Callable[[dict[str, Any]], object],
+        current_version: Callable[[], int],
+        on_change: Callable[[], object],
         rng: random.Random,
     ) -> None:
-        self.settings, self.post, self.take, self.version, self.rng = settings, post, take, version, rng
-        self.born = now
+        self.settings, self.send, self.apply_configuration, self.current_version, self.rng = (
+            settings,
+            send,
+            apply_configuration,
+            current_version,
+            rng,
+        )
+        self.started_at = now
         self.core: Core | None = None
-        scale = Timing.from_bounds(settings.bounds.contact, settings.bounds.convergence).scale
+        scale = Timing.from_bounds(settings.bounds.contact_ms, settings.bounds.convergence_ms).scale
         seeds = [host for host, _ in settings.seeds]
-        self.subscriber = Subscriber(me, seeds, time_scale=scale, on_change=changed)
-        self.forwarding = Forwarding(session, post, after)
+        self.subscriber = Subscriber(me, seeds, time_scale=scale, on_change=on_change)
+        self.forwarder = CallForwarder(session, send, after)
         self.fetched_at = self.peeked_at = float("-inf")
 
     # The loop's turn ----------------------------------------------------------------------
@@ -105,27 +111,27 @@
             self._take_own(now, self.core)
         self.subscriber.tick(now)
         self.flush()
-        if self.subscriber.offered_config[0] > self.version():
+        if self.subscriber.offered_config[0] > self.current_version():
             self._fetch(now, self.subscriber.home_ip())
         if now - self.peeked_at >= PEEK_MS:
             self.peeked_at = now
             if other := self.subscriber.other_core_ip(now, self.rng.random()):
-                self.post(other, Peek())  # a home that is cut off offers nothing new
+                self.send(other, Peek())  # a home that is cut off offers nothing new
 
     def _take_own(self, now: float, core: Core) -> None:
         """What the disk holds serves here once a leader has confirmed it; behind a cut it is the last good
         one, and better than none, but only here: nobody else is told."""
         if core.replica.current is None:
             return
-        patience = UNCONFIRMED_PART * self.settings.bounds.contact
-        if core.replica.confirmed or now - self.born >= patience:
-            self.take(core.replica.current)
+        patience = UNCONFIRMED_PART * self.settings.bounds.contact_ms
+        if core.replica.confirmed or now - self.started_at >= patience:
+            self.apply_configuration(core.replica.current)
 
     def flush(self) -> None:
         """Sends what the subscriber has to say."""
         out, self.subscriber.outbox = self.subscriber.outbox, []
         for ip, message in out:
-            self.post(ip, message)
+            self.send(ip, message)
 
     def leave(self, now: float) -> None:
         """The process is about to end in order: the others are told, and another machine leads."""
@@ -137,17 +143,17 @@
 
     # Messages of other limiters -----------------------------------------------------------
 
-    def heard(self, now: float, message: ControlMessage) -> None:
+    def handle_message(self, now: float, message: ControlMessage) -> None:
         """KeyError, TypeError or ValueError where a row in the message can't be used."""
         match message:
             case Delta():
                 self.subscriber.handle_delta(now, message)
-                if self.subscriber.offered_config[0] > self.version():
+                if self.subscriber.offered_config[0] > self.current_version():
                     self._fetch(now, message.address)
             case NotReady():
                 self.subscriber.handle_not_ready(now, message)
             case ConfigurationOffer():
-                if message.offer[0] > self.version():
+                if message.offer[0] > self.current_version():
                     self._fetch(now, message.address)
             case Hello():
                 self.subscriber.handle_hello(now, message)
@@ -156,13 +162,13 @@
                 self.subscriber.handle_cores(now, message)
                 self._meet(now, message.cores)
             case Configuration():
-                self.take(message.document)
+                self.apply_configuration(message.document)
             case ServerCall():
                 self._server_called(now, message)
             case OperatorCall():
                 self._operator_called(now, message)
             case CallAnswer():
-                self.forwarding.answered(message)
+                self.forwarder.handle_answer(message)
             case _:
                 if self.core is not None:
                     self._heard_at_core(now, message, self.core)
@@ -187,10 +193,10 @@
                 home.handle_sync_ack(message)
             case RangeRows():
                 home.handle_range_rows(now, message)
-            case Peek() if core.may_tell(now):
-                self.post(message.address, ConfigurationOffer(offer=core.offer))
-            case Fetch() if core.replica.current is not None and core.may_tell(now):
-                self.post(message.address, Configuration(document=core.replica.current))
+            case Peek() if core.may_serve_configuration(now):
+                self.send(message.address, ConfigurationOffer(offer=core.offer))
+            case Fetch() if core.replica.current is not None and core.may_serve_configuration(now):
+                self.send(message.address, Configuration(document=core.replica.current))
         home.push(now, core.offer)
         core.flush()
 
@@ -207,7 +213,7 @@
             return
         self.fetched_at = now
         if ip and ip != self.settings.ip:
-            self.post(ip, Fetch())
+            self.send(ip, Fetch())
 
     # Calls of servers ---------------------------------------------------------------------
 
@@ -219,7 +225,7 @@
                 self._settle_server(now, core.home, call, done)
                 return
         if not home or home == self.settings.ip:
-            done(AWAY)
+            done(UNAVAILABLE)
             return
         if isinstance(call, Server):
             self._pass_on(home, ServerCall(id=call.id, row=call.to_row()), done)
@@ -230,7 +236,7 @@
         assert self.core is not None
 
         def settle(known: bool) -> None:
-            done(CallResult(200, report_to=self._home_of(call)) if known else AWAY)
+            done(CallResult(200, report_to=self._home_of(call)) if known else UNAVAILABLE)
 
         if isinstance(call, Server):
             home.server_heartbeat(now, call, settle)
@@ -252,24 +258,24 @@
 
     # Calls of operators -------------------------------------------------------------------
 
-    def operator_call(self, now: float, order: OperatorOrder, done: Done, hops: int = 0) -> None:
+    def operator_call(self, now: float, order: OperatorRequest, done: Done, hops: int = 0) -> None:
         """An operator's call: settled by the leader, this one or another; ``hops``: how often it was passed
         on."""
         if self.core is not None and self.core.replica.is_leader:
             self._settle_operator(now, self.core, order, done)
             return
         if self.core is not None and self.core.home.fenced(now):
-            done(AWAY)  # nobody would hear it, or its answer would come too late
+            done(UNAVAILABLE)  # nobody would hear it, or its answer would come too late
             return
         ip = self.core.leader_ip() if self.core is not None else self.subscriber.home_ip()
         if not ip or ip == self.settings.ip or hops >= MOST_HOPS:
-            done(AWAY)
+            done(UNAVAILABLE)
             return
         call = OperatorCall(kind=order.kind, base=order.base, body=order.body, hops=hops + 1)
         self._pass_on(ip, call, done)
 
     @staticmethod
-    def _settle_operator(now: float, core: Core, order: OperatorOrder, done: Done) -> None:
+    def _settle_operator(now: float, core: Core, order: OperatorRequest, done: Done) -> None:
         def settle(answer: Answer) -> None:
             done(CallResult(answer.status, answer.text, answer.document, problems=answer.problems))
 
@@ -279,22 +285,22 @@
 
     def _pass_on(self, ip: str, call: ForwardedCall, done: Done) -> None:
         def answered(answer: CallAnswer | None) -> None:
-            done(AWAY if answer is None else answer.result)
+            done(UNAVAILABLE if answer is None else answer.result)
 
-        self.forwarding.ask(ip, call, answered)
+        self.forwarder.forward(ip, call, answered)
 
     def _server_called(self, now: float, call: ServerCall) -> None:
         server = server_from_row(call.id, call.row) if call.row is not None else call.id
         self.server_call(now, server, self._answers(call))
 
     def _operator_called(self, now: float, call: OperatorCall) -> None:
-        order = OperatorOrder(call.kind, call.base, call.body)
+        order = OperatorRequest(call.kind, call.base, call.body)
         self.operator_call(now, order, self._answers(call), call.hops)
 
     def _answers(self, call: ForwardedCall) -> Done:
         """What sends the answer to the limiter that passed a call on."""
 
         def done(result: CallResult) -> None:
-            self.post(call.address, result.answer_to(call))
+            self.send(call.address, result.answer_to(call))
 
         return done
--- a/larklb/gateway/core.py
+++ b/larklb/gateway/core.py
@@ -1,7 +1,7 @@
 """A core machine's part of the control plane: the registry's replica and the configuration's, under one
 clock.
 
-Without I/O: messages leave by ``post``, saves by ``save``, whose end is told by ``saved``.
+Without I/O: messages leave by ``send``, saves by ``save``, whose end is told by ``saved``.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 # processes start, whatever the terms.
 FOUND_QUIET_MS = 1_200.0
 
-Post = Callable[[str, Message], object]
+Send = Callable[[str, Message], object]
 Save = Callable[[Ready], object]
 
 
@@ -60,14 +60,14 @@
         stored: dict[str, bytes] | None,
         now: float,
         seed: int,
-        post: Post,
+        send: Send,
         save: Save,
     ) -> None:
         """``me`` has the disk's id, ``stored`` is what its saves left."""
-        self.settings, self.disk, self.post, self.save = settings, me.disk, post, save
-        timing = Timing.from_bounds(settings.bounds.contact, settings.bounds.convergence)
+        self.settings, self.disk, self.send, self.save = settings, me.disk, send, save
+        timing = Timing.from_bounds(settings.bounds.contact_ms, settings.bounds.convergence_ms)
         self.home = RegistryReplica(
-            me, settings.period, now, time_scale=timing.scale, bootstrap=settings.bootstrap
+            me, settings.heartbeat_period_ms, now, time_scale=timing.scale, bootstrap=settings.bootstrap
         )
         self.replica = Replica(
             me.disk,
@@ -79,7 +79,7 @@
             apply=apply,
             timing=timing,
         )
-        self.born = self.now = now
+        self.started_at = self.now = now
         self.seen: tuple[frozenset[str], float] = (frozenset(), now)
         self.waiting: dict[str, Callable[[Answer], object]] = {}
         self.tickets = 0
@@ -100,7 +100,7 @@
         ticket = str(self.tickets)
         self.waiting[ticket] = done
         self.replica.call(now, ticket, Call(kind, base, document, identity))
-        self.work(now)
+        self.process_ready(now)
 
     # The loop's turn ----------------------------------------------------------------------
 
@@ -111,7 +111,7 @@
         cores = {**members.cores_by_disk(now, self.home.core_present_ms), self.disk: self.settings.node}
         self._found(now, cores)
         self.replica.tick(now, cores, members.leaving_disks())
-        self.work(now)
+        self.process_ready(now)
         epoch = self.replica.term if self.replica.has_recent_quorum(now) else None
         self.home.tick(now, me, self.replica.voters if self.replica.founded else {}, epoch, self.offer)
 
@@ -122,7 +122,8 @@
         if there != self.seen[0]:
             self.seen = (there, now)
         enough = (
-            len(there) >= 2 * self.settings.tolerance + 1 or now - self.born > self.settings.bounds.contact
+            len(there) >= 2 * self.settings.tolerance + 1
+            or now - self.started_at > self.settings.bounds.contact_ms
         )
         first = min(cores, key=lambda disk: (cores[disk], disk))
         if enough and first == self.disk and now - self.seen[1] >= FOUND_QUIET_MS:
@@ -133,21 +134,21 @@
     def step(self, now: float, sender: str, message: dict[str, Any]) -> None:
         """A message of another replica."""
         self.replica.step(now, sender, message)
-        self.work(now)
+        self.process_ready(now)
 
     def leave(self, now: float) -> None:
         """This machine is about to end in order."""
         self.replica.transfer_leadership(now)
-        self.work(now)
+        self.process_ready(now)
 
-    def may_tell(self, now: float) -> bool:
+    def may_serve_configuration(self, now: float) -> bool:
         """Whether others may be told the configuration that is known here: it follows a leader's word, and a
         majority of the core has just answered this machine."""
         return self.replica.is_up_to_date(now) and not self.home.fenced(now)
 
     # What the replica wants done ----------------------------------------------------------
 
-    def work(self, now: float) -> None:
+    def process_ready(self, now: float) -> None:
         """Carries out what the replica wants done, as far as the disk lets it."""
         self.now = now
         while (ready := self.replica.ready()) is not None:  # during a save: answers alone
@@ -157,7 +158,7 @@
                 self.save(ready)
         self._note_version()
 
-    def saved(self, now: float, ready: Ready, ok: bool) -> None:
+    def handle_save_result(self, now: float, ready: Ready, ok: bool) -> None:
         """A save has ended: durable, or (not ``ok``) failed. The caller calls ``work`` next, after a failure
         when the disk may be tried again."""
         self.now = now
@@ -168,7 +169,7 @@
     def _send(self, ready: Ready) -> None:
         for receiver, message in ready.messages:
             if (ip := self.home.members.address_of_disk(receiver)) is not None:
-                self.post(ip, Raft(disk=self.disk, message=message))
+                self.send(ip, Raft(disk=self.disk, message=message))
         for ticket, answer in ready.answers:
             if (done := self.waiting.pop(ticket, None)) is not None:
                 done(answer)
@@ -192,4 +193,4 @@
         """Sends what the registry's replica has to say."""
         out, self.home.outbox = self.home.outbox, []
         for ip, message in out:
-            self.post(ip, message)
+            self.send(ip, message)
--- a/larklb/gateway/disk.py
+++ b/larklb/gateway/disk.py
@@ -43,14 +43,14 @@
             ok = False
         finally:
             self.saving = None
-        self.core.saved(self.wheel.now(), ready, ok)
+        self.core.handle_save_result(self.wheel.now(), ready, ok)
         if ok:
-            self._work()
+            self._process_ready()
         else:
-            self.wheel.after(RETRY_MS, self._work)
+            self.wheel.after(RETRY_MS, self._process_ready)
 
-    def _work(self) -> None:
-        self.core.work(self.wheel.now())
+    def _process_ready(self) -> None:
+        self.core.process_ready(self.wheel.now())
 
     def close(self) -> None:
         """No more writes; one that hangs is left to itself."""
--- a/larklb/gateway/forwarding.py
+++ b/larklb/gateway/forwarding.py
@@ -1,6 +1,6 @@
 """Calls that this limiter passes on to another one, until their answers come.
 
-Without I/O: ``post`` and ``after`` are the caller's. An answer settles a call only if it comes from the
+Without I/O: ``send`` and ``after`` are the caller's. An answer settles a call only if it comes from the
 machine that was asked, and names this process's session and the call's number: numbers begin anew in each
 process, and an answer to the process before, or of a machine that was asked something else, must not settle
 a call of this one."""
@@ -18,7 +18,7 @@
 Answered = Callable[[CallAnswer | None], object]
 
 CALL_MS = 850.0  # for an answer of another limiter: callers wait a second
-MOST_PENDING = 1024  # calls that wait at the same time; more are given up at once
+MAX_PENDING_CALLS = 1024  # calls that wait at the same time; more are given up at once
 
 
 class Cancellable(Protocol):
@@ -32,7 +32,7 @@
 
 
 @define
-class Pending:
+class PendingCall:
     """A call that was sent to the machine at ``ip``."""
 
     ip: str
@@ -41,32 +41,32 @@
 
 
 @define
-class Forwarding:
+class CallForwarder:
     """Of one process. ``session``: random, of this process alone."""
 
     session: str
-    post: Callable[[str, Message], object]
+    send: Callable[[str, Message], object]
     after: After
-    pending: dict[int, Pending] = field(factory=dict)
+    pending: dict[int, PendingCall] = field(factory=dict)
     last: int = 0
 
-    def ask(self, ip: str, call: ForwardedCall, done: Answered) -> None:
+    def forward(self, ip: str, call: ForwardedCall, done: Answered) -> None:
         """Passes a call on, under a number and session of its own; ``done`` is called once, with the answer,
         or None where none comes in time."""
-        if len(self.pending) >= MOST_PENDING:
+        if len(self.pending) >= MAX_PENDING_CALLS:
             done(None)
             return
         self.last += 1
         number = self.last
-        self.pending[number] = pending = Pending(ip, done)
+        self.pending[number] = pending = PendingCall(ip, done)
         pending.timer = self.after(CALL_MS, lambda: self._give_up(number))
-        self.post(ip, msgspec.structs.replace(call, number=number, session=self.session))
+        self.send(ip, msgspec.structs.replace(call, number=number, session=self.session))
 
     def _give_up(self, number: int) -> None:
         if (pending := self.pending.pop(number, None)) is not None:
             pending.done(None)
 
-    def answered(self, answer: CallAnswer) -> bool:
+    def handle_answer(self, answer: CallAnswer) -> bool:
         """An answer has come; whether it settled a call."""
         pending = self.pending.get(answer.number)
         if pending is None or answer.session != self.session or answer.address != pending.ip:
--- a/larklb/gateway/main.py
+++ b/larklb/gateway/main.py
@@ -30,7 +30,7 @@
 from larklb.consensus.errors import ConsensusError
 from larklb.gateway import options, status
 from larklb.gateway import settings as told
-from larklb.gateway.control import Control, OperatorOrder
+from larklb.gateway.control import ControlApi, OperatorRequest
 from larklb.gateway.control_plane import ControlPlane
 from larklb.gateway.core import Core
 from larklb.gateway.disk import DiskWriter
@@ -38,11 +38,11 @@
 from larklb.gateway.front import Front, in_force
 from larklb.gateway.listener import Bounds, Listener
 from larklb.gateway.messages import AnyMessage, CallResult, CapacityReport, InFlightMessage, QuotaMessage
-from larklb.gateway.near_exchange import IN_FLIGHT_MS, NearExchange
 from larklb.gateway.options import Options
 from larklb.gateway.quota_exchange import QuotaExchange
 from larklb.gateway.servers import Reply, Servers
 from larklb.gateway.transport import Transport
+from larklb.gateway.zone_exchange import IN_FLIGHT_MS, ZoneExchange
 from larklb.membership.members import UP, Member
 from larklb.net.http import Link
 from larklb.registry import registry
@@ -88,19 +88,19 @@
         self.wheel = Wheel(TICK_MS)
         self.random = random.Random(os.urandom(8))
         now = self.wheel.now()
-        self.born = now
+        self.started_at = now
         self.count: Counter[str] = Counter()
-        self.transport = Transport(settings.node, settings.ip, settings.port, self.heard)
+        self.transport = Transport(settings.node, settings.ip, settings.port, self.handle_message)
         me = Member(settings.node, settings.ip, settings.zone, int(time.time() * 1000.0))
         self.disk: DiskWriter | None = None
         core = None
-        if settings.data and settings.control is not None:
-            store = Store(Path(settings.data))
-            stored, disk = _open(store, settings.data)
+        if settings.data_dir and settings.control is not None:
+            store = Store(Path(settings.data_dir))
+            stored, disk = _load_disk(store, settings.data_dir)
             me = evolve(me, disk=disk)
             self.disk = DiskWriter(store, self.wheel)
             core = Core(
-                settings, me, stored, now, self.random.randrange(1 << 30), self.transport.post, self.disk.save
+                settings, me, stored, now, self.random.randrange(1 << 30), self.transport.send, self.disk.save
             )
             self.disk.core = core
         self.plane = ControlPlane(
@@ -108,11 +108,11 @@
             me,
             os.urandom(SESSION_BYTES).hex(),
             now,
-            post=self.transport.post,
+            send=self.transport.send,
             after=self.wheel.after,
-            take=self._take,
-            version=lambda: self.version,
-            changed=self._changed,
+            apply_configuration=self._apply_configuration,
+            current_version=lambda: self.version,
+            on_change=self._on_members_changed,
             rng=self.random,
         )
         self.plane.core = core
@@ -131,13 +131,13 @@
             now,
             self.random.randrange(1 << 30),
             first_start=first,
-            bound=OvershootBound(bounds.quota_window / 1000.0, bounds.quota_overshoot, bounds.quota_slack),
+            bound=OvershootBound(bounds.quota_window_ms / 1000.0, bounds.quota_overshoot, bounds.quota_slack),
         )
-        self.quota_exchange = QuotaExchange(quotas, self.wheel, self.transport.post, self.count)
-        self.near = NearExchange(self.choice, self.transport.post)
+        self.quota_exchange = QuotaExchange(quotas, self.wheel, self.transport.send, self.count)
+        self.zone_exchange = ZoneExchange(self.choice, self.transport.send)
         self.budget = RetryBudget(
             bounds.retry_ratio,
-            bounds.retry_window,
+            bounds.retry_window_ms,
             bounds.retry_slack,
             self._limiters,
             now,
@@ -151,12 +151,12 @@
             self.servers,
             self.choice,
             self.budget,
-            self.quota_exchange.ask,
+            self.quota_exchange.request_verdict,
             self.random,
             self.count,
             stay=chosen.caller_affinity,
         )
-        control = Control(self._server_call, self._operator_call, partial(status.document, self))
+        control = ControlApi(self._server_call, self._operator_call, partial(status.document, self))
         self.edge = Listener(self.wheel, self.front.answer, int(sockets * FRONT_PART))
         self.control = Listener(self.wheel, control.answer, int(sockets * CONTROL_PART))
         self.readiness = Listener(self.wheel, self._ready, 16)
@@ -173,7 +173,7 @@
         return self.plane.core
 
     @property
-    def follower(self) -> Subscriber:
+    def subscriber(self) -> Subscriber:
         """What is known here of other limiters and of servers."""
         return self.plane.subscriber
 
@@ -195,7 +195,7 @@
         await self._start_metrics()
         log.info("gateway: %s listens.", s.node)
         self._turn()
-        self._near()
+        self._tick_zone_exchange()
         await self.leaving.wait()
         await self._leave()
 
@@ -207,10 +207,10 @@
         except AddressError as error:  # requests don't depend on it
             log.warning("gateway: no metrics: %s.", error)
 
-    def _near(self) -> None:
-        self.wheel.after(IN_FLIGHT_MS, self._near)
+    def _tick_zone_exchange(self) -> None:
+        self.wheel.after(IN_FLIGHT_MS, self._tick_zone_exchange)
         if self.front.now is not None:
-            self.near.tick(self.wheel.now())
+            self.zone_exchange.tick(self.wheel.now())
 
     # Turns --------------------------------------------------------------------------------
 
@@ -250,23 +250,25 @@
         except SettingsError as error:
             log.error("gateway: %s.", error)
             return
-        self.follower.seeds = [host for host, _ in fresh.seeds]
+        self.subscriber.seeds = [host for host, _ in fresh.seeds]
         self.settings = evolve(self.settings, seeds=fresh.seeds)
         log.info("gateway: settings read anew.")
 
     # Messages of other limiters -----------------------------------------------------------
 
-    def heard(self, message: AnyMessage) -> None:
+    def handle_message(self, message: AnyMessage) -> None:
         """KeyError, TypeError or ValueError where it can't be used."""
         now = self.wheel.now()
         match message:
             case QuotaMessage():
-                sender = self.follower.members.get(message.sender)
-                self.quota_exchange.heard(now, message, sender.ring_number if sender is not None else -1)
+                sender = self.subscriber.members.get(message.sender)
+                self.quota_exchange.handle_message(
+                    now, message, sender.ring_number if sender is not None else -1
+                )
             case InFlightMessage() | CapacityReport():
-                self.near.heard(now, message)
+                self.zone_exchange.handle_message(now, message)
             case _:
-                self.plane.heard(now, message)
+                self.plane.handle_message(now, message)
 
     # Configuration ------------------------------------------------------------------------
 
@@ -275,7 +277,7 @@
         """Of the configuration in force here."""
         return self.front.now.version if self.front.now is not None else 0
 
-    def _take(self, document: dict[str, Any]) -> None:
+    def _apply_configuration(self, document: dict[str, Any]) -> None:
         """A committed configuration; an older one than that in force is never gone back to."""
         if int(document["version"]) <= self.version:
             return
@@ -297,15 +299,17 @@
 
     # Limiters and servers -----------------------------------------------------------------
 
-    def _changed(self) -> None:
+    def _on_members_changed(self) -> None:
         """Members or servers are others now."""
         now = self.wheel.now()
-        me = self.follower.local_member
-        members = self.follower.members.values()
-        numbers = self.follower.nodes_by_ring_number()
-        addresses = {n: self.follower.members[node].ip for n, node in numbers.items()}
-        self.quota_exchange.members(now, numbers, addresses, me.ring_number)
-        self.near.peers([m.ip for m in members if m.zone == me.zone and m.state == UP and m.node != me.node])
+        me = self.subscriber.local_member
+        members = self.subscriber.members.values()
+        numbers = self.subscriber.nodes_by_ring_number()
+        addresses = {n: self.subscriber.members[node].ip for n, node in numbers.items()}
+        self.quota_exchange.set_members(now, numbers, addresses, me.ring_number)
+        self.zone_exchange.set_peers(
+            [m.ip for m in members if m.zone == me.zone and m.state == UP and m.node != me.node]
+        )
         self.choice.set_limiters(me.node, [(m.node, m.zone) for m in members])
         self.choice.update(
             ServerState(
@@ -318,7 +322,7 @@
                 draining=s.state != registry.STEADY,
                 silent=s.silent,
             )
-            for s in self.follower.servers.values()
+            for s in self.subscriber.servers.values()
             if s.state != registry.GONE
         )
         self._assign(now)
@@ -328,12 +332,12 @@
             self.choice.assign(now, self._limiters())
 
     def _limiters(self) -> int:
-        return max(1, len(self.follower.members))
+        return max(1, len(self.subscriber.members))
 
     def _limit(self, target: str) -> int:
         limiters = self._limiters()
         most = max(2, int(self.saturation.get(target, 1 << 20) * CONNECTIONS_PART / limiters))
-        if not self.settings.bootstrap and self.wheel.now() - self.born < YOUNG_MS:
+        if not self.settings.bootstrap and self.wheel.now() - self.started_at < YOUNG_MS:
             # All may have restarted together and know few servers yet: these must not get everything.
             most = min(most, max(1, round(YOUNG_SLOTS / limiters)))
         return most
@@ -342,7 +346,7 @@
         """A server's beat, or the id of one that leaves."""
         return await self._settled(partial(self.plane.server_call, self.wheel.now(), call))
 
-    async def _operator_call(self, order: OperatorOrder) -> CallResult:
+    async def _operator_call(self, order: OperatorRequest) -> CallResult:
         """An operator's call."""
         return await self._settled(partial(self.plane.operator_call, self.wheel.now(), order))
 
@@ -361,8 +365,8 @@
 
     def ready(self) -> bool:
         """Whether clients are to come here."""
-        known = self.follower.ever_complete and (
-            bool(self.choice.servers) or self.wheel.now() - self.born > PATIENCE_MS
+        known = self.subscriber.ever_complete and (
+            bool(self.choice.servers) or self.wheel.now() - self.started_at > PATIENCE_MS
         )
         return self.front.now is not None and known and not self.leaving.is_set()
 
@@ -384,7 +388,7 @@
     async def _leave(self) -> None:
         """In order: told to all, no longer ready, all that was taken is finished, within the grace."""
         log.info("gateway: leaves.")
-        now, grace = self.wheel.now(), self.settings.bounds.grace
+        now, grace = self.wheel.now(), self.settings.bounds.grace_ms
         self.plane.leave(now)
         self.edge.leave()
         end = now + grace - min(LAST_MS, grace * LAST_PART)
@@ -405,7 +409,7 @@
         log.info("gateway: has ended; %s.", ", ".join(f"{k} {v}" for k, v in sorted(self.count.items())))
 
 
-def _open(store: Store, folder: str) -> tuple[dict[str, bytes] | None, str]:
+def _load_disk(store: Store, folder: str) -> tuple[dict[str, bytes] | None, str]:
     """What a core machine's disk holds, and the disk's id.
 
     A disk that has its id but not its votes might vote twice in a term: it is a blank one, under a new id.
@@ -413,7 +417,7 @@
     stored = store.load()
     kept = stored is not None and HARD_STATE in stored
     disk = store.identity(renew=not kept)
-    status.hold(folder)  # from here on no tool changes what is loaded
+    status.mark_in_use(folder)  # from here on no tool changes what is loaded
     return (stored if kept else None), disk
 
 
@@ -434,7 +438,7 @@
     try:
         limiter = Limiter(settings, chosen)
     except (StorageError, ConsensusError, GatewayError) as error:
-        log.error("gateway: %s: can't start with it: %s.", settings.data, error)
+        log.error("gateway: %s: can't start with it: %s.", settings.data_dir, error)
         return 2
     await limiter.run()
     return 0
--- a/larklb/gateway/messages.py
+++ b/larklb/gateway/messages.py
@@ -137,7 +137,7 @@
 _HEADER_DECODER = msgspec.json.Decoder(_Header)
 
 
-def addressed(message: Message, sender: str, address: str) -> AnyMessage:
+def with_sender(message: Message, sender: str, address: str) -> AnyMessage:
     """The message as its sender sends it."""
     return msgspec.structs.replace(  # type: ignore[return-value]
         message, sender=sender, address=address, protocol=PROTOCOL
--- a/larklb/gateway/quota_exchange.py
+++ b/larklb/gateway/quota_exchange.py
@@ -18,22 +18,22 @@
 
 
 class QuotaExchange:
-    """Of one limiter; ``post`` sends a message to an address."""
+    """Of one limiter; ``send`` sends a message to an address."""
 
     def __init__(
-        self, quotas: Quotas, wheel: Wheel, post: Callable[[str, Message], object], count: Counter[str]
+        self, quotas: Quotas, wheel: Wheel, send: Callable[[str, Message], object], count: Counter[str]
     ) -> None:
-        self.quotas, self.wheel, self.post, self.count = quotas, wheel, post, count
+        self.quotas, self.wheel, self.send, self.count = quotas, wheel, send, count
         self.addresses: dict[int, str] = {}  # by ring number
         self.waiting: dict[int, tuple[asyncio.Future[Verdict], Timer]] = {}  # by the question's number
         self.noted_at = -1e18
 
-    def members(self, now: float, nodes: dict[int, str], addresses: Mapping[int, str], mine: int) -> None:
+    def set_members(self, now: float, nodes: dict[int, str], addresses: Mapping[int, str], mine: int) -> None:
         """Nodes and addresses by ring number; ``mine``: this limiter's, -1 where it has none yet."""
         self.addresses = dict(addresses)
         self.quotas.set_limiters(now, nodes, mine if mine >= 0 else None)
 
-    async def ask(self, tenant: Tenant) -> Verdict | None:
+    async def request_verdict(self, tenant: Tenant) -> Verdict | None:
         """Whether a request of a tenant may go on; None where nothing speaks against it."""
         now = self.wheel.now()
         asked = self.quotas.request(now, Allowance(tenant.name, tenant.rate_per_s, tenant.burst))
@@ -53,17 +53,17 @@
         for number, message in self.quotas.pending_messages(now):
             self._send(number, message)
 
-    def heard(self, now: float, message: QuotaMessage, sender: int) -> None:
+    def handle_message(self, now: float, message: QuotaMessage, sender: int) -> None:
         """A message of the limiter with the ring number ``sender``, -1 where that isn't known."""
         if message.message["k"] in QUESTIONS:
             if (answer := self.quotas.handle_request(now, sender, message.message)) is not None:
-                self.post(message.address, QuotaMessage(message=answer))
+                self.send(message.address, QuotaMessage(message=answer))
         elif (told := self.quotas.handle_reply(now, message.message)) is not None:
             self._decide(*told)
 
     def _send(self, number: int, message: dict[str, Any]) -> None:
         if (address := self.addresses.get(number)) is not None:
-            self.post(address, QuotaMessage(message=message))
+            self.send(address, QuotaMessage(message=message))
 
     def _give_up(self, number: int) -> None:
         self.count["quota.given_up"] += 1
--- a/larklb/gateway/settings.py
+++ b/larklb/gateway/settings.py
@@ -17,17 +17,17 @@
 class Bounds:
     """Figures of the rules that the program goes by, in ms unless the name says otherwise."""
 
-    contact: float = 3_000.0
-    ack: float = 5_000.0
-    drain: float = 2_500.0
-    grace: float = 6_000.0
-    apply: float = 2_500.0
+    contact_ms: float = 3_000.0
+    ack_ms: float = 5_000.0
+    drain_ms: float = 2_500.0
+    grace_ms: float = 6_000.0
+    apply_ms: float = 2_500.0
     retry_ratio: float = 0.2
-    retry_window: float = 10_000.0
+    retry_window_ms: float = 10_000.0
     retry_slack: float = 64.0
-    settling: float = 15_000.0
-    convergence: float = 4_000.0
-    quota_window: float = 5_000.0
+    settling_ms: float = 15_000.0
+    convergence_ms: float = 4_000.0
+    quota_window_ms: float = 5_000.0
     quota_overshoot: float = 0.1
     quota_slack: float = 20.0
 
@@ -42,7 +42,7 @@
     zone: str
     region: str
     bootstrap: bool
-    data: str  # folder of the disk; empty without one
+    data_dir: str  # folder of the disk; empty without one
     counted: bool
     memory_mb: float
     descriptors: int
@@ -53,7 +53,7 @@
     ports: tuple[int, int]
     seeds: tuple[Address, ...]
     zones: dict[str, str]
-    period: float  # ms between a server's beats
+    heartbeat_period_ms: float  # ms between a server's beats
     tolerance: int
     bounds: Bounds = field(factory=Bounds)
 
@@ -125,7 +125,7 @@
         zone=zone,
         region=own.get("region", str, zones.get(zone, "")),
         bootstrap=own.get("bootstrap", bool, False),
-        data=own.get("dataDir", str, ""),
+        data_dir=own.get("dataDir", str, ""),
         counted=own.get("counted", bool, False),
         memory_mb=limits.number("memoryMb", 300),
         descriptors=int(limits.number("descriptors", 1024)),
@@ -136,20 +136,20 @@
         ports=(ports[0], ports[1]),
         seeds=seeds,
         zones=zones,
-        period=max(50.0, substrate.number("reportPeriodMs", 1500)),
+        heartbeat_period_ms=max(50.0, substrate.number("reportPeriodMs", 1500)),
         tolerance=int(tolerance.number("machines", 1)),
         bounds=Bounds(
-            contact=bounds.number("contactMs", d.contact),
-            ack=bounds.number("ackMs", d.ack),
-            drain=bounds.number("drainMs", d.drain),
-            grace=bounds.number("graceS", 6) * 1000.0,
-            apply=bounds.number("applyMs", d.apply),
+            contact_ms=bounds.number("contactMs", d.contact_ms),
+            ack_ms=bounds.number("ackMs", d.ack_ms),
+            drain_ms=bounds.number("drainMs", d.drain_ms),
+            grace_ms=bounds.number("graceS", 6) * 1000.0,
+            apply_ms=bounds.number("applyMs", d.apply_ms),
             retry_ratio=bounds.number("retryRatio", d.retry_ratio),
-            retry_window=bounds.number("retryWindowS", 10) * 1000.0,
+            retry_window_ms=bounds.number("retryWindowS", 10) * 1000.0,
             retry_slack=bounds.number("retrySlack", d.retry_slack),
-            settling=bounds.number("settlingS", 15) * 1000.0,
-            convergence=bounds.number("convergenceS", 4) * 1000.0,
-            quota_window=bounds.number("quotaWindowS", 5) * 1000.0,
+            settling_ms=bounds.number("settlingS", 15) * 1000.0,
+            convergence_ms=bounds.number("convergenceS", 4) * 1000.0,
+            quota_window_ms=bounds.number("quotaWindowS", 5) * 1000.0,
             quota_overshoot=bounds.number("quotaOvershoot", d.quota_overshoot),
             quota_slack=bounds.number("quotaSlack", d.quota_slack),
         ),
--- a/larklb/gateway/status.py
+++ b/larklb/gateway/status.py
@@ -24,7 +24,7 @@
 Document = dict[str, Any]
 
 
-def hold(folder: str) -> None:
+def mark_in_use(folder: str) -> None:
     """Marks a disk's folder as in use until this process has ended, however it ends; nothing is written.
 
     GatewayError where a tool changes the folder, and goes on for longer than a look lasts. A file system that
@@ -53,15 +53,15 @@
 
 def _answerer(limiter: Limiter) -> Document:
     s, version = limiter.settings, limiter.version
-    known = [tuple(limiter.follower.offered_config)]
+    known = [tuple(limiter.subscriber.offered_config)]
     if limiter.core is not None:
         known.append(tuple(limiter.core.offer))
     return {
         "node": s.node,
         "ip": s.ip,
         "zone": s.zone,
-        "life": limiter.follower.local_member.incarnation,
-        "upMs": round(limiter.wheel.now() - limiter.born),
+        "life": limiter.subscriber.local_member.incarnation,
+        "upMs": round(limiter.wheel.now() - limiter.started_at),
         "version": version,
         "digest": next((digest for told, digest in known if version and told == version), ""),
         "ready": limiter.ready(),
@@ -94,7 +94,7 @@
                 "state": m.state,
                 "disk": m.disk,
             }
-            for m in limiter.follower.members.values()
+            for m in limiter.subscriber.members.values()
         ],
         query,
     )
@@ -102,7 +102,7 @@
 
 def _servers(limiter: Limiter, query: Mapping[str, str]) -> Document:
     now, rows = limiter.wheel.now(), []
-    for s in limiter.follower.servers.values():
+    for s in limiter.subscriber.servers.values():
         if query.get("service", s.target) != s.target:
             continue
         seen = limiter.choice.servers.get(s.id)
@@ -130,17 +130,17 @@
 
 
 def _core(limiter: Limiter, query: Mapping[str, str]) -> Document:
-    follower, core = limiter.follower, limiter.core
+    subscriber, core = limiter.subscriber, limiter.core
     told: Document = {
-        "home": follower.home,
-        "cores": sorted(follower.cores)[: calls.STATUS_ROWS],
+        "home": subscriber.home,
+        "cores": sorted(subscriber.cores)[: calls.STATUS_ROWS],
         "core": None,
     }
     if core is not None:
         replica = core.replica
         told["core"] = {
             "disk": core.disk,
-            "folder": core.settings.data,
+            "folder": core.settings.data_dir,
             "saving": limiter.disk is not None and limiter.disk.saving is not None,
             "founded": replica.founded,
             "leads": replica.is_leader,
--- a/larklb/gateway/transport.py
+++ b/larklb/gateway/transport.py
@@ -25,15 +25,15 @@
 IDLE_S = 8.0  # without a long message, until its connection ends
 MOST_LINKS = 128  # connections that are taken in
 
-Heard = Callable[[AnyMessage], object]
+MessageHandler = Callable[[AnyMessage], object]
 
 
 class _Datagrams(asyncio.DatagramProtocol):
-    def __init__(self, heard: Callable[[bytes], object]) -> None:
-        self.heard = heard
+    def __init__(self, on_line: Callable[[bytes], object]) -> None:
+        self.on_line = on_line
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        self.heard(data)
+        self.on_line(data)
 
     def error_received(self, exc: Exception) -> None:
         """A dead port answered: whoever is there will tell when it is back."""
@@ -42,8 +42,8 @@
 class Transport:
     """All messages of one limiter, to the others and from them."""
 
-    def __init__(self, node: str, ip: str, port: int, heard: Heard) -> None:
-        self.node, self.ip, self.port, self.heard = node, ip, port, heard
+    def __init__(self, node: str, ip: str, port: int, on_message: MessageHandler) -> None:
+        self.node, self.ip, self.port, self.on_message = node, ip, port, on_message
         self.transport: asyncio.DatagramTransport | None = None
         self.server: asyncio.Server | None = None
         self.waiting: dict[str, list[bytes]] = {}
@@ -63,9 +63,9 @@
         except OSError as error:
             raise AddressError(f"{self.ip}:{self.port}: {error}") from error
 
-    def post(self, ip: str, message: Message) -> None:
+    def send(self, ip: str, message: Message) -> None:
         """Sends a message to a limiter; nobody hears whether it came."""
-        message = messages.addressed(message, self.node, self.ip)
+        message = messages.with_sender(message, self.node, self.ip)
         if ip == self.ip:
             asyncio.get_running_loop().call_soon(self._hear, message)
             return
@@ -141,7 +141,7 @@
 
     def _hear(self, message: AnyMessage) -> None:
         try:
-            self.heard(message)
+            self.on_message(message)
         except (KeyError, TypeError, ValueError, IndexError, AttributeError) as error:
             self.counts["unreadable"] += 1
             log.warning("transport: a %s can't be used: %r.", type(message).__name__, error)
--- a/larklb/gateway/near_exchange.py
+++ b/larklb/gateway/zone_exchange.py
@@ -12,20 +12,20 @@
 
 IN_FLIGHT_MS = 25.0  # between two messages on what is in hand
 ESTIMATES_MS = 500.0  # between two on what was found of servers
-MOST_NEAR = 8  # limiters that are told: each is sent some tens of messages a second
+MAX_ZONE_PEERS = 8  # limiters that are told: each is sent some tens of messages a second
 
 
-class NearExchange:
-    """Of one limiter; ``post`` sends a message to an address."""
+class ZoneExchange:
+    """Of one limiter; ``send`` sends a message to an address."""
 
-    def __init__(self, choice: CapacityAwareSelector, post: Callable[[str, Message], object]) -> None:
-        self.choice, self.post = choice, post
+    def __init__(self, choice: CapacityAwareSelector, send: Callable[[str, Message], object]) -> None:
+        self.choice, self.send = choice, send
         self.addresses: Sequence[str] = ()
         self.estimates_at = -1e18
 
-    def peers(self, addresses: Sequence[str]) -> None:
+    def set_peers(self, addresses: Sequence[str]) -> None:
         """The other limiters of this zone."""
-        self.addresses = addresses if len(addresses) <= MOST_NEAR else ()
+        self.addresses = addresses if len(addresses) <= MAX_ZONE_PEERS else ()
         self.choice.exchange_enabled = bool(self.addresses)
 
     def tick(self, now: float) -> None:
@@ -40,9 +40,9 @@
 
     def _tell(self, message: Message) -> None:
         for address in self.addresses:
-            self.post(address, message)
+            self.send(address, message)
 
-    def heard(self, now: float, message: InFlightMessage | CapacityReport) -> None:
+    def handle_message(self, now: float, message: InFlightMessage | CapacityReport) -> None:
         """ValueError where it makes no sense."""
         hear = (
             self.choice.apply_in_flight
--- a/larklb/lab/control_breaks.py
+++ b/larklb/lab/control_breaks.py
@@ -17,7 +17,7 @@
 from larklb.consensus.messages import PreVote, VoteRequest
 from larklb.consensus.replica import Replica
 from larklb.gateway.core import Core
-from larklb.gateway.forwarding import Forwarding
+from larklb.gateway.forwarding import CallForwarder
 from larklb.gateway.messages import CallAnswer
 from larklb.registry.replica import RegistryReplica
 
@@ -74,14 +74,14 @@
 
 
 def _answers_by_number_alone() -> list[Change]:
-    def answered(self: Forwarding, answer: CallAnswer) -> bool:
+    def handle_answer(self: CallForwarder, answer: CallAnswer) -> bool:
         pending = self.pending.pop(answer.number, None)
         if pending is None:
             return False
         pending.done(answer)
         return True
 
-    return [(Forwarding, "answered", answered)]
+    return [(CallForwarder, "handle_answer", handle_answer)]
 
 
 def _sent_before_the_save() -> list[Change]:
@@ -145,7 +145,7 @@
 
 
 def _told_while_cut_off() -> list[Change]:
-    return [(Core, "may_tell", lambda self, now: self.replica.current is not None)]
+    return [(Core, "may_serve_configuration", lambda self, now: self.replica.current is not None)]
 
 
 def _never_fenced() -> list[Change]:
--- a/larklb/lab/control_callers.py
+++ b/larklb/lab/control_callers.py
@@ -14,7 +14,7 @@
 
 from attrs import define, evolve, field
 
-from larklb.gateway.control import OperatorOrder
+from larklb.gateway.control import OperatorRequest
 from larklb.gateway.control_plane import ControlPlane
 from larklb.gateway.messages import CallResult
 from larklb.lab.control_history import BrokenError, History, Order, Read
@@ -86,7 +86,7 @@
         order = Order(name, base, version, body_of(self.sent, version), self.world.now)
         self.history.orders[name] = order
         self._send(order, PAUSE_MS[0])
-        self.world.at(self.world.bounds.ack + 1.0, lambda: self._due(order))
+        self.world.at(self.world.bounds.ack_ms + 1.0, lambda: self._due(order))
         return order
 
     def _due(self, order: Order) -> None:
@@ -94,10 +94,10 @@
         now, bounds = self.world.now, self.world.bounds
         if self._settled(order) or now - order.begin > GIVE_UP_MS:
             return
-        settled_since = max(order.begin, self.world.core_troubled + bounds.contact, self.lost_until)
-        if self.lost == 0.0 and not self.world.loss and now - settled_since > bounds.ack:
+        settled_since = max(order.begin, self.world.core_troubled + bounds.contact_ms, self.lost_until)
+        if self.lost == 0.0 and not self.world.loss and now - settled_since > bounds.ack_ms:
             raise BrokenError(
-                f"{order.name} has no acknowledgement {bounds.ack:.0f} ms after the core settled"
+                f"{order.name} has no acknowledgement {bounds.ack_ms:.0f} ms after the core settled"
             )
         self.world.at(500.0, lambda: self._due(order))
 
@@ -111,7 +111,7 @@
             return
         others = [machine for machine in self.world.machines.values() if machine is not silent]
         machine = self.world.rng.choice(others)
-        call = OperatorOrder("replace", order.base, order.body)
+        call = OperatorRequest("replace", order.base, order.body)
 
         def answered(result: CallResult | None) -> None:
             if result is not None and result.status == 200:
@@ -151,7 +151,7 @@
             self.known = max(self.known, version)
             done(read)
 
-        call = OperatorOrder("read")
+        call = OperatorRequest("read")
         self.ask(lambda plane, told: plane.operator_call(self.world.now, call, told), answered, machine)
 
     def ask(
@@ -250,7 +250,7 @@
         server.acknowledged = True
         bounds, now = self.world.bounds, self.world.now
         if self._in_touch(machine):
-            self.world.at(bounds.drain, lambda: self._known(server, now))
+            self.world.at(bounds.drain_ms, lambda: self._known(server, now))
         if self.on_drained is not None and (core := self._core_of(machine)) is not None:
             server.ended = True  # or its next beat would tell another core machine
             lose, self.on_drained = self.on_drained, None
@@ -265,7 +265,7 @@
         return self.world.machines.get(home)
 
     def _in_touch(self, machine: Machine) -> bool:
-        calm = self.world.now - self.world.bounds.contact
+        calm = self.world.now - self.world.bounds.contact_ms
         if self.world.loss or self.world.core_troubled > calm:
             return False
         return machine.up and machine.well_since <= calm and self.world.is_well(machine)
@@ -278,7 +278,7 @@
         if self.world.loss or self.world.core_troubled > acknowledged:
             return
         self.drains += 1
-        calm = self.world.now - self.world.bounds.contact
+        calm = self.world.now - self.world.bounds.contact_ms
         for machine in self.world.machines.values():
             if machine.plane is None or machine.well_since > calm or not self.world.is_well(machine):
                 continue
--- a/larklb/lab/control_day.py
+++ b/larklb/lab/control_day.py
@@ -86,9 +86,9 @@
         world, bounds = self.world, self.world.bounds
         self.operators.quiet, self.operators.lost = True, 0.0
         world.heal()
-        world.run(bounds.contact)
+        world.run(bounds.contact_ms)
         last = self.operators.order(self.operators.known, self.operators.known + 1)
-        world.run(bounds.ack)
+        world.run(bounds.ack_ms)
         if last.acknowledged == math.inf and last.refused == math.inf:
             raise BrokenError("no order is acknowledged after the day")
         found: list[Read] = []
--- a/larklb/lab/control_day_faults.py
+++ b/larklb/lab/control_day_faults.py
@@ -7,7 +7,7 @@
 
 from attrs import define, field
 
-from larklb.gateway.control import OperatorOrder
+from larklb.gateway.control import OperatorRequest
 from larklb.gateway.messages import CallResult
 from larklb.lab.control_callers import Operators, Servers
 from larklb.lab.control_history import BrokenError
@@ -91,7 +91,7 @@
 
     def count_lost(self, machine: Machine, for_ms: float) -> None:
         """It counts as lost while its trouble lasts, and for ``convergenceS`` after it."""
-        self.lost[machine.node] = self.world.now + for_ms + self.world.bounds.convergence
+        self.lost[machine.node] = self.world.now + for_ms + self.world.bounds.convergence_ms
 
     def _room(self) -> int:
         self.lost = {node: until for node, until in self.lost.items() if until > self.world.now}
@@ -125,7 +125,7 @@
         self.world.cut_off(machine, self._others(machine), one_way)
         for delay in (200.0, 1_500.0, for_ms / 2):
             self.world.at(delay, lambda: self.operators.read(machine))
-        asked = self.world.bounds.contact + PROMPT_MS
+        asked = self.world.bounds.contact_ms + PROMPT_MS
         if not one_way and asked + PROMPT_MS < for_ms:
             life = machine.life
             self.world.at(asked, lambda: self._gives_up_at_once(machine, life))
@@ -133,13 +133,13 @@
 
     def _gives_up_at_once(self, machine: Machine, life: int) -> None:
         """A machine that has reached no other core machine for ``contactMs`` doesn't let callers wait."""
-        sent, calm = self.world.now, self.world.now - self.world.bounds.contact
+        sent, calm = self.world.now, self.world.now - self.world.bounds.contact_ms
         if machine.life != life or machine.disk_mode != "well" or machine.well_since > calm:
             return
         if not self.world.is_cut_off(machine) or self.operators.lost > 0.0:
             return
         answers: list[CallResult | None] = []
-        call = OperatorOrder("replace", self.operators.known, "{}")
+        call = OperatorRequest("replace", self.operators.known, "{}")
         self.operators.ask(
             lambda plane, done: plane.operator_call(self.world.now, call, done), answers.append, machine
         )
@@ -191,7 +191,7 @@
             return
         base = self.operators.known
         order = self.operators.order(base, base + 1)
-        call = OperatorOrder("replace", base, order.body)
+        call = OperatorRequest("replace", base, order.body)
 
         def answered(status: int) -> None:
             if status == 200:
@@ -378,7 +378,7 @@
         def lose(machine: Machine) -> None:
             if self._room() <= 0 or not machine.up or machine.node in self.lost:
                 return
-            for_ms = self.world.bounds.drain + self.world.rng.uniform(100, 1_000)
+            for_ms = self.world.bounds.drain_ms + self.world.rng.uniform(100, 1_000)
             self.count_lost(machine, for_ms)
             self.world.kill(machine, power=True)
             self.world.at(for_ms, lambda: self.world.restart(machine))
--- a/larklb/lab/control_world.py
+++ b/larklb/lab/control_world.py
@@ -39,8 +39,8 @@
 BOUNDS = (
     Bounds(),
     Bounds(),
-    Bounds(contact=1500.0, ack=3500.0, drain=2000.0, convergence=2500.0),
-    Bounds(contact=5000.0, ack=8000.0, drain=4000.0, convergence=8000.0),
+    Bounds(contact_ms=1500.0, ack_ms=3500.0, drain_ms=2000.0, convergence_ms=2500.0),
+    Bounds(contact_ms=5000.0, ack_ms=8000.0, drain_ms=4000.0, convergence_ms=8000.0),
 )
 SNAPSHOT_KIND = InstallSnapshot.__struct_config__.tag
 
@@ -166,11 +166,11 @@
             me,
             f"{machine.node}-{machine.life}-{self.rng.randrange(1 << 30)}",
             self.now,
-            post=lambda ip, message, life=machine.life: self._post(machine, life, ip, message),  # type: ignore[misc]
+            send=lambda ip, message, life=machine.life: self._post(machine, life, ip, message),  # type: ignore[misc]
             after=lambda delay, act, life=machine.life: self._timer(machine, life, delay, act),  # type: ignore[misc]
-            take=lambda document: self._take(machine, document),
-            version=lambda: machine.version,
-            changed=lambda: None,
+            apply_configuration=lambda document: self._take(machine, document),
+            current_version=lambda: machine.version,
+            on_change=lambda: None,
             rng=rng,
         )
         if machine.disk is not None:
@@ -181,7 +181,7 @@
                 stored,
                 self.now,
                 rng.randrange(1 << 30),
-                plane.post,
+                plane.send,
                 lambda ready: self._save(machine, machine.life, ready),
             )
         machine.plane = plane
@@ -196,7 +196,7 @@
             zone=machine.zone,
             region="r",
             bootstrap=self.bootstrap,
-            data="disk" if machine.disk is not None else "",
+            data_dir="disk" if machine.disk is not None else "",
             counted=machine.disk is not None,
             memory_mb=300,
             descriptors=1024,
@@ -207,7 +207,7 @@
             ports=(1, 2),
             seeds=tuple((seed, CONTROL_PORT) for seed in self.seeds),
             zones=dict.fromkeys(ZONES, "r"),
-            period=1500.0,
+            heartbeat_period_ms=1500.0,
             tolerance=self.tolerance,
             bounds=self.bounds,
         )
@@ -266,22 +266,22 @@
         ok = machine.disk_mode != "full"
         if ok:
             machine.disk.update(ready.save or {})
-        core.saved(self.now, ready, ok)
+        core.handle_save_result(self.now, ready, ok)
         if ok:
-            core.work(self.now)
+            core.process_ready(self.now)
         else:
             self.at(200.0, lambda: self._work_again(machine, core))
 
     def _work_again(self, machine: Machine, core: Core) -> None:
         if machine.core is core and machine.up:
-            core.work(self.now)
+            core.process_ready(self.now)
 
     # Messages -------------------------------------------------------------------------------
 
     def _post(self, machine: Machine, life: int, ip: str, message: Message) -> None:
         if machine.life != life:
             return
-        line = messages.encode(messages.addressed(message, machine.node, machine.node))
+        line = messages.encode(messages.with_sender(message, machine.node, machine.node))
         if isinstance(message, Configuration) and ip != machine.node:
             self.told(machine, int(message.document["version"]))
         if ip == machine.node:
@@ -308,7 +308,7 @@
         if machine.frozen:
             machine.buffered.append(lambda: self._deliver(sender, receiver, line))
             return
-        machine.plane.heard(self.now, messages.decode(line))  # type: ignore[arg-type]
+        machine.plane.handle_message(self.now, messages.decode(line))  # type: ignore[arg-type]
         self._watch(machine)
 
     def call(self, machine: Machine, act: Callable[[ControlPlane], object]) -> None:
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -16,8 +16,8 @@
     async def play() -> capacity.Fabric:
         fabric = capacity.Fabric(6, 30)
         limiters = list(fabric.of.values())
-        assert all(n.follower.complete and len(n.choice.servers) == 30 for n in limiters)
-        assert len(set(n.follower.local_member.ring_number for n in limiters)) == 6
+        assert all(n.subscriber.complete and len(n.choice.servers) == 30 for n in limiters)
+        assert len(set(n.subscriber.local_member.ring_number for n in limiters)) == 6
         fabric.meter.reset()
         name = next(iter(fabric.servers))
         fabric.drain(name)
--- a/tests/test_control_faults.py
+++ b/tests/test_control_faults.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from larklb.gateway.control import OperatorOrder
+from larklb.gateway.control import OperatorRequest
 from larklb.gateway.messages import CallResult
 from larklb.lab.control_breaks import BREAKS
 from larklb.lab.control_day import SCENARIOS, Day
@@ -136,7 +136,7 @@
     """Times follow from the terms: an order is acknowledged within ackMs of a core that settles sooner."""
     for seed in range(3):
         day = Day("mixed", seed, 3, 1, length=SHORT_MS)
-        day.world.settings_of(contact=contact, convergence=convergence, ack=contact + 2_000.0)
+        day.world.settings_of(contact_ms=contact, convergence_ms=convergence, ack_ms=contact + 2_000.0)
         day.play()
 
 
@@ -168,9 +168,9 @@
     world.run(6_000.0)
     machine = next(m for m in world.cores() if m.core is not None and not m.core.replica.is_leader)
     world.cut_off(machine, [other for other in world.machines.values() if other is not machine], one_way=True)
-    world.run(world.bounds.contact)
+    world.run(world.bounds.contact_ms)
     answers: list[CallResult] = []
-    world.call(machine, lambda plane: plane.operator_call(world.now, OperatorOrder("read"), answers.append))
+    world.call(machine, lambda plane: plane.operator_call(world.now, OperatorRequest("read"), answers.append))
     assert [answer.status for answer in answers] == [503]
 
 
--- a/tests/test_control_plane.py
+++ b/tests/test_control_plane.py
@@ -11,8 +11,8 @@
 import pytest
 
 from larklb.gateway import messages
-from larklb.gateway.forwarding import MOST_PENDING, Forwarding
-from larklb.gateway.main import HARD_STATE, _open
+from larklb.gateway.forwarding import MAX_PENDING_CALLS, CallForwarder
+from larklb.gateway.main import HARD_STATE, _load_disk
 from larklb.gateway.messages import PROTOCOL, CallAnswer, CallResult, Message, OperatorCall, Peek, ServerCall
 from larklb.gateway.transport import Transport
 from larklb.membership.members import GRANTS_PER_EPOCH, Member, Members
@@ -40,14 +40,14 @@
         pass
 
 
-def forwarding(session: str, sent: list[tuple[str, Message]], timers: Timers) -> Forwarding:
-    return Forwarding(session, lambda ip, message: sent.append((ip, message)), timers.after)
+def forwarding(session: str, sent: list[tuple[str, Message]], timers: Timers) -> CallForwarder:
+    return CallForwarder(session, lambda ip, message: sent.append((ip, message)), timers.after)
 
 
 def answer_of(ip: str, call: Message, status: int) -> CallAnswer:
     """The answer as it comes from a machine."""
     assert isinstance(call, ServerCall | OperatorCall)
-    answer = messages.addressed(CallResult(status).answer_to(call), "node", ip)
+    answer = messages.with_sender(CallResult(status).answer_to(call), "node", ip)
     assert isinstance(answer, CallAnswer)
     return answer
 
@@ -56,26 +56,26 @@
     """Not another machine's with the same number, nor one to the process before."""
     before, now = list[tuple[str, Message]](), list[tuple[str, Message]]()
     answers: list[CallAnswer | None] = []
-    forwarding("old", before, Timers()).ask("10.0.0.1", ServerCall(id="s", row=None), lambda answer: None)
+    forwarding("old", before, Timers()).forward("10.0.0.1", ServerCall(id="s", row=None), lambda answer: None)
     calls = forwarding("new", now, Timers())
-    calls.ask("10.0.0.2", OperatorCall(kind="read", base=0, body="", hops=1), answers.append)
+    calls.forward("10.0.0.2", OperatorCall(kind="read", base=0, body="", hops=1), answers.append)
     to_old, to_new = answer_of("10.0.0.2", before[0][1], 200), answer_of("10.0.0.2", now[0][1], 503)
     assert to_old.number == to_new.number, "numbers begin anew in each process"
-    assert not calls.answered(to_old) and not calls.answered(answer_of("10.0.0.1", now[0][1], 503))
+    assert not calls.handle_answer(to_old) and not calls.handle_answer(answer_of("10.0.0.1", now[0][1], 503))
     assert not answers
-    assert calls.answered(to_new) and [a and a.result.status for a in answers] == [503]
-    assert not calls.answered(to_new) and len(answers) == 1, "once"
+    assert calls.handle_answer(to_new) and [a and a.result.status for a in answers] == [503]
+    assert not calls.handle_answer(to_new) and len(answers) == 1, "once"
 
 
 def test_calls_without_an_answer_end_and_are_bounded() -> None:
     timers, answers = Timers(), list[CallAnswer | None]()
     calls = forwarding("s", [], timers)
-    for _ in range(MOST_PENDING + 1):
-        calls.ask("10.0.0.1", ServerCall(id="s", row=None), answers.append)
-    assert answers == [None] and len(calls.pending) == MOST_PENDING
+    for _ in range(MAX_PENDING_CALLS + 1):
+        calls.forward("10.0.0.1", ServerCall(id="s", row=None), answers.append)
+    assert answers == [None] and len(calls.pending) == MAX_PENDING_CALLS
     for act in timers.due:
         act()
-    assert answers == [None] * (MOST_PENDING + 1) and not calls.pending
+    assert answers == [None] * (MAX_PENDING_CALLS + 1) and not calls.pending
 
 
 def test_words_of_another_protocol_are_not_understood(caplog: pytest.LogCaptureFixture) -> None:
@@ -101,7 +101,7 @@
 def test_a_message_is_decoded_as_it_was_encoded() -> None:
     call = OperatorCall(number=7, session="s", kind="replace", base=3, body='{"x": 1}', hops=2)
     for message in (call, CallResult(200, document={"version": 4}).answer_to(call), Peek(), NotReady()):
-        sent = messages.addressed(message, "node", "10.0.0.1")
+        sent = messages.with_sender(message, "node", "10.0.0.1")
         assert messages.decode(messages.encode(sent)) == sent
 
 
@@ -178,11 +178,11 @@
     store = Store(folder)
     first = store.identity()
     store.save({HARD_STATE: b"{}", "log": b"{}"})
-    stored, disk = _open(Store(folder), str(folder))
+    stored, disk = _load_disk(Store(folder), str(folder))
     assert disk == first and stored is not None
     for path in folder.glob(f"{HARD_STATE}-*"):
         path.unlink()
-    stored, disk = _open(Store(folder), str(folder))
+    stored, disk = _load_disk(Store(folder), str(folder))
     assert disk != first and stored is None
     assert Store(folder).identity() == disk, "it keeps that one"
 
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -224,7 +224,7 @@
     # Messages -----------------------------------------------------------------------------
 
     def send(self, node: Node, ip: str, message: Message) -> None:
-        encoded = messages.encode(messages.addressed(message, node.name, node.ip))
+        encoded = messages.encode(messages.with_sender(message, node.name, node.ip))
         kind = str(message.__struct_config__.tag)
         if ip == node.ip:
             self._deliver(node, ip, encoded, 0.0)
--- a/tests/test_settings_system.py
+++ b/tests/test_settings_system.py
@@ -49,12 +49,12 @@
 def test_what_is_read(tmp_path: Path) -> None:
     found = read(_file(tmp_path, WHOLE))
     assert (found.node, found.ip, found.zone, found.region) == ("n1", "127.0.0.5", "near", "here")
-    assert (found.bootstrap, found.data, found.cores, found.descriptors) == (True, "/var/data", 1.0, 3000)
+    assert (found.bootstrap, found.data_dir, found.cores, found.descriptors) == (True, "/var/data", 1.0, 3000)
     assert (found.edge, found.readiness, found.port) == (("127.0.0.5", 8000), None, 7000)
     assert found.seeds == (("127.0.0.6", 8080), ("127.0.0.7", 8080))
-    assert (found.period, found.tolerance, found.bounds.drain) == (1000.0, 2, 1500.0)
-    assert (found.bounds.grace, found.bounds.retry_window) == (4000.0, 5000.0)      # told in seconds
-    assert (found.bounds.contact, found.bounds.retry_slack) == (3000.0, 64.0)       # not told
+    assert (found.heartbeat_period_ms, found.tolerance, found.bounds.drain_ms) == (1000.0, 2, 1500.0)
+    assert (found.bounds.grace_ms, found.bounds.retry_window_ms) == (4000.0, 5000.0)      # told in seconds
+    assert (found.bounds.contact_ms, found.bounds.retry_slack) == (3000.0, 64.0)       # not told
 
 
 @pytest.mark.parametrize(("old", "new", "field"), [
--- a/tests/test_system_cli.py
+++ b/tests/test_system_cli.py
@@ -335,14 +335,14 @@
 
     async def answers() -> dict[str, Any]:
         limiter = Limiter(told.read(file))
-        limiter._take(CONFIGURATION)
-        me = limiter.follower.local_member
+        limiter._apply_configuration(CONFIGURATION)
+        me = limiter.subscriber.local_member
         for i in range(calls.STATUS_ROWS + 2):
             node = f"limiter-{i}"
-            limiter.follower.members[node] = evolve(me, node=node, ring_number=i) if i else Member(
+            limiter.subscriber.members[node] = evolve(me, node=node, ring_number=i) if i else Member(
                 me.node, me.ip, me.zone, me.incarnation, me.disk, ring_number=0)
-        limiter.follower.servers = {f"s{i}": Server(f"s{i}", f"t{i % 2}", "h:1", "z", 2) for i in range(4)}
-        limiter._changed()
+        limiter.subscriber.servers = {f"s{i}": Server(f"s{i}", f"t{i % 2}", "h:1", "z", 2) for i in range(4)}
+        limiter._on_members_changed()
         for tenant in ("yard", "skiff"):
             limiter.quotas.request(limiter.wheel.now(), Allowance(tenant, 5.0, 5.0))
         found = {}
@@ -389,7 +389,7 @@
 
     async def refused() -> list[Any]:
         limiter = Limiter(evolve(told.read(file), tolerance=0))
-        core, me, found = limiter.core, limiter.follower.local_member, []
+        core, me, found = limiter.core, limiter.subscriber.local_member, []
         assert core is not None
         now = limiter.wheel.now()
         core.replica.propose_founding(now, {core.disk: me.node})
@@ -415,7 +415,7 @@
     assert [line.split(":")[0] for line in found[5]] == ["address"], "the first of an item"
     call = OperatorCall(number=1, session="s", kind="replace", base=0, body="", hops=1)
     answer = CallResult(400, "a; b", problems=("a; b", "c")).answer_to(call)
-    passed_on = messages.decode(messages.encode(messages.addressed(answer, "n", "10.0.0.1")))
+    passed_on = messages.decode(messages.encode(messages.with_sender(answer, "n", "10.0.0.1")))
     assert isinstance(passed_on, CallAnswer)
     assert passed_on.result == CallResult(400, "a; b", problems=("a; b", "c"))
 
@@ -427,7 +427,7 @@
         await culvert.stop()
         await asyncio.sleep(0)             # the transport is closed in the loop's next turn
         late = CallAnswer(number=1, session="s", result=CallResult(200))     # to a call that was passed on
-        culvert.post("127.0.0.2", late)
+        culvert.send("127.0.0.2", late)
         return culvert.counts["sent"]
 
     assert asyncio.run(posted()) == 1
@@ -524,7 +524,7 @@
                                       monkeypatch: pytest.MonkeyPatch) -> None:
     store = grown(tmp_path / "disk", 2)
     earlier = min(g.number for g in store.dump() if g.key == "log")
-    status.hold(str(store.folder))
+    status.mark_in_use(str(store.folder))
     assert system.main(["disk", "restore", str(store.folder), str(earlier), "--yes"]) == 2
     assert "a limiter runs on it: stop that process first" in capsys.readouterr().err
     assert system.main(["disk", "check", str(store.folder)]) == 0, "a look is harmless"
