--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -193,7 +193,7 @@
 
     def turn(self) -> None:
         """The first turn; the others follow by the wheel."""
-        self._turn()
+        self._tick()
 
 
 def decoded(line: bytes, kind: type[_MESSAGE]) -> _MESSAGE:
@@ -271,7 +271,7 @@
 
     def turn(self, hollow: Hollow) -> None:
         """The first turn of a limiter; the wheel's later ones come through ``metered`` as well."""
-        real = hollow._turn
+        real = hollow._tick
 
         def metered() -> None:
             began = time.process_time()
@@ -279,7 +279,7 @@
             role = "core turn" if hollow.core is not None else "limiter"
             self.meter.spent[role, "turn"].append(time.process_time() - began)
 
-        hollow._turn = metered                         # type: ignore[method-assign]
+        hollow._tick = metered                         # type: ignore[method-assign]
         hollow.turn()
 
     def carry(self, ip: str, kind: str, line: bytes) -> None:
--- a/larklb/gateway/main.py
+++ b/larklb/gateway/main.py
@@ -1,4 +1,4 @@
-"""One limiter: what listens, what is folded, who is told."""
+"""The process of one limiter: it connects the control plane, the data plane, the listeners and the disk."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 from larklb.balancing.load import InFlight
 from larklb.consensus.errors import ConsensusError
 from larklb.gateway import options, status
-from larklb.gateway import settings as told
+from larklb.gateway import settings as settings_module
 from larklb.gateway.control import ControlApi, OperatorRequest
 from larklb.gateway.control_plane import ControlPlane
 from larklb.gateway.core import Core
@@ -57,55 +57,82 @@
 
 log = logging.getLogger("gateway")
 
-TICK_MS = 4.0  # of the wheel
-CORE_TURN_MS = 50.0  # between two turns of a core machine's duties ...
-TURN_MS = 100.0  # ... and of another limiter's
-SLOW_TURN_MS = 1_000.0  # between looks at the settings file, and at what has aged
-SESSION_BYTES = 8  # random, of each process: answers to it are told from those to the one before
-HARD_STATE = "ballot"  # the disk's key of term and vote
-RESERVED = 200  # descriptors that are not for sockets
-FRONT_PART, SERVER_PART, CONTROL_PART = 0.45, 0.3, 0.1
-SETTLED_MS = 8_000.0  # a first start is over so long after it
-YOUNG_MS = 2_500.0  # after a restart, in which all limiters together ...
-YOUNG_SLOTS = 10  # ... may have so many requests in hand at one server
-PATIENCE_MS = 5_000.0  # without any server known, until a limiter calls itself ready all the same
-UNREADY_MS = 2_300.0  # the platform needs so long to see that a limiter is not ready
-LAST_MS = 600.0  # of the grace, in which the process ends whatever is still in work ...
-LAST_PART = 0.12  # ... but no more than this part: what is cut off before the last sixth is held to be lost
-ANSWERS_MS = 100.0  # for the answers to what was ended so to leave
-LATE_TURNS_MS = (25, 100, 500)  # turns that come later than this after their time are counted
+# Resolution of the timer wheel.
+WHEEL_TICK_MS = 4.0
+# Time between two runs of the periodic work, on core machines and on other limiters.
+CORE_TICK_INTERVAL_MS = 50.0
+TICK_INTERVAL_MS = 100.0
+# Time between checks of the settings file, and between runs of the work that expires old entries.
+SLOW_TICK_INTERVAL_MS = 1_000.0
+# Length of the random session id of a process, by which answers to it are told from those to its predecessor.
+SESSION_BYTES = 8
+# The disk's key of the term and vote.
+HARD_STATE = "ballot"
+# File descriptors that are not available for sockets.
+RESERVED_DESCRIPTORS = 200
+# How the other descriptors are divided among connections of clients, to servers, and of the control API.
+CLIENT_SOCKET_SHARE, SERVER_SOCKET_SHARE, CONTROL_SOCKET_SHARE = 0.45, 0.3, 0.1
+# A first start is considered complete after this time.
+FIRST_START_MS = 8_000.0
+# For this long after a restart, all limiters together may have RESTART_MAX_IN_FLIGHT requests in flight at
+# one server.
+RESTART_RAMP_MS = 2_500.0
+RESTART_MAX_IN_FLIGHT = 10
+# A limiter that knows no server reports itself ready after this time all the same.
+READY_WITHOUT_SERVERS_MS = 5_000.0
+# Time until the platform has noticed that a limiter is not ready.
+READINESS_DETECTION_MS = 2_300.0
+# This time at the end of the grace period is reserved for ending the requests still in progress, but at most
+# this fraction of the grace period: requests that are cut off before its last sixth count as lost.
+SHUTDOWN_RESERVE_MS = 600.0
+SHUTDOWN_RESERVE_FRACTION = 0.12
+# Time for the answers to the requests ended in that way to be sent.
+SHUTDOWN_FLUSH_MS = 100.0
+# A tick that runs later than one of these bounds after its time is counted under that bound.
+LATE_TICK_BOUNDS_MS = (25, 100, 500)
 METRICS_CONNECTIONS = 4
 METRICS_PATH = b"/metrics"
 DEFAULT_OPTIONS = Options()
-CONNECTIONS_PART = 0.8  # of a server's connections may be in use by all limiters together
+# Fraction of a server's connections that all limiters together may use.
+USABLE_CONNECTIONS_FRACTION = 0.8
 
 
 class Limiter:
-    """One process."""
+    """One limiter from the start of its process to its end.
 
-    def __init__(self, settings: told.Settings, chosen: Options = DEFAULT_OPTIONS) -> None:
-        self.settings, self.options = settings, chosen
-        self.wheel = Wheel(TICK_MS)
+    Raises ``StorageError``, ``ConsensusError`` or ``GatewayError`` if the disk can't be used."""
+
+    def __init__(
+        self, settings: settings_module.Settings, startup_options: Options = DEFAULT_OPTIONS
+    ) -> None:
+        self.settings, self.options = settings, startup_options
+        self.wheel = Wheel(WHEEL_TICK_MS)
         self.random = random.Random(os.urandom(8))
         now = self.wheel.now()
         self.started_at = now
         self.count: Counter[str] = Counter()
         self.transport = Transport(settings.node, settings.ip, settings.port, self.handle_message)
-        me = Member(settings.node, settings.ip, settings.zone, int(time.time() * 1000.0))
+        local_member = Member(settings.node, settings.ip, settings.zone, int(time.time() * 1000.0))
         self.disk: DiskWriter | None = None
         core = None
         if settings.data_dir and settings.control is not None:
             store = Store(Path(settings.data_dir))
             stored, disk = _load_disk(store, settings.data_dir)
-            me = evolve(me, disk=disk)
+            local_member = evolve(local_member, disk=disk)
             self.disk = DiskWriter(store, self.wheel)
             core = Core(
-                settings, me, stored, now, self.random.randrange(1 << 30), self.transport.send, self.disk.save
+                settings,
+                local_member,
+                stored,
+                now,
+                self.random.randrange(1 << 30),
+                self.transport.send,
+                self.disk.save,
             )
             self.disk.core = core
         self.plane = ControlPlane(
             settings,
-            me,
+            local_member,
             os.urandom(SESSION_BYTES).hex(),
             now,
             send=self.transport.send,
@@ -120,17 +147,17 @@
             settings.zone,
             settings.zones,
             self.random.randrange(1 << 30),
-            in_flight_limit=self._limit,
-            estimates=Estimates(incarnation=me.incarnation),
-            in_flight=InFlight(incarnation=me.incarnation),
+            in_flight_limit=self._in_flight_limit,
+            estimates=Estimates(incarnation=local_member.incarnation),
+            in_flight=InFlight(incarnation=local_member.incarnation),
         )
-        first = settings.bootstrap
+        first_start = settings.bootstrap
         bounds = settings.bounds
         quotas = Quotas(
             settings.node,
             now,
             self.random.randrange(1 << 30),
-            first_start=first,
+            first_start=first_start,
             bound=OvershootBound(bounds.quota_window_ms / 1000.0, bounds.quota_overshoot, bounds.quota_slack),
         )
         self.quota_exchange = QuotaExchange(quotas, self.wheel, self.transport.send, self.count)
@@ -139,13 +166,13 @@
             bounds.retry_ratio,
             bounds.retry_window_ms,
             bounds.retry_slack,
-            self._limiters,
+            self._limiter_count,
             now,
-            first_start=first,
+            first_start=first_start,
             node=settings.node,
         )
-        sockets = max(64, settings.descriptors - RESERVED)
-        self.servers = Servers(self.wheel, self.choice, int(sockets * SERVER_PART), self.count)
+        sockets = max(64, settings.descriptors - RESERVED_DESCRIPTORS)
+        self.servers = Servers(self.wheel, self.choice, int(sockets * SERVER_SOCKET_SHARE), self.count)
         self.front = Front(
             self.wheel,
             self.servers,
@@ -154,57 +181,63 @@
             self.quota_exchange.request_verdict,
             self.random,
             self.count,
-            stay=chosen.caller_affinity,
+            stay=startup_options.caller_affinity,
         )
         control = ControlApi(self._server_call, self._operator_call, partial(status.document, self))
-        self.edge = Listener(self.wheel, self.front.answer, int(sockets * FRONT_PART))
-        self.control = Listener(self.wheel, control.answer, int(sockets * CONTROL_PART))
-        self.readiness = Listener(self.wheel, self._ready, 16)
-        self.metrics = Listener(self.wheel, self._metrics, METRICS_CONNECTIONS)
+        self.edge = Listener(self.wheel, self.front.answer, int(sockets * CLIENT_SOCKET_SHARE))
+        self.control = Listener(self.wheel, control.answer, int(sockets * CONTROL_SOCKET_SHARE))
+        self.readiness = Listener(self.wheel, self._serve_readiness, 16)
+        self.metrics = Listener(self.wheel, self._serve_metrics, METRICS_CONNECTIONS)
         self.saturation: dict[str, int] = {}
-        self.slow_at = -1e18
-        self.turn_due = now
+        self.last_slow_tick = -1e18
+        self.next_tick_at = now
         self.leaving = asyncio.Event()
-        self.stamp = self._stamp()
+        self.settings_stamp = self._read_settings_stamp()
 
     @property
     def core(self) -> Core | None:
-        """A core machine's part of the control plane."""
+        """The replicas of a core machine, None on other limiters."""
         return self.plane.core
 
     @property
     def subscriber(self) -> Subscriber:
-        """What is known here of other limiters and of servers."""
+        """The local view of the other limiters and of the servers."""
         return self.plane.subscriber
 
     @property
     def quotas(self) -> Quotas:
-        """What is decided of tenants' quotas here."""
+        """The quota decisions of this limiter."""
         return self.quota_exchange.quotas
 
     async def run(self) -> None:
-        """From the first message to an orderly end."""
-        s, loop = self.settings, asyncio.get_running_loop()
+        """Starts the listeners and serves until a signal to terminate, then shuts down gracefully.
+
+        Raises ``AddressError`` if an address can't be listened on."""
+        settings, loop = self.settings, asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, self.leaving.set)
         loop.add_signal_handler(signal.SIGINT, self.leaving.set)
-        loop.add_signal_handler(signal.SIGHUP, self._settings_changed)
+        loop.add_signal_handler(signal.SIGHUP, self._reload_settings)
         await self.transport.start()
-        for door, address in ((self.readiness, s.readiness), (self.control, s.control), (self.edge, s.edge)):
+        for listener, address in (
+            (self.readiness, settings.readiness),
+            (self.control, settings.control),
+            (self.edge, settings.edge),
+        ):
             if address is not None:
-                await door.start(*address)
+                await listener.start(*address)
         await self._start_metrics()
-        log.info("gateway: %s listens.", s.node)
-        self._turn()
+        log.info("gateway: %s is listening.", settings.node)
+        self._tick()
         self._tick_zone_exchange()
         await self.leaving.wait()
-        await self._leave()
+        await self._shut_down()
 
     async def _start_metrics(self) -> None:
         if not self.options.metrics_port:
             return
         try:
             await self.metrics.start(self.settings.ip, self.options.metrics_port)
-        except AddressError as error:  # requests don't depend on it
+        except AddressError as error:  # requests don't depend on metrics
             log.warning("gateway: no metrics: %s.", error)
 
     def _tick_zone_exchange(self) -> None:
@@ -212,52 +245,54 @@
         if self.front.now is not None:
             self.zone_exchange.tick(self.wheel.now())
 
-    # Turns --------------------------------------------------------------------------------
+    # Periodic work --------------------------------------------------------------------------------
 
-    def _turn(self) -> None:
-        """What is done regularly; one turn that fails must not be the last."""
-        now, period = self.wheel.now(), CORE_TURN_MS if self.core is not None else TURN_MS
-        self._count_late(now)
-        self.turn_due = now + period
-        self.wheel.after(period, self._turn)
+    def _tick(self) -> None:
+        """Does the periodic work. The next tick is scheduled first, so that a failing one isn't the last."""
+        now, period = self.wheel.now(), CORE_TICK_INTERVAL_MS if self.core is not None else TICK_INTERVAL_MS
+        self._count_late_tick(now)
+        self.next_tick_at = now + period
+        self.wheel.after(period, self._tick)
         self.plane.tick(now)
         self.quota_exchange.tick(now)
-        if now - self.slow_at >= SLOW_TURN_MS:
-            self.slow_at = now
+        if now - self.last_slow_tick >= SLOW_TICK_INTERVAL_MS:
+            self.last_slow_tick = now
             self.quotas.expire(now)
-            self._assign(now)
-            if self._stamp() != self.stamp:
-                self._settings_changed()
-
-    def _count_late(self, now: float) -> None:
-        """How long the event loop was held up; what waits in the sockets meanwhile is seen as late."""
-        for bound in LATE_TURNS_MS:
-            if now - self.turn_due > bound:
+            self._assign_callers(now)
+            if self._read_settings_stamp() != self.settings_stamp:
+                self._reload_settings()
+
+    def _count_late_tick(self, now: float) -> None:
+        """Counts delays of the event loop, during which data that has arrived on sockets is not read."""
+        for bound in LATE_TICK_BOUNDS_MS:
+            if now - self.next_tick_at > bound:
                 self.count[f"turn.late.{bound}ms"] += 1
 
-    def _stamp(self) -> tuple[float, int]:
+    def _read_settings_stamp(self) -> tuple[float, int]:
         try:
             stat = os.stat(self.settings.path)
         except OSError:
             return 0.0, 0
         return stat.st_mtime, stat.st_size
 
-    def _settings_changed(self) -> None:
-        """The settings file is read anew; one that can't be used changes nothing."""
-        self.stamp = self._stamp()
+    def _reload_settings(self) -> None:
+        """Reads the settings file again and takes over its seeds; a file with errors changes nothing."""
+        self.settings_stamp = self._read_settings_stamp()
         try:
-            fresh = told.read(self.settings.path)
+            fresh = settings_module.read(self.settings.path)
         except SettingsError as error:
             log.error("gateway: %s.", error)
             return
         self.subscriber.seeds = [host for host, _ in fresh.seeds]
         self.settings = evolve(self.settings, seeds=fresh.seeds)
-        log.info("gateway: settings read anew.")
+        log.info("gateway: settings reloaded.")
 
-    # Messages of other limiters -----------------------------------------------------------
+    # Messages from other limiters -----------------------------------------------------------
 
     def handle_message(self, message: AnyMessage) -> None:
-        """KeyError, TypeError or ValueError where it can't be used."""
+        """Handles a message of another limiter.
+
+        Raises ``KeyError``, ``TypeError`` or ``ValueError`` if its contents are invalid."""
         now = self.wheel.now()
         match message:
             case QuotaMessage():
@@ -274,17 +309,17 @@
 
     @property
     def version(self) -> int:
-        """Of the configuration in force here."""
+        """Version of the configuration in force on this limiter, 0 for none."""
         return self.front.now.version if self.front.now is not None else 0
 
     def _apply_configuration(self, document: dict[str, Any]) -> None:
-        """A committed configuration; an older one than that in force is never gone back to."""
+        """Puts a committed configuration in force, unless it is not newer than the present one."""
         if int(document["version"]) <= self.version:
             return
         try:
             checked = schema.check(document, self.version)
         except SchemaError as error:
-            log.error("gateway: a configuration can't be used: %s.", error)
+            log.error("gateway: a configuration is invalid: %s.", error)
             return
         self.front.now = in_force(checked)
         limits = checked.limits
@@ -293,150 +328,168 @@
         self.quotas.set_allowances(
             self.wheel.now(),
             checked.version,
-            {t.name: Allowance(t.name, t.rate_per_s, t.burst) for t in checked.tenants or ()},
+            {
+                tenant.name: Allowance(tenant.name, tenant.rate_per_s, tenant.burst)
+                for tenant in checked.tenants or ()
+            },
         )
         log.info("gateway: version %d is in force.", checked.version)
 
     # Limiters and servers -----------------------------------------------------------------
 
     def _on_members_changed(self) -> None:
-        """Members or servers are others now."""
+        """Updates the quotas, the exchange within the zone and the server selection after members or servers
+        have changed."""
         now = self.wheel.now()
-        me = self.subscriber.local_member
+        local_member = self.subscriber.local_member
         members = self.subscriber.members.values()
         numbers = self.subscriber.nodes_by_ring_number()
-        addresses = {n: self.subscriber.members[node].ip for n, node in numbers.items()}
-        self.quota_exchange.set_members(now, numbers, addresses, me.ring_number)
+        addresses = {number: self.subscriber.members[node].ip for number, node in numbers.items()}
+        self.quota_exchange.set_members(now, numbers, addresses, local_member.ring_number)
         self.zone_exchange.set_peers(
-            [m.ip for m in members if m.zone == me.zone and m.state == UP and m.node != me.node]
+            [
+                m.ip
+                for m in members
+                if m.zone == local_member.zone and m.state == UP and m.node != local_member.node
+            ]
         )
-        self.choice.set_limiters(me.node, [(m.node, m.zone) for m in members])
+        self.choice.set_limiters(local_member.node, [(m.node, m.zone) for m in members])
         self.choice.update(
             ServerState(
-                s.id,
-                s.target,
-                s.address,
-                s.zone,
-                s.slots,
-                cold_until=now + s.warmup_left_ms if s.warmup_left_ms else -1e18,
-                draining=s.state != registry.STEADY,
-                silent=s.silent,
+                server.id,
+                server.target,
+                server.address,
+                server.zone,
+                server.slots,
+                cold_until=now + server.warmup_left_ms if server.warmup_left_ms else -1e18,
+                draining=server.state != registry.STEADY,
+                silent=server.silent,
             )
-            for s in self.subscriber.servers.values()
-            if s.state != registry.GONE
+            for server in self.subscriber.servers.values()
+            if server.state != registry.GONE
         )
-        self._assign(now)
+        self._assign_callers(now)
 
-    def _assign(self, now: float) -> None:
+    def _assign_callers(self, now: float) -> None:
         if self.front.stay or self.front.now is not None and self.front.now.stay:
-            self.choice.assign(now, self._limiters())
+            self.choice.assign(now, self._limiter_count())
 
-    def _limiters(self) -> int:
+    def _limiter_count(self) -> int:
         return max(1, len(self.subscriber.members))
 
-    def _limit(self, target: str) -> int:
-        limiters = self._limiters()
-        most = max(2, int(self.saturation.get(target, 1 << 20) * CONNECTIONS_PART / limiters))
-        if not self.settings.bootstrap and self.wheel.now() - self.started_at < YOUNG_MS:
-            # All may have restarted together and know few servers yet: these must not get everything.
-            most = min(most, max(1, round(YOUNG_SLOTS / limiters)))
-        return most
+    def _in_flight_limit(self, target: str) -> int:
+        limiters = self._limiter_count()
+        limit = max(2, int(self.saturation.get(target, 1 << 20) * USABLE_CONNECTIONS_FRACTION / limiters))
+        if not self.settings.bootstrap and self.wheel.now() - self.started_at < RESTART_RAMP_MS:
+            # All limiters may have restarted together and may know only a few servers, which must not get
+            # all requests.
+            limit = min(limit, max(1, round(RESTART_MAX_IN_FLIGHT / limiters)))
+        return limit
 
     async def _server_call(self, call: Server | str) -> CallResult:
-        """A server's beat, or the id of one that leaves."""
-        return await self._settled(partial(self.plane.server_call, self.wheel.now(), call))
+        """Settles a server's heartbeat, or the sign-off of the server with this id."""
+        return await self._await_result(partial(self.plane.server_call, self.wheel.now(), call))
 
-    async def _operator_call(self, order: OperatorRequest) -> CallResult:
-        """An operator's call."""
-        return await self._settled(partial(self.plane.operator_call, self.wheel.now(), order))
+    async def _operator_call(self, request: OperatorRequest) -> CallResult:
+        """Settles an operator's call."""
+        return await self._await_result(partial(self.plane.operator_call, self.wheel.now(), request))
 
     @staticmethod
-    async def _settled(ask: Callable[[Callable[[CallResult], object]], object]) -> CallResult:
-        answered: asyncio.Future[CallResult] = asyncio.get_running_loop().create_future()
+    async def _await_result(start_call: Callable[[Callable[[CallResult], object]], object]) -> CallResult:
+        future: asyncio.Future[CallResult] = asyncio.get_running_loop().create_future()
 
         def done(result: CallResult) -> None:
-            if not answered.done():
-                answered.set_result(result)
+            if not future.done():
+                future.set_result(result)
 
-        ask(done)
-        return await answered
+        start_call(done)
+        return await future
 
-    # Readiness and the end ----------------------------------------------------------------
+    # Readiness, metrics and shutdown ----------------------------------------------------------------
 
     def ready(self) -> bool:
-        """Whether clients are to come here."""
-        known = self.subscriber.ever_complete and (
-            bool(self.choice.servers) or self.wheel.now() - self.started_at > PATIENCE_MS
+        """Whether the platform should send clients to this limiter."""
+        synchronized = self.subscriber.ever_complete and (
+            bool(self.choice.servers) or self.wheel.now() - self.started_at > READY_WITHOUT_SERVERS_MS
         )
-        return self.front.now is not None and known and not self.leaving.is_set()
+        return self.front.now is not None and synchronized and not self.leaving.is_set()
 
-    async def _ready(self, head: Any, body: bytes, link: Any) -> Reply:
+    async def _serve_readiness(self, head: Any, body: bytes, link: Any) -> Reply:
         if head.target.partition(b"?")[0] != b"/larklb/readiness":
             return Reply(404)
         return Reply(200 if self.ready() else 503)
 
-    async def _metrics(self, head: h11.Request, body: bytes, link: Link) -> Reply:
+    async def _serve_metrics(self, head: h11.Request, body: bytes, link: Link) -> Reply:
         if head.target.partition(b"?")[0] != METRICS_PATH:
             return Reply(404)
         if head.method != b"GET":
             return Reply(405)
-        # The library takes longer to import than a request may wait: the first scrape does so in a thread.
+        # Importing the metrics library takes longer than a request may wait, so the first scrape imports it in
+        # a thread.
         metrics = await asyncio.to_thread(importlib.import_module, "larklb.gateway.metrics")
-        told = status.document(self, calls.COUNTS, {})
-        return Reply(200, [metrics.CONTENT_TYPE], metrics.exposition(self.settings.node, told))
+        counts = status.document(self, calls.COUNTS, {})
+        return Reply(200, [metrics.CONTENT_TYPE], metrics.exposition(self.settings.node, counts))
 
-    async def _leave(self) -> None:
-        """In order: told to all, no longer ready, all that was taken is finished, within the grace."""
-        log.info("gateway: leaves.")
+    async def _shut_down(self) -> None:
+        """Shuts down gracefully within the grace period.
+
+        Tells the other limiters, reports not ready, and finishes the requests that were accepted."""
+        log.info("gateway: shutting down.")
         now, grace = self.wheel.now(), self.settings.bounds.grace_ms
         self.plane.leave(now)
         self.edge.leave()
-        end = now + grace - min(LAST_MS, grace * LAST_PART)
-        await self.wheel.sleep(min(UNREADY_MS, grace * 0.4))
-        # What is taken later might not be finished within the grace.
+        end = now + grace - min(SHUTDOWN_RESERVE_MS, grace * SHUTDOWN_RESERVE_FRACTION)
+        await self.wheel.sleep(min(READINESS_DETECTION_MS, grace * 0.4))
+        # A request accepted later might not be finished within the grace period.
         self.edge.stop_listening()
         while self.wheel.now() < end and (self.edge.busy() or self.control.busy()):
             await self.wheel.sleep(20.0)
         if self.edge.busy():
             self.front.shut_down()
-            await self.wheel.sleep(ANSWERS_MS)
-        for door in (self.edge, self.control, self.readiness, self.metrics):
-            await door.close()
+            await self.wheel.sleep(SHUTDOWN_FLUSH_MS)
+        for listener in (self.edge, self.control, self.readiness, self.metrics):
+            await listener.close()
         self.servers.close()
         await self.transport.stop()
         if self.disk is not None:
             self.disk.close()
-        log.info("gateway: has ended; %s.", ", ".join(f"{k} {v}" for k, v in sorted(self.count.items())))
+        log.info(
+            "gateway: has ended; counters: %s.",
+            ", ".join(f"{name} {value}" for name, value in sorted(self.count.items())),
+        )
 
 
 def _load_disk(store: Store, folder: str) -> tuple[dict[str, bytes] | None, str]:
-    """What a core machine's disk holds, and the disk's id.
+    """Returns the values stored on a core machine's disk, None if it is blank, and the disk's id.
 
-    A disk that has its id but not its votes might vote twice in a term: it is a blank one, under a new id.
-    On a disk that was new when the last process ended early it changes nothing."""
+    A disk that has its id but not its votes might vote twice in a term, so it is treated as a blank disk and
+    gets a new id. The same happens, without harm, if a process ended early on a new disk."""
     stored = store.load()
-    kept = stored is not None and HARD_STATE in stored
-    disk = store.identity(renew=not kept)
-    status.mark_in_use(folder)  # from here on no tool changes what is loaded
-    return (stored if kept else None), disk
+    has_votes = stored is not None and HARD_STATE in stored
+    disk = store.identity(renew=not has_votes)
+    status.mark_in_use(folder)  # from here on no tool changes the stored values
+    return (stored if has_votes else None), disk
 
 
 def main() -> int:
-    """Runs a limiter by the settings file that LARKLB_SETTINGS names; 2 where that or its disk is no good."""
-    chosen = options.parse(sys.argv[1:])
+    """Runs a limiter with the settings file that LARKLB_SETTINGS names.
+
+    Returns the exit status, which is 2 if the settings or the disk can't be used."""
+    startup_options = options.parse(sys.argv[1:])
     logging.basicConfig(level=os.environ.get("LARKLB_LOG", "INFO"), format="%(message)s")
     try:
-        settings = told.read(os.environ.get("LARKLB_SETTINGS", "/etc/larklb/settings.toml"))
+        settings = settings_module.read(os.environ.get("LARKLB_SETTINGS", "/etc/larklb/settings.toml"))
     except SettingsError as error:
         log.error("gateway: %s.", error)
         return 2
-    gc.set_threshold(20_000, 20, 50)  # most of what a request makes is freed by its count alone
-    return asyncio.run(_serve(settings, chosen))
+    # Most objects of a request are freed by reference counting, so collections can be rare.
+    gc.set_threshold(20_000, 20, 50)
+    return asyncio.run(_serve(settings, startup_options))
 
 
-async def _serve(settings: told.Settings, chosen: Options) -> int:
+async def _serve(settings: settings_module.Settings, startup_options: Options) -> int:
     try:
-        limiter = Limiter(settings, chosen)
+        limiter = Limiter(settings, startup_options)
     except (StorageError, ConsensusError, GatewayError) as error:
         log.error("gateway: %s: can't start with it: %s.", settings.data_dir, error)
         return 2
--- a/tests/test_gateway_metrics.py
+++ b/tests/test_gateway_metrics.py
@@ -40,9 +40,9 @@
         port = free_port()
         limiter = limiter_with(tmp_path, port)
         limiter.count["ended.client_gone.waiting.safe.break_off"] += 3
-        limiter.turn_due = limiter.wheel.now() - 200.0
+        limiter.next_tick_at = limiter.wheel.now() - 200.0
         await limiter._start_metrics()
-        limiter._turn()
+        limiter._tick()
         status, text = await scrape(port, "/metrics")
         samples: dict[str, Any] = {
             sample.labels.get("event", sample.name): sample.value
