--- a/larklb/gateway/main.py
+++ b/larklb/gateway/main.py
@@ -424,8 +424,8 @@
             return Reply(404)
         if head.method != b"GET":
             return Reply(405)
-        # Importing the metrics library takes longer than a request may wait, so the first scrape imports it in
-        # a thread.
+        # Importing the metrics library takes longer than a request may wait, so the first scrape imports it
+        # in a thread.
         metrics = await asyncio.to_thread(importlib.import_module, "larklb.gateway.metrics")
         counts = status.document(self, calls.COUNTS, {})
         return Reply(200, [metrics.CONTENT_TYPE], metrics.exposition(self.settings.node, counts))
