--- a/larklb/consensus/replica.py
+++ b/larklb/consensus/replica.py
@@ -58,9 +58,8 @@
         self._answer_all(self._calls.take_expired(self._now), TIMED_OUT)
         if self._saving_since is not None:
             if self._save_hangs():
-                self._election_deadline = (
-                    self._random_election_deadline()
-                )  # a replica whose disk hangs must not campaign
+                # A replica whose disk hangs must not campaign.
+                self._election_deadline = self._random_election_deadline()
                 if self.is_leader:
                     self._step_down("its disk hangs")
             return
--- a/tests/test_check_consensus.py
+++ b/tests/test_check_consensus.py
@@ -1,4 +1,4 @@
-"""The exhaustive check of three core machines: what holds to a small depth, and which faults it finds."""
+"""The exhaustive check of three core machines finds seeded faults and nothing else up to a small depth."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 
 @pytest.fixture(autouse=True)
-def no_words_of_failed_saves(caplog: pytest.LogCaptureFixture) -> None:
+def silence_warnings_of_failed_saves(caplog: pytest.LogCaptureFixture) -> None:
     caplog.set_level(logging.ERROR, "larklb.consensus")
 
 
-def test_no_order_of_words_saves_and_faults_breaks_what_must_hold() -> None:
+def test_no_order_of_messages_saves_and_faults_violates_a_property() -> None:
     explorer = Explorer()
     explorer.explore(3, 2, 1_000_000)
     assert explorer.depth == 3 and explorer.worlds > 10_000
@@ -28,14 +28,14 @@
     assert explorer.depth == 6 and explorer.worlds > 10_000
 
 
-def test_no_fault_while_the_group_changes_breaks_what_must_hold() -> None:
-    """A fourth machine takes the place of one that is gone: before its entry is known to any, and after."""
+def test_no_fault_during_a_voter_change_violates_a_property() -> None:
+    """A fourth machine replaces a lost one; the states before and after its entry was sent are explored."""
     explorer = Explorer()
     explorer.explore(3, 1, 1_000_000, ("fourth", "replaced"))
     assert explorer.depth == 3 and explorer.worlds > 3_000
 
 
-SHORTEST = {  # start, steps, faults looked for, and what breaks
+SHORTEST = {  # start, number of steps, number of faults, message
     "words-before-saves": ("uncommitted", 3, 2, "acknowledged, and on 1 disks"),
     "votes-for-all": ("contest", 4, 2, "two lead"),
     "base-not-compared": ("uncommitted", 5, 1, "two are acknowledged on one base"),
@@ -50,22 +50,22 @@
 
 
 @pytest.mark.parametrize("name", SEEDED)
-def test_each_fault_put_in_is_found_by_its_shortest_trace(name: str) -> None:
+def test_each_seeded_fault_is_found_by_its_shortest_trace(name: str) -> None:
     start, steps, faults, why = SHORTEST[name]
     with pytest.raises(FoundError, match=why) as found:
         seeded(name).explore(steps, faults, 1_000_000, (start,))
     assert len(found.value.steps) == steps, "breadth first: no shorter one"
 
 
-def test_the_command_tells_the_trace(capsys: pytest.CaptureFixture[str]) -> None:
+def test_command_prints_the_trace(capsys: pytest.CaptureFixture[str]) -> None:
     assert main(["--depth", "3", "--start", "deposed", "--seeded", "old-terms-heeded"]) == 1
     assert "3. append_reply of c to b arrives" in capsys.readouterr().out
     assert main(["--depth", "2"]) == 0
     assert "depth 2 reached whole" in capsys.readouterr().out
 
 
-class Plain(Machines):
-    """Merges no states, and plays each event anew."""
+class UnmergedMachines(Machines):
+    """Merges no states and replays each event."""
 
     def state(self, machine: Machine) -> int:
         self._state_of.clear()
@@ -76,18 +76,18 @@
         return super().happens(state, name, what)
 
 
-def test_states_that_are_merged_go_on_alike() -> None:
-    """Else a time or a field that matters is left out, or an event changes a state that others stand on."""
+def test_merged_states_behave_alike() -> None:
+    """Guards against merging states that differ in a relevant field, and events that change shared states."""
     merged, rng = Explorer(), random.Random(5)
-    merged.explore(3, 2, 1_000_000)  # so that walks meet states which others were merged into
+    merged.explore(3, 2, 1_000_000)  # walks then reach states that others were merged into
 
-    def shown(explorer: Explorer, world: World) -> object:
+    def visible_state(explorer: Explorer, world: World) -> object:
         words = [[explorer.all.words[word] for word in link] for link in world.links]
         return [explorer.all.faces[state] for state in world.of], words, world.history
 
     for walk in range(140):
         plain = Explorer()
-        plain.all = Plain(plain.all.make)
+        plain.all = UnmergedMachines(plain.all.make)
         name = list(STARTS)[walk % len(STARTS)]
         one, other = merged.start(name), plain.start(name)
         for _ in range(25):
@@ -97,4 +97,4 @@
             event = rng.choice(events)
             merged.act(one, event)
             plain.act(other, event)
-            assert shown(merged, one) == shown(plain, other), event
+            assert visible_state(merged, one) == visible_state(plain, other), event
