--- a/larklb/decide.py
+++ b/larklb/decide.py
@@ -39,7 +39,7 @@
 
 
 class Gateway(PeerMessaging, QuotaOwner, ServerSelection):
-    """One gateway of a limiter: ``handle(now, event)`` returns the actions to carry out.
+    """The decisions of one gateway: ``handle(now, event)`` returns the actions to carry out.
 
     It does no input or output and reads no clock; all times are in ms.  ``actions`` holds those of the
     current event, also when handling it raised an exception.
