--- a/larklb/gateway/control.py
+++ b/larklb/gateway/control.py
@@ -1,6 +1,7 @@
-"""The control address: calls of servers and operators, as `schema/openapi.yaml` has them.
+"""The control API: calls of servers and operators, as described in `schema/openapi.yaml`.
 
-What this limiter can't settle it passes on: servers' calls to its home, operators' calls to the leader.
+Calls that this limiter can't settle are forwarded: servers' calls to its home, operators' calls to the
+leader.
 """
 
 from __future__ import annotations
@@ -21,13 +22,13 @@
 from larklb.schema.errors import InvalidError, SchemaError
 
 JSON = (b"Content-Type", b"application/json")
-MOST_FIELDS = 8  # of a query
+MAX_QUERY_FIELDS = 8
 
 
 @define(frozen=True)
 class OperatorRequest:
-    """An operator's call: ``kind`` is 'replace', 'amend' or 'read', ``base`` the version that a change builds
-    on, ``body`` its text."""
+    """An operator's call: ``kind`` is 'replace', 'amend' or 'read', ``base`` is the version that a change
+    builds on, and ``body`` is its text."""
 
     kind: str
     base: int = 0
@@ -36,43 +37,45 @@
 
 UNAVAILABLE = CallResult(503, "nobody who can settle this is in reach: try again, or another limiter")
 
-SettleServer = Callable[[Server | str], Awaitable[CallResult]]  # a beat, or the id of one that leaves
-SettleOrder = Callable[[OperatorRequest], Awaitable[CallResult]]
-StatusCall = Callable[[str, Mapping[str, str]], dict[str, Any] | None]  # path, query
+# Settles a heartbeat, or the sign-off of the server with this id.
+ServerCallHandler = Callable[[Server | str], Awaitable[CallResult]]
+OperatorCallHandler = Callable[[OperatorRequest], Awaitable[CallResult]]
+# Returns the document for a path and the fields of a query, None for an unknown path.
+StatusHandler = Callable[[str, Mapping[str, str]], dict[str, Any] | None]
 
 
 @define
 class ControlApi:
-    """Answers servers and operators."""
+    """The HTTP interface of the control API; the calls are settled by its three handlers."""
 
-    server: SettleServer
-    operator: SettleOrder
-    status: StatusCall = lambda path, query: None
+    server: ServerCallHandler
+    operator: OperatorCallHandler
+    status: StatusHandler = lambda path, query: None
 
     async def answer(self, head: h11.Request, body: bytes, link: Link) -> Reply:
-        """The answer to one call."""
+        """Returns the reply to one call."""
         path, _, query = head.target.decode("latin-1").partition("?")
-        if found := calls.HEARTBEAT.fullmatch(path):
+        if match := calls.HEARTBEAT.fullmatch(path):
             if head.method != b"POST":
                 return Reply(405)
             try:
-                told = calls.heartbeat(body)
+                heartbeat = calls.heartbeat(body)
             except SchemaError as error:
                 return _invalid(error.problems if isinstance(error, InvalidError) else [str(error)])
             server = Server(
-                found[1],
-                told.target,
-                told.address,
-                told.zone,
-                told.capacity,
-                told.version,
-                DRAINING if told.state == "draining" else STEADY,
-                told.sequence,
-                told.warmup_left_ms,
+                match[1],
+                heartbeat.target,
+                heartbeat.address,
+                heartbeat.zone,
+                heartbeat.capacity,
+                heartbeat.version,
+                DRAINING if heartbeat.state == "draining" else STEADY,
+                heartbeat.sequence,
+                heartbeat.warmup_left_ms,
             )
             return self._reply(await self.server(server))
-        if found := calls.LEAVE.fullmatch(path):
-            return self._reply(await self.server(found[1])) if head.method == b"POST" else Reply(405)
+        if match := calls.LEAVE.fullmatch(path):
+            return self._reply(await self.server(match[1])) if head.method == b"POST" else Reply(405)
         if path == calls.READ:
             if head.method != b"GET":
                 return Reply(405)
@@ -89,10 +92,10 @@
         if head.method != b"GET":
             return Reply(405)
         try:
-            told = self.status(path, dict(parse_qsl(query, max_num_fields=MOST_FIELDS)))
+            document = self.status(path, dict(parse_qsl(query, max_num_fields=MAX_QUERY_FIELDS)))
         except ValueError:
-            return _invalid([f"query: must have {MOST_FIELDS} fields at most"])
-        return Reply(404) if told is None else self._reply(CallResult(200, document=told))
+            return _invalid([f"query: must have {MAX_QUERY_FIELDS} fields at most"])
+        return Reply(404) if document is None else self._reply(CallResult(200, document=document))
 
     async def _change(self, kind: str, head: h11.Request, body: bytes) -> Reply:
         base = dict(head.headers).get(calls.BASE_VERSION.encode(), b"")
@@ -118,5 +121,5 @@
 
 
 def _invalid(problems: Iterable[str]) -> Reply:
-    """A call that can't be taken, now or later, and why."""
+    """Returns the reply to a call that is invalid and will not succeed if it is repeated."""
     return Reply(400, [JSON], msgspec.json.encode({"problems": list(problems)}))
--- a/larklb/gateway/control_plane.py
+++ b/larklb/gateway/control_plane.py
@@ -1,9 +1,10 @@
-"""One limiter's part in the control plane: what it knows of the others, and where calls of servers and
-operators go.
+"""A limiter's part in the control plane: its view of the other limiters and of the servers, and the routing
+of calls by servers and operators.
 
-Without I/O: messages come in by ``heard`` and leave by ``send``, time is an argument, and calls are answered
-through ``done``. A core machine settles servers' calls itself while it is in contact with a majority of the
-core, and operators' calls while it leads; all other calls are passed on, to the home or to the leader.
+There is no I/O: messages come in by ``handle_message`` and go out by ``send``, the current time in ms is an
+argument, and the results of calls are passed to ``done``. A core machine settles servers' calls itself while
+it is in contact with a majority of the core, and operators' calls while it is the leader. All other calls are
+forwarded, to the home or to the leader.
 """
 
 from __future__ import annotations
@@ -56,24 +57,31 @@
 
 log = logging.getLogger("control")
 
-FETCH_MS = 300.0  # after a configuration was asked for and did not come
-PEEK_MS = 1_000.0  # between looks at another core machine than the home
-MOST_HOPS = 3  # of a call that is passed on: to the home, to the leader, and to the next leader
-UNCONFIRMED_PART = 0.5  # of contactMs: then a core machine that hears no leader uses its disk's version
+# A configuration that was requested and has not arrived is requested again after this time.
+FETCH_RETRY_MS = 300.0
+# Time between questions for the newest version to a core machine other than the home.
+PEEK_INTERVAL_MS = 1_000.0
+# A call may be forwarded to the home, from there to the leader, and from there to the next leader.
+MAX_HOPS = 3
+# A core machine without contact to a leader puts the version on its disk in force after this fraction of
+# contactMs.
+UNCONFIRMED_FRACTION = 0.5
 
 Done = Callable[[CallResult], object]
 
 
 class ControlPlane:
-    """Of one life of a process.
+    """The control plane of one incarnation of a limiter.
 
-    ``take`` gets each configuration that may be put in force here, ``version`` tells the one that is;
-    ``changed`` is called after members or servers have changed."""
+    ``send`` sends a message to an address, ``after`` sets a timer in ms. ``apply_configuration`` is called
+    with each configuration that may be put in force on this limiter, ``current_version`` returns the version
+    in force, and ``on_change`` is called after members or servers have changed. ``core`` is set on core
+    machines only."""
 
     def __init__(
         self,
         settings: Settings,
-        me: Member,
+        local_member: Member,
         session: str,
         now: float,
         *,
@@ -95,56 +103,62 @@
         self.core: Core | None = None
         scale = Timing.from_bounds(settings.bounds.contact_ms, settings.bounds.convergence_ms).scale
         seeds = [host for host, _ in settings.seeds]
-        self.subscriber = Subscriber(me, seeds, time_scale=scale, on_change=on_change)
+        self.subscriber = Subscriber(local_member, seeds, time_scale=scale, on_change=on_change)
         self.forwarder = CallForwarder(session, send, after)
-        self.fetched_at = self.peeked_at = float("-inf")
+        self.last_fetch = self.last_peek = float("-inf")
 
-    # The loop's turn ----------------------------------------------------------------------
+    # Periodic work ------------------------------------------------------------------------
 
     def tick(self, now: float) -> None:
-        """Called every 50 ms at a core machine, every 100 ms at others."""
+        """Does the periodic work; called every 50 ms on a core machine, every 100 ms on other limiters."""
         if self.core is not None:
             self.core.tick(now, self.subscriber.local_member)
             self.core.flush()
-            for heard in self.core.home.present_cores(now):  # so that whoever asks here learns of them
-                self.subscriber.add_core(heard.last_heard, heard.member)
-            self._take_own(now, self.core)
+            # The subscriber names these core machines to limiters that look for one.
+            for present in self.core.home.present_cores(now):
+                self.subscriber.add_core(present.last_heard, present.member)
+            self._apply_stored_configuration(now, self.core)
         self.subscriber.tick(now)
         self.flush()
         if self.subscriber.offered_config[0] > self.current_version():
             self._fetch(now, self.subscriber.home_ip())
-        if now - self.peeked_at >= PEEK_MS:
-            self.peeked_at = now
+        if now - self.last_peek >= PEEK_INTERVAL_MS:
+            self.last_peek = now
             if other := self.subscriber.other_core_ip(now, self.rng.random()):
-                self.send(other, Peek())  # a home that is cut off offers nothing new
+                # A home that is partitioned from the leader does not offer newer versions.
+                self.send(other, Peek())
 
-    def _take_own(self, now: float, core: Core) -> None:
-        """What the disk holds serves here once a leader has confirmed it; behind a cut it is the last good
-        one, and better than none, but only here: nobody else is told."""
+    def _apply_stored_configuration(self, now: float, core: Core) -> None:
+        """Puts the configuration on the disk in force once a leader has confirmed it.
+
+        Without contact to a leader it is used after a while all the same, as the last known one is better
+        than none, but only on this limiter: it is not sent to others."""
         if core.replica.current is None:
             return
-        patience = UNCONFIRMED_PART * self.settings.bounds.contact_ms
-        if core.replica.confirmed or now - self.started_at >= patience:
+        unconfirmed_ms = UNCONFIRMED_FRACTION * self.settings.bounds.contact_ms
+        if core.replica.confirmed or now - self.started_at >= unconfirmed_ms:
             self.apply_configuration(core.replica.current)
 
     def flush(self) -> None:
-        """Sends what the subscriber has to say."""
+        """Sends the messages that the subscriber has collected."""
         out, self.subscriber.outbox = self.subscriber.outbox, []
         for ip, message in out:
             self.send(ip, message)
 
     def leave(self, now: float) -> None:
-        """The process is about to end in order: the others are told, and another machine leads."""
+        """Prepares a graceful shutdown: tells the other limiters, and hands leadership to another machine."""
         self.subscriber.local_member = evolve(self.subscriber.local_member, state=LEAVING)
         self.subscriber.send_heartbeat(now)
         self.flush()
         if self.core is not None:
             self.core.leave(now)
 
-    # Messages of other limiters -----------------------------------------------------------
+    # Messages from other limiters ---------------------------------------------------------
 
     def handle_message(self, now: float, message: ControlMessage) -> None:
-        """KeyError, TypeError or ValueError where a row in the message can't be used."""
+        """Handles a message of another limiter.
+
+        Raises ``KeyError``, ``TypeError`` or ``ValueError`` if a row in the message is invalid."""
         match message:
             case Delta():
                 self.subscriber.handle_delta(now, message)
@@ -157,24 +171,24 @@
                     self._fetch(now, message.address)
             case Hello():
                 self.subscriber.handle_hello(now, message)
-                self._meet(now, [(message.sender, message.member)])
+                self._add_cores(now, [(message.sender, message.member)])
             case Cores():
                 self.subscriber.handle_cores(now, message)
-                self._meet(now, message.cores)
+                self._add_cores(now, message.cores)
             case Configuration():
                 self.apply_configuration(message.document)
             case ServerCall():
-                self._server_called(now, message)
+                self._handle_server_call(now, message)
             case OperatorCall():
-                self._operator_called(now, message)
+                self._handle_operator_call(now, message)
             case CallAnswer():
                 self.forwarder.handle_answer(message)
             case _:
                 if self.core is not None:
-                    self._heard_at_core(now, message, self.core)
+                    self._handle_core_message(now, message, self.core)
         self.flush()
 
-    def _heard_at_core(self, now: float, message: ControlMessage, core: Core) -> None:
+    def _handle_core_message(self, now: float, message: ControlMessage, core: Core) -> None:
         home = core.home
         match message:
             case Raft():
@@ -200,7 +214,7 @@
         home.push(now, core.offer)
         core.flush()
 
-    def _meet(self, now: float, rows: Rows) -> None:
+    def _add_cores(self, now: float, rows: Rows) -> None:
         if self.core is None:
             return
         for node, row in rows:
@@ -209,16 +223,17 @@
                 self.core.home.add_core(now, member)
 
     def _fetch(self, now: float, ip: str) -> None:
-        if now - self.fetched_at < FETCH_MS:
+        if now - self.last_fetch < FETCH_RETRY_MS:
             return
-        self.fetched_at = now
+        self.last_fetch = now
         if ip and ip != self.settings.ip:
             self.send(ip, Fetch())
 
     # Calls of servers ---------------------------------------------------------------------
 
     def server_call(self, now: float, call: Server | str, done: Done) -> None:
-        """A server's beat, or the id of one that leaves: settled by a core machine, this one or the home."""
+        """Settles a server's heartbeat, or the sign-off of the server with this id, on this core machine or
+        on the home; ``done`` is called once with the result."""
         core, home = self.core, self.subscriber.home_ip()
         if core is not None and (core.home.ready or not home or home == self.settings.ip):
             if not core.home.fenced(now):
@@ -228,15 +243,15 @@
             done(UNAVAILABLE)
             return
         if isinstance(call, Server):
-            self._pass_on(home, ServerCall(id=call.id, row=call.to_row()), done)
+            self._forward(home, ServerCall(id=call.id, row=call.to_row()), done)
         else:
-            self._pass_on(home, ServerCall(id=call, row=None), done)
+            self._forward(home, ServerCall(id=call, row=None), done)
 
     def _settle_server(self, now: float, home: RegistryReplica, call: Server | str, done: Done) -> None:
         assert self.core is not None
 
-        def settle(known: bool) -> None:
-            done(CallResult(200, report_to=self._home_of(call)) if known else UNAVAILABLE)
+        def settle(acknowledged: bool) -> None:
+            done(CallResult(200, report_to=self._report_address(call)) if acknowledged else UNAVAILABLE)
 
         if isinstance(call, Server):
             home.server_heartbeat(now, call, settle)
@@ -245,60 +260,63 @@
         home.push(now, self.core.offer)
         self.core.flush()
 
-    def _home_of(self, call: Server | str) -> str:
-        """Where a server's later beats go: a core machine of its zone, this one if there is none."""
+    def _report_address(self, call: Server | str) -> str:
+        """Returns the control address for a server's further heartbeats: that of a core machine in its zone,
+        or of this one if there is none."""
         assert self.settings.control is not None
         port = self.settings.control[1]
         if isinstance(call, Server) and call.zone != self.settings.zone:
             members = self.subscriber.members.values()
-            near = [m for m in members if m.disk and m.zone == call.zone and m.state == UP]
-            if near:
-                return f"{min(near, key=lambda m: m.node).ip}:{port}"
+            in_zone = [m for m in members if m.disk and m.zone == call.zone and m.state == UP]
+            if in_zone:
+                return f"{min(in_zone, key=lambda m: m.node).ip}:{port}"
         return f"{self.settings.ip}:{port}"
 
     # Calls of operators -------------------------------------------------------------------
 
-    def operator_call(self, now: float, order: OperatorRequest, done: Done, hops: int = 0) -> None:
-        """An operator's call: settled by the leader, this one or another; ``hops``: how often it was passed
-        on."""
+    def operator_call(self, now: float, request: OperatorRequest, done: Done, hops: int = 0) -> None:
+        """Settles an operator's call, on this machine if it is the leader, or by forwarding it.
+
+        ``hops`` is how often the call has been forwarded; ``done`` is called once with the result."""
         if self.core is not None and self.core.replica.is_leader:
-            self._settle_operator(now, self.core, order, done)
+            self._settle_operator(now, self.core, request, done)
             return
         if self.core is not None and self.core.home.fenced(now):
-            done(UNAVAILABLE)  # nobody would hear it, or its answer would come too late
+            # No other machine would receive the call, or the answer would come too late.
+            done(UNAVAILABLE)
             return
         ip = self.core.leader_ip() if self.core is not None else self.subscriber.home_ip()
-        if not ip or ip == self.settings.ip or hops >= MOST_HOPS:
+        if not ip or ip == self.settings.ip or hops >= MAX_HOPS:
             done(UNAVAILABLE)
             return
-        call = OperatorCall(kind=order.kind, base=order.base, body=order.body, hops=hops + 1)
-        self._pass_on(ip, call, done)
+        call = OperatorCall(kind=request.kind, base=request.base, body=request.body, hops=hops + 1)
+        self._forward(ip, call, done)
 
     @staticmethod
-    def _settle_operator(now: float, core: Core, order: OperatorRequest, done: Done) -> None:
+    def _settle_operator(now: float, core: Core, request: OperatorRequest, done: Done) -> None:
         def settle(answer: Answer) -> None:
             done(CallResult(answer.status, answer.text, answer.document, problems=answer.problems))
 
-        core.call(now, order.kind, order.base, order.body, settle)
+        core.call(now, request.kind, request.base, request.body, settle)
 
-    # Passing on ---------------------------------------------------------------------------
+    # Forwarding ---------------------------------------------------------------------------
 
-    def _pass_on(self, ip: str, call: ForwardedCall, done: Done) -> None:
+    def _forward(self, ip: str, call: ForwardedCall, done: Done) -> None:
         def answered(answer: CallAnswer | None) -> None:
             done(UNAVAILABLE if answer is None else answer.result)
 
         self.forwarder.forward(ip, call, answered)
 
-    def _server_called(self, now: float, call: ServerCall) -> None:
+    def _handle_server_call(self, now: float, call: ServerCall) -> None:
         server = server_from_row(call.id, call.row) if call.row is not None else call.id
-        self.server_call(now, server, self._answers(call))
+        self.server_call(now, server, self._answer_sender(call))
 
-    def _operator_called(self, now: float, call: OperatorCall) -> None:
-        order = OperatorRequest(call.kind, call.base, call.body)
-        self.operator_call(now, order, self._answers(call), call.hops)
+    def _handle_operator_call(self, now: float, call: OperatorCall) -> None:
+        request = OperatorRequest(call.kind, call.base, call.body)
+        self.operator_call(now, request, self._answer_sender(call), call.hops)
 
-    def _answers(self, call: ForwardedCall) -> Done:
-        """What sends the answer to the limiter that passed a call on."""
+    def _answer_sender(self, call: ForwardedCall) -> Done:
+        """Returns a callback that sends the result to the limiter that forwarded the call."""
 
         def done(result: CallResult) -> None:
             self.send(call.address, result.answer_to(call))
--- a/larklb/gateway/core.py
+++ b/larklb/gateway/core.py
@@ -1,7 +1,7 @@
-"""A core machine's part of the control plane: the registry's replica and the configuration's, under one
-clock.
+"""A core machine's part in the control plane: the replica of the registry and that of the configuration.
 
-Without I/O: messages leave by ``send``, saves by ``save``, whose end is told by ``saved``.
+There is no I/O: messages go out by ``send``, and data to be stored by ``save``, the end of which is reported
+by ``handle_save_result``. The current time in ms is an argument.
 """
 
 from __future__ import annotations
@@ -26,16 +26,18 @@
 
 log = logging.getLogger("core")
 
-# The same core machines seen for so long, before a group is founded: what counts here is how far apart their
-# processes start, whatever the terms.
-FOUND_QUIET_MS = 1_200.0
+# The set of present core machines must be unchanged for this long before a group is founded. It depends on
+# how far apart their processes start, and not on the bounds of the settings.
+STABLE_CORES_MS = 1_200.0
 
 Send = Callable[[str, Message], object]
 Save = Callable[[Ready], object]
 
 
 def apply(document: dict[str, Any] | None, call: Call) -> dict[str, Any]:
-    """The document that a change makes of another; InvalidChangeError where it is invalid."""
+    """Applies a change to a document, None if there is none yet, and returns the changed document.
+
+    Raises ``InvalidChangeError`` if the result is invalid."""
     try:
         if call.kind == "replace":
             changed = call.body
@@ -51,26 +53,34 @@
 
 
 class Core:
-    """Both replicas of one life of a core machine."""
+    """Both replicas of one incarnation of a core machine.
+
+    ``home`` is the replica of the registry, which serves the limiters that use this machine as their home;
+    ``replica`` is the replica of the configuration. ``offer`` is the newest version that others are told."""
 
     def __init__(
         self,
         settings: Settings,
-        me: Member,
+        local_member: Member,
         stored: dict[str, bytes] | None,
         now: float,
         seed: int,
         send: Send,
         save: Save,
     ) -> None:
-        """``me`` has the disk's id, ``stored`` is what its saves left."""
-        self.settings, self.disk, self.send, self.save = settings, me.disk, send, save
+        """``local_member`` has the disk's id; ``stored`` are the values that earlier saves left on the
+        disk."""
+        self.settings, self.disk, self.send, self.save = settings, local_member.disk, send, save
         timing = Timing.from_bounds(settings.bounds.contact_ms, settings.bounds.convergence_ms)
         self.home = RegistryReplica(
-            me, settings.heartbeat_period_ms, now, time_scale=timing.scale, bootstrap=settings.bootstrap
+            local_member,
+            settings.heartbeat_period_ms,
+            now,
+            time_scale=timing.scale,
+            bootstrap=settings.bootstrap,
         )
         self.replica = Replica(
-            me.disk,
+            local_member.disk,
             settings.node,
             stored,
             now,
@@ -80,87 +90,93 @@
             timing=timing,
         )
         self.started_at = self.now = now
-        self.seen: tuple[frozenset[str], float] = (frozenset(), now)
-        self.waiting: dict[str, Callable[[Answer], object]] = {}
-        self.tickets = 0
+        # Disk ids of the core machines that are present, and since when they are the same.
+        self.stable_cores: tuple[frozenset[str], float] = (frozenset(), now)
+        self.pending_calls: dict[str, Callable[[Answer], object]] = {}
+        self.last_ticket = 0
         self.offer: ConfigVersion = (0, "")
-        self.told_version = 0
+        self.announced_version = 0
 
     # Operators' calls ---------------------------------------------------------------------
 
     def call(self, now: float, kind: str, base: int, body: str, done: Callable[[Answer], object]) -> None:
-        """An operator's call at the leader; ``done`` is told what became of it, once."""
+        """Starts an operator's call at the leader; ``done`` is called once with the answer."""
         try:
             document = parse(body.encode()) if kind != "read" else {}
         except SchemaError as error:
             done(Answer(400, str(error), None))
             return
         identity = digest({"kind": kind, "base": base, "body": document})
-        self.tickets += 1
-        ticket = str(self.tickets)
-        self.waiting[ticket] = done
+        self.last_ticket += 1
+        ticket = str(self.last_ticket)
+        self.pending_calls[ticket] = done
         self.replica.call(now, ticket, Call(kind, base, document, identity))
         self.process_ready(now)
 
-    # The loop's turn ----------------------------------------------------------------------
+    # Periodic work ------------------------------------------------------------------------
 
-    def tick(self, now: float, me: Member) -> None:
-        """Called every 50 ms."""
+    def tick(self, now: float, local_member: Member) -> None:
+        """Does the periodic work; called every 50 ms."""
         self.now = now
         members = self.home.members
         cores = {**members.cores_by_disk(now, self.home.core_present_ms), self.disk: self.settings.node}
-        self._found(now, cores)
+        self._found_group(now, cores)
         self.replica.tick(now, cores, members.leaving_disks())
         self.process_ready(now)
         epoch = self.replica.term if self.replica.has_recent_quorum(now) else None
-        self.home.tick(now, me, self.replica.voters if self.replica.founded else {}, epoch, self.offer)
+        self.home.tick(
+            now, local_member, self.replica.voters if self.replica.founded else {}, epoch, self.offer
+        )
 
-    def _found(self, now: float, cores: Mapping[str, str]) -> None:
+    def _found_group(self, now: float, cores: Mapping[str, str]) -> None:
+        """Founds a group on a first start, on the core machine that is first by node name."""
         if self.replica.founded or not self.settings.bootstrap:
             return
-        there = frozenset(cores)
-        if there != self.seen[0]:
-            self.seen = (there, now)
-        enough = (
-            len(there) >= 2 * self.settings.tolerance + 1
+        present = frozenset(cores)
+        if present != self.stable_cores[0]:
+            self.stable_cores = (present, now)
+        enough_cores = (
+            len(present) >= 2 * self.settings.tolerance + 1
             or now - self.started_at > self.settings.bounds.contact_ms
         )
         first = min(cores, key=lambda disk: (cores[disk], disk))
-        if enough and first == self.disk and now - self.seen[1] >= FOUND_QUIET_MS:
-            self.seen = (there, now)
-            log.info("core: founds a group of %d.", len(there))
+        if enough_cores and first == self.disk and now - self.stable_cores[1] >= STABLE_CORES_MS:
+            self.stable_cores = (present, now)
+            log.info("core: founding a group of %d.", len(present))
             self.replica.propose_founding(now, dict(cores))
 
     def step(self, now: float, sender: str, message: dict[str, Any]) -> None:
-        """A message of another replica."""
+        """Handles a message of another configuration replica."""
         self.replica.step(now, sender, message)
         self.process_ready(now)
 
     def leave(self, now: float) -> None:
-        """This machine is about to end in order."""
+        """Hands leadership to another machine before a graceful shutdown."""
         self.replica.transfer_leadership(now)
         self.process_ready(now)
 
     def may_serve_configuration(self, now: float) -> bool:
-        """Whether others may be told the configuration that is known here: it follows a leader's word, and a
-        majority of the core has just answered this machine."""
+        """Returns whether this machine's configuration may be sent to others: a leader has confirmed it, and
+        a majority of the core has just answered this machine."""
         return self.replica.is_up_to_date(now) and not self.home.fenced(now)
 
-    # What the replica wants done ----------------------------------------------------------
+    # Output of the replica ---------------------------------------------------------------
 
     def process_ready(self, now: float) -> None:
-        """Carries out what the replica wants done, as far as the disk lets it."""
+        """Sends what the replica has to send and starts its save, unless one is in progress."""
         self.now = now
-        while (ready := self.replica.ready()) is not None:  # during a save: answers alone
+        # During a save the replica has only answers.
+        while (ready := self.replica.ready()) is not None:
             if ready.save is None:
                 self._send(ready)
             else:
                 self.save(ready)
-        self._note_version()
+        self._announce_version()
 
     def handle_save_result(self, now: float, ready: Ready, ok: bool) -> None:
-        """A save has ended: durable, or (not ``ok``) failed. The caller calls ``work`` next, after a failure
-        when the disk may be tried again."""
+        """Handles the end of a save, which is durable if ``ok`` and has failed otherwise.
+
+        The caller calls ``process_ready`` next, after a failure when the disk may be tried again."""
         self.now = now
         self.replica.saved(ok)
         if ok:
@@ -171,26 +187,26 @@
             if (ip := self.home.members.address_of_disk(receiver)) is not None:
                 self.send(ip, Raft(disk=self.disk, message=message))
         for ticket, answer in ready.answers:
-            if (done := self.waiting.pop(ticket, None)) is not None:
+            if (done := self.pending_calls.pop(ticket, None)) is not None:
                 done(answer)
 
     def leader_ip(self) -> str | None:
-        """Where the leader is; None where there is none, or it is this one."""
+        """Returns the leader's address, None if there is no leader or it is this machine."""
         leader = self.replica.leader
         if leader is None or leader == self.disk:
             return None
         return self.home.members.address_of_disk(leader)
 
-    def _note_version(self) -> None:
+    def _announce_version(self) -> None:
         document, version = self.replica.current, self.replica.version
-        if document is not None and version != self.told_version and self.replica.confirmed:
-            self.told_version = version
+        if document is not None and version != self.announced_version and self.replica.confirmed:
+            self.announced_version = version
             self.offer = (version, digest(document))
             self.home.push(self.now, self.offer, at_once=True)
             self.flush()
 
     def flush(self) -> None:
-        """Sends what the registry's replica has to say."""
+        """Sends the messages that the replica of the registry has collected."""
         out, self.home.outbox = self.home.outbox, []
         for ip, message in out:
             self.send(ip, message)
