--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -45,7 +45,7 @@
 from larklb.gateway import messages
 from larklb.gateway.control_plane import ControlPlane
 from larklb.gateway.core import Core, apply
-from larklb.gateway.front import in_force
+from larklb.gateway.data_plane import prepare_configuration
 from larklb.gateway.main import Limiter
 from larklb.gateway.messages import AnyMessage, Message, QuotaMessage
 from larklb.gateway.quota_exchange import QuotaExchange
@@ -659,12 +659,12 @@
     add("CPU to read a call (holder)", "ms", spent(lambda: parse(body)) * 1e3)
     add("CPU to send it once (home)", "ms", spent(lambda: _ENCODE.encode(document)) * 1e3)
     add("CPU to take it (limiter)", "ms",
-        spent(lambda: in_force(schema.check(_DECODE.decode(line), 0))) * 1e3)
+        spent(lambda: prepare_configuration(schema.check(_DECODE.decode(line), 0))) * 1e3)
     add("memory of the document (holder)", "MB", held(lambda: _DECODE.decode(line)) / 1e6)
     add("memory in force (limiter)", "MB",
-        held(lambda: in_force(schema.check(_DECODE.decode(line), 0))) / 1e6)
+        held(lambda: prepare_configuration(schema.check(_DECODE.decode(line), 0))) / 1e6)
     if by == "routes":
-        routes = in_force(schema.check(document, 0)).routes
+        routes = prepare_configuration(schema.check(document, 0)).routes
         paths = [(h["host"], h["paths"][0]["prefix"] + "x") for h in document["hosts"]]
         some = random.Random(1).choices(paths, k=500)
         add("CPU to find a request's route", "us", spent(
--- a/larklb/gateway/front.py
+++ b/larklb/gateway/data_plane.py
@@ -21,21 +21,21 @@
 from larklb.admission.tries import AttemptHistory, AttemptOutcome, NextStep
 from larklb.assignment.assignment import caller_key
 from larklb.gateway.request_work import RequestWork
-from larklb.gateway.servers import LEAST_MS, Message, Reply, Servers, passed_on
+from larklb.gateway.servers import MIN_TIME_LEFT_MS, Message, Reply, ServerConnections, end_to_end_headers
 from larklb.net.http import Link
 from larklb.schema.configuration import Configuration, Route, Tenant
 from larklb.schema.routing import Keys, Routes, service_of, targets
 from larklb.wheel import Wheel
 
-MARGIN_MS = 12.0  # of the client's time that is left for the answer's way back
-AGAIN_MS = 60.0  # a refused request may come again after this: for want of room ...
-AGAIN_MOST_MS = 400.0  # ... and at the most, as long as its time allows
-NO_TIME_MS = 30_000.0  # a client that tells no time waits this long
-HEDGE_LATE = 1.15  # times the slowest twentieth: then another server is asked as well
-HEDGE_AIM = 0.35  # ... but not before this part of the aim
-HEDGE_LAST = 0.85  # ... nor after this part
-_OURS = frozenset((b"x-tenant", b"x-time-left", b"x-target-instance", b"expect"))
-_WITH_KEY = _OURS | {b"authorization"}
+RESPONSE_MARGIN_MS = 12.0  # of the client's time that is left for the answer's way back
+RETRY_AFTER_MS = 60.0  # a refused request may come again after this: for want of room ...
+MAX_RETRY_AFTER_MS = 400.0  # ... and at the most, as long as its time allows
+DEFAULT_TIME_LEFT_MS = 30_000.0  # a client that tells no time waits this long
+HEDGE_P95_FACTOR = 1.15  # times the slowest twentieth: then another server is asked as well
+MIN_HEDGE_DELAY_SETPOINTS = 0.35  # ... but not before this part of the aim
+MAX_HEDGE_DELAY_SETPOINTS = 0.85  # ... nor after this part
+_LIMITER_HEADERS = frozenset((b"x-tenant", b"x-time-left", b"x-target-instance", b"expect"))
+_LIMITER_AND_KEY_HEADERS = _LIMITER_HEADERS | {b"authorization"}
 
 Quota = Callable[[Tenant], Awaitable[Verdict | None]]
 
@@ -54,20 +54,24 @@
 
 
 @define(frozen=True)
-class InForce:
+class ActiveConfiguration:
     """A configuration as the data plane uses it."""
 
     version: int
     configuration: Configuration
     routes: Routes
     keys: Keys
-    stay: bool  # some route's callers stay put
+    has_caller_affinity: bool  # some route's callers stay put
 
 
-def in_force(configuration: Configuration) -> InForce:
+def prepare_configuration(configuration: Configuration) -> ActiveConfiguration:
     """A checked configuration, ready for use."""
-    stay = any(route.affinity == "caller" for host in configuration.hosts for route in host.paths)
-    return InForce(configuration.version, configuration, Routes(configuration), Keys(configuration), stay)
+    has_caller_affinity = any(
+        route.affinity == "caller" for host in configuration.hosts for route in host.paths
+    )
+    return ActiveConfiguration(
+        configuration.version, configuration, Routes(configuration), Keys(configuration), has_caller_affinity
+    )
 
 
 def refusal(status: int, again_ms: float = 0.0) -> Reply:
@@ -77,18 +81,18 @@
 
 
 @define
-class Front:
+class DataPlane:
     """Answers clients."""
 
     wheel: Wheel
-    servers: Servers
+    servers: ServerConnections
     choice: ServerSelector
     budget: RetryBudget
     quota: Quota  # a tenant's verdict; None: no word yet, and none to be had
     random: random.Random
     count: Counter[str] = field(factory=Counter)
-    now: InForce | None = None
-    stay: bool = False  # callers stay put where a route doesn't say
+    active: ActiveConfiguration | None = None
+    caller_affinity: bool = False  # callers stay put where a route doesn't say
     background: set[asyncio.Task[tuple[AttemptOutcome, Reply | None]]] = field(factory=set)
     works: set[RequestWork] = field(factory=set)
 
@@ -114,11 +118,11 @@
 
     def _taken(self, head: h11.Request, body: bytes) -> ClientRequest | Reply:
         """What a request asks for, or its answer where it can't be served."""
-        began, state = self.wheel.now(), self.now
+        began, state = self.wheel.now(), self.active
         self.count["taken"] += 1
         if state is None:
             self.count["refused.no_configuration"] += 1
-            return refusal(503, AGAIN_MOST_MS)
+            return refusal(503, MAX_RETRY_AFTER_MS)
         headers = dict(head.headers)
         target = bytes(head.target)
         if not target.startswith(b"/"):
@@ -134,9 +138,9 @@
         name = headers.get(b"x-attempt-id", b"")
         if not name or sum(n == b"x-attempt-id" for n, _ in head.headers) > 1:
             return refusal(400)
-        given, allowed = _time_left(headers) - MARGIN_MS, route.timeout_ms
+        given, allowed = _time_left(headers) - RESPONSE_MARGIN_MS, route.timeout_ms
         caller = None
-        if route.affinity == "caller" or route.affinity is None and self.stay:
+        if route.affinity == "caller" or route.affinity is None and self.caller_affinity:
             finer = headers.get(route.affinity_header.lower().encode(), b"") if route.affinity_header else b""
             caller = caller_key(
                 tenant.name if tenant is not None else "", route.name, finer.decode("latin-1")
@@ -157,7 +161,7 @@
             verdict = await work.unless_ended(self.quota(tenant))
             if work.wanted and verdict is not None and not verdict.allowed:
                 self.count["refused.quota"] += 1
-                return refusal(429, self._again(taken.due, max(AGAIN_MS, verdict.retry_after_ms)))
+                return refusal(429, self._again(taken.due, max(RETRY_AFTER_MS, verdict.retry_after_ms)))
         # A close that came with the request is read in the loop's next turn, and before anything is sent.
         await asyncio.sleep(0)
         return await self._served(taken, work)
@@ -168,7 +172,7 @@
             work.end(Cause.SHUTDOWN)
 
     def _tenant(
-        self, state: InForce, route: Route, headers: dict[bytes, bytes]
+        self, state: ActiveConfiguration, route: Route, headers: dict[bytes, bytes]
     ) -> tuple[Tenant | None, Reply | None]:
         if not state.keys.needed:
             return None, None
@@ -181,9 +185,16 @@
 
     @staticmethod
     def _message(
-        state: InForce, head: h11.Request, target: bytes, name: bytes, body: bytes, tenant: Tenant | None
+        state: ActiveConfiguration,
+        head: h11.Request,
+        target: bytes,
+        name: bytes,
+        body: bytes,
+        tenant: Tenant | None,
     ) -> Message:
-        passed = passed_on(head.headers, _WITH_KEY if state.keys.needed else _OURS)
+        passed = end_to_end_headers(
+            head.headers, _LIMITER_AND_KEY_HEADERS if state.keys.needed else _LIMITER_HEADERS
+        )
         if body or head.method not in (b"GET", b"HEAD"):
             passed.append((b"Content-Length", b"%d" % len(body)))
         if tenant is not None:
@@ -192,7 +203,7 @@
 
     def _again(self, due: float, wanted: float) -> float:
         """When a refused request may come again: within a third of its time, as clients heed no longer."""
-        return max(1.0, min(wanted, AGAIN_MOST_MS, (due - self.wheel.now()) / 4.0))
+        return max(1.0, min(wanted, MAX_RETRY_AFTER_MS, (due - self.wheel.now()) / 4.0))
 
     # Attempts -----------------------------------------------------------------------------
 
@@ -204,7 +215,7 @@
         last = NextStep.REFUSE
         while True:
             now = self.wheel.now()
-            if now >= due - LEAST_MS:
+            if now >= due - MIN_TIME_LEFT_MS:
                 return self._own(course, NextStep.TIME_OUT if course.may_have_run else NextStep.REFUSE, due)
             if work.abandoned:
                 return self._ended(course, due)
@@ -221,7 +232,7 @@
                     otherwise is NextStep.FORWARD
                     and reply is not None
                     and (
-                        self.wheel.now() >= due - LEAST_MS
+                        self.wheel.now() >= due - MIN_TIME_LEFT_MS
                         or not work.wanted
                         or not self.budget.can_retry(self.wheel.now(), service)
                         or self._pick(self.wheel.now(), route, service, tried) is None
@@ -266,12 +277,14 @@
         route, message, due = taken.route, taken.message, taken.due
         first = self.servers.attempt(place, route.name, message, work)
         aim = route.setpoint_ms
-        patience = max(HEDGE_AIM * aim, HEDGE_LATE * self.choice.route_latency(route.name).p95)
+        patience = max(
+            MIN_HEDGE_DELAY_SETPOINTS * aim, HEDGE_P95_FACTOR * self.choice.route_latency(route.name).p95
+        )
         now = self.wheel.now()
         if (
             not course.safe
             or course.sent + 1 >= course.max_attempts
-            or patience > min(HEDGE_LAST * aim, due - now)
+            or patience > min(MAX_HEDGE_DELAY_SETPOINTS * aim, due - now)
         ):
             return await first
         tasks = {self._task(first)}
@@ -313,7 +326,7 @@
         step = course.without_false_refusal(step)
         self.count[f"own.{step.value}"] += 1
         if step is NextStep.REFUSE:
-            return refusal(503, self._again(due, AGAIN_MS * (1.0 + self.random.random())))
+            return refusal(503, self._again(due, RETRY_AFTER_MS * (1.0 + self.random.random())))
         return Reply(504 if step is NextStep.TIME_OUT else 502)
 
 
@@ -321,5 +334,5 @@
     try:
         left = float(headers.get(b"x-time-left", b""))
     except ValueError:
-        return NO_TIME_MS
-    return left if 0 <= left < 3_600_000.0 else NO_TIME_MS
+        return DEFAULT_TIME_LEFT_MS
+    return left if 0 <= left < 3_600_000.0 else DEFAULT_TIME_LEFT_MS
--- a/larklb/gateway/listener.py
+++ b/larklb/gateway/listener.py
@@ -22,17 +22,17 @@
 
 log = logging.getLogger("listener")
 
-BACKLOG = 512
-SWEEP_MS = 250.0
-READ_AWAY_MS = 2_000.0  # in which what arrives behind a refusal is thrown away ...
-MOST_READS = 64  # ... in so many reads: a close over unread bytes would lose the answer
-_UNREAD = (400, 408, 413, 431, 501)
+LISTEN_BACKLOG = 512
+SWEEP_INTERVAL_MS = 250.0
+LINGER_MS = 2_000.0  # in which what arrives behind a refusal is thrown away ...
+MAX_LINGER_READS = 64  # ... in so many reads: a close over unread bytes would lose the answer
+_LINGERING_STATUSES = (400, 408, 413, 431, 501)
 
 Answer = Callable[[h11.Request, bytes, Link], Awaitable[Reply]]
 
 
 @define
-class Bounds:
+class RequestLimits:
     """What a caller may send, and how long it may take or stay idle (ms)."""
 
     head_bytes: int = 64 * 1024
@@ -44,14 +44,14 @@
 class Listener:
     """One listening address."""
 
-    def __init__(self, wheel: Wheel, answer: Answer, most: int) -> None:
+    def __init__(self, wheel: Wheel, answer: Answer, max_connections: int) -> None:
         """``answer`` is asked for each request; ``most`` connections are kept at once."""
-        self.wheel, self.answer, self.most = wheel, answer, most
-        self.bounds = Bounds()
-        self.links: dict[Link, None] = {}
+        self.wheel, self.answer, self.max_connections = wheel, answer, max_connections
+        self.limits = RequestLimits()
+        self.connections: dict[Link, None] = {}
         self.tasks: set[asyncio.Task[None]] = set()
         self.server: asyncio.Server | None = None
-        self.leaving = False  # each connection ends with its next answer
+        self.draining = False  # each connection ends with its next answer
         self.closed = False
 
     async def start(self, host: str, port: int) -> None:
@@ -69,39 +69,39 @@
                 lambda: asyncio.StreamReaderProtocol(ClientReader(), connected, loop=loop),
                 host,
                 port,
-                backlog=BACKLOG,
+                backlog=LISTEN_BACKLOG,
                 reuse_address=True,
             )
         except OSError as error:
             raise AddressError(f"{host}:{port}: {error}") from error
-        self.wheel.after(SWEEP_MS, self._sweep)
+        self.wheel.after(SWEEP_INTERVAL_MS, self._sweep)
 
     def _sweep(self) -> None:
         """What says nothing, or hangs in the middle of a head, must not hold a descriptor for good."""
         if self.closed:
             return
-        self.wheel.after(SWEEP_MS, self._sweep)
+        self.wheel.after(SWEEP_INTERVAL_MS, self._sweep)
         now = self.wheel.now()
-        for link in list(self.links):
+        for link in list(self.connections):
             if link.busy:
                 if isinstance(link.reader, ClientReader):
                     link.reader.look_for_close(link.writer.get_extra_info("socket"))
-                if link.waits_since and now - link.waits_since > self.bounds.idle_ms:
+                if link.waits_since and now - link.waits_since > self.limits.idle_ms:
                     link.reader.give_up()  # in the middle of a body
                 continue
             if link.more():
                 link.begun = link.begun or now
-                if now - link.begun > self.bounds.head_ms:
+                if now - link.begun > self.limits.head_ms:
                     link.reader.give_up()
-            elif now - link.since > self.bounds.idle_ms or self.leaving and link.silent():
+            elif now - link.since > self.limits.idle_ms or self.draining and link.silent():
                 link.writer.close()
 
     def _make_room(self) -> bool:
-        if len(self.links) < self.most:
+        if len(self.connections) < self.max_connections:
             return True
-        for link in self.links:
+        for link in self.connections:
             if not link.busy and link.silent():
-                del self.links[link]
+                del self.connections[link]
                 link.abort()
                 return True
         return False
@@ -110,7 +110,7 @@
         if not self._make_room():
             link.abort()
             return
-        self.links[link] = None
+        self.connections[link] = None
         sock: socket.socket | None = link.writer.get_extra_info("socket")
         try:
             if sock is not None:
@@ -118,14 +118,14 @@
             while await self._message(link):
                 link.busy, link.begun, link.new = False, 0.0, False
                 link.since = self.wheel.now()
-                self.links.pop(link, None)
-                self.links[link] = None  # the one that rested longest stands first
+                self.connections.pop(link, None)
+                self.connections[link] = None  # the one that rested longest stands first
         except (OSError, h11.LocalProtocolError):
             pass  # the caller has gone, or what it does allows no answer
         except Exception:
             log.exception("listener: a connection failed.")
         finally:
-            self.links.pop(link, None)
+            self.connections.pop(link, None)
             link.writer.close()
 
     async def _message(self, link: Link) -> bool:
@@ -135,12 +135,12 @@
             if head is None:
                 return False
             link.busy = True
-            if (link.length or 0) > self.bounds.body_bytes:
+            if (link.length or 0) > self.limits.body_bytes:
                 raise TooLongError
             body = []
             while (part := await link.piece()) is not None:
                 body.append(part)
-                if link.size > self.bounds.body_bytes:
+                if link.size > self.limits.body_bytes:
                     raise TooLongError
         except LateError:
             return await self._refuse(link, 408)
@@ -149,7 +149,7 @@
         except h11.RemoteProtocolError as error:
             return False if link.reader.ended() else await self._refuse(link, error.error_status_hint)
         reply = await self.answer(head, b"".join(body), link)
-        close = reply.close or self.leaving
+        close = reply.close or self.draining
         self._write(link, reply, close, head.method)
         await link.writer.drain()
         return not close and not link.reader.ended() and link.again()
@@ -160,10 +160,10 @@
         if link.may_answer():
             self._write(link, Reply(status), True, b"GET")
             await link.writer.drain()
-            if status in _UNREAD:
-                timer = self.wheel.after(READ_AWAY_MS, link.abort)
+            if status in _LINGERING_STATUSES:
+                timer = self.wheel.after(LINGER_MS, link.abort)
                 link.writer.write_eof()
-                for _ in range(MOST_READS):
+                for _ in range(MAX_LINGER_READS):
                     if not await link.reader.read(64 * 1024):
                         break
                 timer.cancel()
@@ -184,24 +184,24 @@
             b"" if bodiless else reply.body,
         )
 
-    def leave(self) -> None:
+    def drain(self) -> None:
         """Connections end as they come to rest; new ones are still taken, for one answer each."""
-        self.leaving = True
+        self.draining = True
 
     def stop_listening(self) -> None:
         """Takes no more connections."""
         if self.server is not None:
             self.server.close()
 
-    def busy(self) -> int:
+    def active_requests(self) -> int:
         """Requests that are in work."""
-        return sum(link.busy or link.more() for link in self.links)
+        return sum(link.busy or link.more() for link in self.connections)
 
     async def close(self) -> None:
         """Ends everything."""
         self.closed = True
         self.stop_listening()
-        for link in list(self.links):
+        for link in list(self.connections):
             link.abort()
         for task in list(self.tasks):
             task.cancel()
--- a/larklb/gateway/main.py
+++ b/larklb/gateway/main.py
@@ -33,14 +33,14 @@
 from larklb.gateway.control import ControlApi, OperatorRequest
 from larklb.gateway.control_plane import ControlPlane
 from larklb.gateway.core import Core
+from larklb.gateway.data_plane import DataPlane, prepare_configuration
 from larklb.gateway.disk import DiskWriter
 from larklb.gateway.errors import AddressError, GatewayError, SettingsError
-from larklb.gateway.front import Front, in_force
-from larklb.gateway.listener import Bounds, Listener
+from larklb.gateway.listener import Listener, RequestLimits
 from larklb.gateway.messages import AnyMessage, CallResult, CapacityReport, InFlightMessage, QuotaMessage
 from larklb.gateway.options import Options
 from larklb.gateway.quota_exchange import QuotaExchange
-from larklb.gateway.servers import Reply, Servers
+from larklb.gateway.servers import Reply, ServerConnections
 from larklb.gateway.transport import Transport
 from larklb.gateway.zone_exchange import IN_FLIGHT_MS, ZoneExchange
 from larklb.membership.members import UP, Member
@@ -172,19 +172,21 @@
             node=settings.node,
         )
         sockets = max(64, settings.descriptors - RESERVED_DESCRIPTORS)
-        self.servers = Servers(self.wheel, self.choice, int(sockets * SERVER_SOCKET_SHARE), self.count)
-        self.front = Front(
+        self.server_connections = ServerConnections(
+            self.wheel, self.choice, int(sockets * SERVER_SOCKET_SHARE), self.count
+        )
+        self.data_plane = DataPlane(
             self.wheel,
-            self.servers,
+            self.server_connections,
             self.choice,
             self.budget,
             self.quota_exchange.request_verdict,
             self.random,
             self.count,
-            stay=startup_options.caller_affinity,
+            caller_affinity=startup_options.caller_affinity,
         )
         control = ControlApi(self._server_call, self._operator_call, partial(status.document, self))
-        self.edge = Listener(self.wheel, self.front.answer, int(sockets * CLIENT_SOCKET_SHARE))
+        self.edge = Listener(self.wheel, self.data_plane.answer, int(sockets * CLIENT_SOCKET_SHARE))
         self.control = Listener(self.wheel, control.answer, int(sockets * CONTROL_SOCKET_SHARE))
         self.readiness = Listener(self.wheel, self._serve_readiness, 16)
         self.metrics = Listener(self.wheel, self._serve_metrics, METRICS_CONNECTIONS)
@@ -242,7 +244,7 @@
 
     def _tick_zone_exchange(self) -> None:
         self.wheel.after(IN_FLIGHT_MS, self._tick_zone_exchange)
-        if self.front.now is not None:
+        if self.data_plane.active is not None:
             self.zone_exchange.tick(self.wheel.now())
 
     # Periodic work --------------------------------------------------------------------------------
@@ -310,7 +312,7 @@
     @property
     def version(self) -> int:
         """Version of the configuration in force on this limiter, 0 for none."""
-        return self.front.now.version if self.front.now is not None else 0
+        return self.data_plane.active.version if self.data_plane.active is not None else 0
 
     def _apply_configuration(self, document: dict[str, Any]) -> None:
         """Puts a committed configuration in force, unless it is not newer than the present one."""
@@ -321,9 +323,11 @@
         except SchemaError as error:
             log.error("gateway: a configuration is invalid: %s.", error)
             return
-        self.front.now = in_force(checked)
+        self.data_plane.active = prepare_configuration(checked)
         limits = checked.limits
-        self.edge.bounds = Bounds(limits.header_bytes, limits.body_bytes, limits.header_ms, limits.idle_ms)
+        self.edge.limits = RequestLimits(
+            limits.header_bytes, limits.body_bytes, limits.header_ms, limits.idle_ms
+        )
         self.saturation = {service.name: service.saturation for service in checked.services}
         self.quotas.set_allowances(
             self.wheel.now(),
@@ -371,7 +375,11 @@
         self._assign_callers(now)
 
     def _assign_callers(self, now: float) -> None:
-        if self.front.stay or self.front.now is not None and self.front.now.stay:
+        if (
+            self.data_plane.caller_affinity
+            or self.data_plane.active is not None
+            and self.data_plane.active.has_caller_affinity
+        ):
             self.choice.assign(now, self._limiter_count())
 
     def _limiter_count(self) -> int:
@@ -412,7 +420,7 @@
         synchronized = self.subscriber.ever_complete and (
             bool(self.choice.servers) or self.wheel.now() - self.started_at > READY_WITHOUT_SERVERS_MS
         )
-        return self.front.now is not None and synchronized and not self.leaving.is_set()
+        return self.data_plane.active is not None and synchronized and not self.leaving.is_set()
 
     async def _serve_readiness(self, head: Any, body: bytes, link: Any) -> Reply:
         if head.target.partition(b"?")[0] != b"/larklb/readiness":
@@ -437,19 +445,19 @@
         log.info("gateway: shutting down.")
         now, grace = self.wheel.now(), self.settings.bounds.grace_ms
         self.plane.leave(now)
-        self.edge.leave()
+        self.edge.drain()
         end = now + grace - min(SHUTDOWN_RESERVE_MS, grace * SHUTDOWN_RESERVE_FRACTION)
         await self.wheel.sleep(min(READINESS_DETECTION_MS, grace * 0.4))
         # A request accepted later might not be finished within the grace period.
         self.edge.stop_listening()
-        while self.wheel.now() < end and (self.edge.busy() or self.control.busy()):
+        while self.wheel.now() < end and (self.edge.active_requests() or self.control.active_requests()):
             await self.wheel.sleep(20.0)
-        if self.edge.busy():
-            self.front.shut_down()
+        if self.edge.active_requests():
+            self.data_plane.shut_down()
             await self.wheel.sleep(SHUTDOWN_FLUSH_MS)
         for listener in (self.edge, self.control, self.readiness, self.metrics):
             await listener.close()
-        self.servers.close()
+        self.server_connections.close()
         await self.transport.stop()
         if self.disk is not None:
             self.disk.close()
--- a/larklb/gateway/request_work.py
+++ b/larklb/gateway/request_work.py
@@ -13,7 +13,11 @@
 from larklb.net.http import Link
 from larklb.wheel import Timer, Wheel
 
-WENT_ON_MS = (100, 500, 2_000)  # work that ended later than this after its client's close is counted
+CONTINUED_WORK_BOUNDS_MS = (
+    100,
+    500,
+    2_000,
+)  # work that ended later than this after its client's close is counted
 T = TypeVar("T")
 
 
@@ -142,6 +146,6 @@
             return
         went_on = self.wheel.now() - self._closed_at
         kind = "safe" if self.safe else "unsafe"
-        for bound in WENT_ON_MS:
+        for bound in CONTINUED_WORK_BOUNDS_MS:
             if went_on > bound:
                 self.count[f"client_gone.{kind}.went_on.{bound}ms"] += 1
--- a/larklb/gateway/servers.py
+++ b/larklb/gateway/servers.py
@@ -20,20 +20,26 @@
 from larklb.net.http import LateError, Link, TooLongError, dial, finished
 from larklb.wheel import Wheel
 
-MOST_ANSWER = 32 * 1024 * 1024  # bytes of an answer that are held
-IDLE_MS = 4_000.0  # a connection that rests is closed after so long, where the server tells no time
+MAX_ANSWER_BYTES = 32 * 1024 * 1024  # bytes of an answer that are held
+DEFAULT_IDLE_TIMEOUT_MS = (
+    4_000.0  # a connection that rests is closed after so long, where the server tells no time
+)
 # ...
-IDLE_PART = 0.4  # ... or after this part of the time that it tells
-SAFE_REST_MS = 1_500.0  # an unsafe request goes only on a connection that rested less: it can't go twice
-REST_MS = 10.0  # from an answer to the next use of its connection: what follows it has come then
-DIAL_NEAR_MS = 250.0  # for a connection to come up in this region ...
-DIAL_FAR_MS = 600.0  # ... and in another
-STRAY = 2  # answers to other requests that are read away before the one that was asked for
-SWEEP_MS = 500.0
-LEAST_MS = 4.0  # left of the time, below which nothing is sent any more
-FAILED_LONG_MS = 10_000.0  # another server has the address: until the registry tells
-
-_HOP = frozenset(
+IDLE_TIMEOUT_FRACTION = 0.4  # ... or after this part of the time that it tells
+MAX_IDLE_FOR_UNSAFE_MS = (
+    1_500.0  # an unsafe request goes only on a connection that rested less: it can't go twice
+)
+MIN_IDLE_BEFORE_REUSE_MS = (
+    10.0  # from an answer to the next use of its connection: what follows it has come then
+)
+REGIONAL_DIAL_TIMEOUT_MS = 250.0  # for a connection to come up in this region ...
+REMOTE_DIAL_TIMEOUT_MS = 600.0  # ... and in another
+MAX_STRAY_ANSWERS = 2  # answers to other requests that are read away before the one that was asked for
+SWEEP_INTERVAL_MS = 500.0
+MIN_TIME_LEFT_MS = 4.0  # left of the time, below which nothing is sent any more
+MISDIRECTED_EJECTION_MS = 10_000.0  # another server has the address: until the registry tells
+
+_HOP_BY_HOP_HEADERS = frozenset(
     (
         b"connection",
         b"keep-alive",
@@ -46,7 +52,7 @@
         b"upgrade",
     )
 )
-_TIMEOUT = re.compile(rb"timeout\s*=\s*(\d+)", re.IGNORECASE)
+_KEEP_ALIVE_TIMEOUT = re.compile(rb"timeout\s*=\s*(\d+)", re.IGNORECASE)
 Headers = list[tuple[bytes, bytes]]
 
 
@@ -73,7 +79,9 @@
     length: bytes = b""  # of a body that is told and not sent (HEAD)
 
 
-def passed_on(headers: Iterable[tuple[bytes, bytes]], beside: frozenset[bytes] = frozenset()) -> Headers:
+def end_to_end_headers(
+    headers: Iterable[tuple[bytes, bytes]], beside: frozenset[bytes] = frozenset()
+) -> Headers:
     """Headers but those of one connection, the length, and those named ``beside``."""
     named = {
         part.strip().lower() for name, value in headers if name == b"connection" for part in value.split(b",")
@@ -81,26 +89,31 @@
     return [
         (name, value)
         for name, value in headers
-        if name not in _HOP and name != b"content-length" and name not in named and name not in beside
+        if name not in _HOP_BY_HOP_HEADERS
+        and name != b"content-length"
+        and name not in named
+        and name not in beside
     ]
 
 
-class Servers:
+class ServerConnections:
     """All connections to servers."""
 
-    def __init__(self, wheel: Wheel, choice: ServerSelector, most: int, count: dict[str, int]) -> None:
-        """``most`` connections may be open; ``count`` takes what is counted."""
-        self.wheel, self.choice, self.most, self.count = wheel, choice, most, count
+    def __init__(
+        self, wheel: Wheel, choice: ServerSelector, max_connections: int, count: dict[str, int]
+    ) -> None:
+        """``max_connections`` connections may be open; ``count`` takes what is counted."""
+        self.wheel, self.choice, self.max_connections, self.count = wheel, choice, max_connections, count
         self.pools: defaultdict[str, list[tuple[Link, float]]] = defaultdict(list)  # by id, with its last
         # time
-        self.open = 0
+        self.open_connections = 0
         self.unnamed: set[Link] = set()  # connections on which an answer came that named no request
-        wheel.after(SWEEP_MS, self._sweep)
+        wheel.after(SWEEP_INTERVAL_MS, self._sweep)
 
     # Connections --------------------------------------------------------------------------
 
     def _sweep(self) -> None:
-        self.wheel.after(SWEEP_MS, self._sweep)
+        self.wheel.after(SWEEP_INTERVAL_MS, self._sweep)
         now = self.wheel.now()
         for name, pool in list(self.pools.items()):
             place = self.choice.servers.get(name)
@@ -119,7 +132,7 @@
         link.reader.on_end = None
         link.abort()
         self.unnamed.discard(link)
-        self.open -= 1
+        self.open_connections -= 1
 
     def _pooled(self, name: str, safe: bool) -> Link | None:
         now = self.wheel.now()
@@ -127,9 +140,9 @@
         for index in range(len(pool) - 1, -1, -1):
             link, until = pool[index]
             rested = now - link.since
-            if rested < REST_MS:
+            if rested < MIN_IDLE_BEFORE_REUSE_MS:
                 continue
-            if now >= until or not safe and rested > SAFE_REST_MS:
+            if now >= until or not safe and rested > MAX_IDLE_FOR_UNSAFE_MS:
                 break
             if not safe and link in self.unnamed:
                 continue  # a copy of that answer could pass for the next one, and say that it has not run
@@ -144,16 +157,16 @@
             self._end(link)
             return
         link.since = self.wheel.now()
-        idle = IDLE_MS
+        idle = DEFAULT_IDLE_TIMEOUT_MS
         for header, value in answer.headers if answer is not None else ():
-            if header == b"keep-alive" and (told := _TIMEOUT.search(value)):
-                idle = min(idle, int(told[1]) * 1000.0 * IDLE_PART)
+            if header == b"keep-alive" and (told := _KEEP_ALIVE_TIMEOUT.search(value)):
+                idle = min(idle, int(told[1]) * 1000.0 * IDLE_TIMEOUT_FRACTION)
         link.reader.on_end, link.reader.quiet = lambda: self._drop(name, link), True
         self.pools[name].append((link, link.since + idle))
 
     def _make_room(self) -> bool:
         """Whether one connection more may be opened, if need be in place of the one that rested longest."""
-        if self.open < self.most:
+        if self.open_connections < self.max_connections:
             return True
         rests = [(pool[0][0].since, name) for name, pool in self.pools.items() if pool]
         if not rests:
@@ -166,7 +179,7 @@
         if not self._make_room():
             self.count["no_descriptor"] += 1
             return None
-        self.open += 1
+        self.open_connections += 1
         self.count["dialled"] += 1
         host, _, port = place.address.rpartition(":")
         dialling = attempt.dialling = asyncio.ensure_future(dial(host, int(port)))
@@ -176,7 +189,7 @@
         finally:
             attempt.dialling = None
             if link is None:
-                self.open -= 1
+                self.open_connections -= 1
         return link
 
     # Attempts -----------------------------------------------------------------------------
@@ -204,7 +217,7 @@
         link = self._pooled(place.id, work.safe)
         if link is None:
             near = choice.regions.get(place.zone) == choice.regions.get(choice.zone)
-            within = min(work.due - started, DIAL_NEAR_MS if near else DIAL_FAR_MS)
+            within = min(work.due - started, REGIONAL_DIAL_TIMEOUT_MS if near else REMOTE_DIAL_TIMEOUT_MS)
             link = await self._dial(place, within, attempt)
             if link is None:
                 if attempt.ended_by is None or attempt.out_of_time:
@@ -216,7 +229,7 @@
         left = work.due - now
         # A dial takes time: the server may have begun to leave meanwhile.
         gone = place.draining or choice.servers.get(place.id) is not place
-        if attempt.ended_by is not None or left < LEAST_MS or gone:
+        if attempt.ended_by is not None or left < MIN_TIME_LEFT_MS or gone:
             choice.release(place)
             self._end(link)
             return AttemptOutcome.UNSENT, None
@@ -269,14 +282,14 @@
         self, link: Link, head: h11.Request, message: Message
     ) -> tuple[h11.Response | None, bytes]:
         """The answer that has this request's id; None where the connection brings none that can be used."""
-        for _ in range(STRAY + 1):
+        for _ in range(MAX_STRAY_ANSWERS + 1):
             answer = await link.head()
             if answer is None:
                 return None, b""
             body = []
             while (part := await link.piece()) is not None:
                 body.append(part)
-                if link.size > MOST_ANSWER:
+                if link.size > MAX_ANSWER_BYTES:
                     raise TooLongError
             told = [value for name, value in answer.headers if name == b"x-attempt-id"]
             if not told or told == [message.id]:
@@ -315,7 +328,7 @@
                 return AttemptOutcome.BROKEN, None
             if status == 421:
                 choice.record_failure(now, place, False)
-                place.ejected_until = now + FAILED_LONG_MS
+                place.ejected_until = now + MISDIRECTED_EJECTION_MS
             else:
                 choice.record_rejection(now, place)
             self.count["turned_away"] += 1
@@ -332,7 +345,7 @@
             self._told(now, place, load)
         reply = Reply(
             status,
-            passed_on(answer.headers),
+            end_to_end_headers(answer.headers),
             body,
             bytes(answer.reason),
             length=headers.get(b"content-length", b"") if message.method == b"HEAD" else b"",
--- a/larklb/gateway/status.py
+++ b/larklb/gateway/status.py
@@ -161,9 +161,9 @@
         "counts": dict(limiter.count),
         "words": dict(limiter.transport.counts),
         "open": {
-            "clients": len(limiter.edge.links),
-            "control": len(limiter.control.links),
-            "servers": limiter.servers.open,
+            "clients": len(limiter.edge.connections),
+            "control": len(limiter.control.connections),
+            "servers": limiter.server_connections.open_connections,
         },
     }
 
--- a/larklb/lab/emulator.py
+++ b/larklb/lab/emulator.py
@@ -19,8 +19,15 @@
 from larklb.admission.budget import RetryBudget
 from larklb.admission.choice import ServerSelector, ServerState
 from larklb.admission.tries import AttemptHistory, AttemptOutcome, NextStep
-from larklb.gateway.front import AGAIN_MOST_MS, AGAIN_MS, HEDGE_AIM, HEDGE_LAST, HEDGE_LATE, MARGIN_MS
-from larklb.gateway.servers import DIAL_NEAR_MS, IDLE_MS, LEAST_MS
+from larklb.gateway.data_plane import (
+    HEDGE_P95_FACTOR,
+    MAX_HEDGE_DELAY_SETPOINTS,
+    MAX_RETRY_AFTER_MS,
+    MIN_HEDGE_DELAY_SETPOINTS,
+    RESPONSE_MARGIN_MS,
+    RETRY_AFTER_MS,
+)
+from larklb.gateway.servers import DEFAULT_IDLE_TIMEOUT_MS, MIN_TIME_LEFT_MS, REGIONAL_DIAL_TIMEOUT_MS
 from larklb.lab.emulator_deployment import Deployment, Route, Service, Trouble
 from larklb.lab.emulator_figures import Figures
 
@@ -315,7 +322,7 @@
 
     def _arrived(self, request: Request, limiter: Limiter) -> None:
         left = request.born + request.route.deadline - self.now
-        handled = Handled(request, limiter, self.now + left - MARGIN_MS)
+        handled = Handled(request, limiter, self.now + left - RESPONSE_MARGIN_MS)
         limiter.budget.record_request(self.now, request.route.service)
         self._go(handled)
 
@@ -331,8 +338,8 @@
         again = request.tries < CLIENT_TRIES and (step is NextStep.REFUSE or request.route.safe)
         pause = 0.0
         if step is NextStep.REFUSE:
-            pause = max(1.0, min(AGAIN_MS * (1 + self.links.random()), AGAIN_MOST_MS, left / 4.0))
-        if again and left > pause + 2 * self.d.client + MARGIN_MS + LEAST_MS:
+            pause = max(1.0, min(RETRY_AFTER_MS * (1 + self.links.random()), MAX_RETRY_AFTER_MS, left / 4.0))
+        if again and left > pause + 2 * self.d.client + RESPONSE_MARGIN_MS + MIN_TIME_LEFT_MS:
             self._at(at + pause, self._send, request, self.links)
         else:
             self._over(request, math.inf)
@@ -348,7 +355,7 @@
 
     def _go(self, handled: Handled) -> None:
         now, course, choice, route = self.now, handled.course, handled.limiter.choice, handled.request.route
-        if now >= handled.due - LEAST_MS:
+        if now >= handled.due - MIN_TIME_LEFT_MS:
             self._own(handled, NextStep.TIME_OUT if course.may_have_run else NextStep.REFUSE)
             return
         place = choice.pick(now, route.service, route.name, route.aim, handled.tried)
@@ -357,9 +364,10 @@
             self._own(handled, handled.last)
             return
         self._attempt(handled, place)
-        patience = max(HEDGE_AIM * route.aim, HEDGE_LATE * choice.route_latency(route.name).p95)
+        patience = max(MIN_HEDGE_DELAY_SETPOINTS * route.aim,
+                       HEDGE_P95_FACTOR * choice.route_latency(route.name).p95)
         if course.safe and course.sent + 1 < course.max_attempts \
-                and patience <= min(HEDGE_LAST * route.aim, handled.due - now):
+                and patience <= min(MAX_HEDGE_DELAY_SETPOINTS * route.aim, handled.due - now):
             self._at(now + patience, self._hedge, handled, course.sent)
 
     def _hedge(self, handled: Handled, sent: int) -> None:
@@ -388,13 +396,14 @@
         server = self.servers[place.id]
         attempt, way = Attempt(handled, place, server, now), self._way(limiter, server)
         rests = limiter.rests.get(place.id, [])
-        while rests and now - rests[0] > IDLE_MS:
+        while rests and now - rests[0] > DEFAULT_IDLE_TIMEOUT_MS:
             del rests[0]
         if rests:
             rests.pop()
             self._at(now + way, self._reach, attempt)
         elif server.dark:
-            self._at(min(handled.due, now + DIAL_NEAR_MS), self._ended, attempt, AttemptOutcome.UNSENT)
+            self._at(min(handled.due, now + REGIONAL_DIAL_TIMEOUT_MS), self._ended, attempt,
+                     AttemptOutcome.UNSENT)
         elif server.gone:
             self._at(now + 2 * way, self._ended, attempt, AttemptOutcome.UNSENT)
         else:
--- a/tests/test_gateway_process.py
+++ b/tests/test_gateway_process.py
@@ -17,9 +17,9 @@
 from larklb.admission.choice import ServerSelector, ServerState
 from larklb.admission.quota_records import Verdict
 from larklb.gateway import servers as servers_module
-from larklb.gateway.front import Front, in_force
-from larklb.gateway.listener import Bounds, Listener
-from larklb.gateway.servers import Servers
+from larklb.gateway.data_plane import DataPlane, prepare_configuration
+from larklb.gateway.listener import Listener, RequestLimits
+from larklb.gateway.servers import ServerConnections
 from larklb.net.http import dial
 from larklb.schema import configuration as schema
 from larklb.schema.configuration import Tenant
@@ -145,20 +145,20 @@
     tasks: set[asyncio.Task[None]] = field(factory=set)
     wheel: Wheel = field(init=False)
     choice: ServerSelector = field(init=False)
-    servers: Servers = field(init=False)
-    front: Front = field(init=False)
+    servers: ServerConnections = field(init=False)
+    front: DataPlane = field(init=False)
     door: Listener = field(init=False)
 
     async def start(self) -> None:
         self.wheel, self.choice = Wheel(1.0), ServerSelector("z", {"z": "r"}, 1)
         count = Counter[str]()
-        self.servers = Servers(self.wheel, self.choice, 20, count)
+        self.servers = ServerConnections(self.wheel, self.choice, 20, count)
         budget = RetryBudget(0.2, 10_000, 100, 1, self.wheel.now(), first_start=True)
 
         async def quota(tenant: Tenant) -> Verdict | None:
             return self.verdict
-        self.front = Front(self.wheel, self.servers, self.choice, budget, quota, random.Random(1), count)
-        self.front.now = in_force(schema.check(document(self.tenants), 0))
+        self.front = DataPlane(self.wheel, self.servers, self.choice, budget, quota, random.Random(1), count)
+        self.front.active = prepare_configuration(schema.check(document(self.tenants), 0))
         self.door = Listener(self.wheel, self.front.answer, 20)
         await self.door.start("127.0.0.1", 0)
         assert self.door.server is not None
@@ -363,7 +363,7 @@
 
 def test_an_order_doesnt_go_where_an_answer_named_no_request(monkeypatch: pytest.MonkeyPatch) -> None:
     """A copy of that answer, come late, would say of the order that it has not run."""
-    monkeypatch.setattr("larklb.gateway.servers.REST_MS", 0.0)
+    monkeypatch.setattr("larklb.gateway.servers.MIN_IDLE_BEFORE_REUSE_MS", 0.0)
 
     async def test(bed: Bed) -> None:
         bed.steps = [says(lambda c: b"HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")]
@@ -383,7 +383,7 @@
     async def test(bed: Bed) -> None:
         bed.steps = [says(lambda c: c.answer(), ends=True)]
         await bed.ask("unsafe")
-        await bed.until(lambda: not bed.servers.open)
+        await bed.until(lambda: not bed.servers.open_connections)
         assert (await bed.ask("unsafe", name=b"a2")).status == 200 and len(bed.seen) == 2
     played(test)
 
@@ -461,7 +461,7 @@
         assert got.status == 429 and float(got.headers[b"retry-after"]) >= 0.05 and len(bed.seen) == 1
         bed.verdict = Verdict(True, 0.0, "owner")
         assert (await bed.ask("unsafe", more=bearer % b"k1")).status == 200
-        bed.front.now = None
+        bed.front.active = None
         got = await bed.ask("unsafe", more=bearer % b"k1")
         assert got.status == 503 and b"retry-after" in got.headers
     played(test, tenants=True)
@@ -494,7 +494,7 @@
         assert (await bed.ask("safe")).body == b"whole" and len(bed.seen) == 2
         await broken_off.wait()
         await bed.until(lambda: not bed.front.background)
-        assert bed.servers.open == 1 and all(not p.in_flight for p in bed.choice.servers.values())
+        assert bed.servers.open_connections == 1 and all(not p.in_flight for p in bed.choice.servers.values())
         bed.steps = [hangs]
         assert (await bed.ask("unsafe", left=400)).status == 504 and len(bed.seen) == 3
     played(test)
@@ -538,21 +538,21 @@
         bed.steps = [works]
         writer.write(request("unsafe"))
         await bed.at_work.wait()
-        bed.door.leave()
-        assert bed.door.busy() == 1
+        bed.door.drain()
+        assert bed.door.active_requests() == 1
         got = await bed.ask("safe", name=b"a2")       # whoever comes still is served, once
         assert (got.status, got.headers[b"connection"]) == (200, b"close")
         assert not await idle.read()                  # closed with nothing lost
         bed.go_on.set()
         mine = await read(reader)
         assert mine is not None and (mine.body, mine.headers[b"connection"]) == (b"whole", b"close")
-        assert await read(reader) is None and not bed.door.busy()
+        assert await read(reader) is None and not bed.door.active_requests()
     played(test)
 
 
 def test_what_clients_may_send_is_bounded() -> None:
     async def test(bed: Bed) -> None:
-        bed.door.bounds = Bounds(body_bytes=10, head_ms=40, idle_ms=60)
+        bed.door.limits = RequestLimits(body_bytes=10, head_ms=40, idle_ms=60)
         assert (await bed.ask("unsafe", body=b"x" * 11)).status == 413
         reader, writer = await bed.client()
         chunked = request("unsafe", b"PUT", more=b"Transfer-Encoding: chunked\r\n")
@@ -575,7 +575,7 @@
 
 def test_body_that_stops_coming_holds_no_connection() -> None:
     async def test(bed: Bed) -> None:
-        bed.door.bounds = Bounds(head_ms=40, idle_ms=60)
+        bed.door.limits = RequestLimits(head_ms=40, idle_ms=60)
         reader, writer = await bed.client()
         writer.write(request("unsafe")[:-2])
         got = await read(reader)
@@ -588,9 +588,9 @@
     async def test(bed: Bed) -> None:
         clients = [await bed.client() for _ in range(25)]
         assert not await clients[0][0].read()         # the one that rested longest makes room
-        assert (await bed.ask("safe")).status == 200 and len(bed.door.links) <= 20
-        bed.servers.most = 1
+        assert (await bed.ask("safe")).status == 200 and len(bed.door.connections) <= 20
+        bed.servers.max_connections = 1
         bed.choice.servers[bed.seen[0].server].draining = True
         assert (await bed.ask("safe", name=b"a2")).status == 200
-        assert bed.connections == 2 and bed.servers.open == 1
+        assert bed.connections == 2 and bed.servers.open_connections == 1
     played(test)
--- a/tests/test_request_cancellation.py
+++ b/tests/test_request_cancellation.py
@@ -85,7 +85,7 @@
 
 def settled(bed: Bed) -> bool:
     """Nothing is in work, and no server is held to have any of it, or to be worse for it."""
-    return not bed.door.busy() and all(
+    return not bed.door.active_requests() and all(
         not p.in_flight and not p.consecutive_failures for p in bed.choice.servers.values())
 
 
@@ -124,7 +124,7 @@
         await bed.until(lambda: len(bed.seen) == 2)
         writer.close()
         assert await soon(lambda: ends == [BROKEN_OFF] * 2), ends
-        assert await soon(lambda: not bed.door.busy() and not bed.front.background)
+        assert await soon(lambda: not bed.door.active_requests() and not bed.front.background)
         assert all(not place.in_flight for place in bed.choice.servers.values())
     played(test)
 
@@ -197,7 +197,7 @@
         assert await soon(lambda: settled(bed)), "the dial is called off, and blames nobody"
         bed.go_on.set()
         await asyncio.sleep(0.05)
-        assert not bed.seen and not bed.servers.open
+        assert not bed.seen and not bed.servers.open_connections
     played(test)
 
 
@@ -218,7 +218,7 @@
         writer.close()
         await asyncio.sleep(0.05)
         bed.go_on.set()
-        assert await soon(lambda: not bed.door.busy())
+        assert await soon(lambda: not bed.door.active_requests())
         await asyncio.sleep(0.05)
         assert len(bed.seen) == 1
     played(test)
