--- a/larklb/gateway/__init__.py
+++ b/larklb/gateway/__init__.py
@@ -1,5 +1,5 @@
-"""The process: fronts, connections to servers, links between limiters, the loop (gateway: the gate water
-passes).
+"""The process of a gateway instance: listeners, connections to servers, messages between limiters, and the
+periodic work.
 
-The only package that sees sockets, disks and clocks; it must never decide what another package decides.
+This is the only package that uses sockets, disks and clocks. It leaves all decisions to the other packages.
 """
--- a/larklb/gateway/__main__.py
+++ b/larklb/gateway/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m larklb.gateway``: one limiter of the system."""
+"""Runs one limiter: ``python -m larklb.gateway``."""
 
 import os
 import sys
@@ -8,4 +8,5 @@
 if __name__ == "__main__":
     status = main()
     sys.stdout.flush()
-    os._exit(status)  # a write that hangs on the disk must not hold the process
+    # A write that hangs on the disk must not keep the process from ending.
+    os._exit(status)
--- a/larklb/gateway/disk.py
+++ b/larklb/gateway/disk.py
@@ -1,4 +1,5 @@
-"""Saves of a core machine's replica, in a thread of their own, so that a slow disk never holds the loop."""
+"""Saves of a core machine's replica, done in a separate thread so that a slow disk never blocks the event
+loop."""
 
 from __future__ import annotations
 
@@ -14,11 +15,12 @@
 
 log = logging.getLogger("core")
 
-RETRY_MS = 200.0  # after a save failed, until the next look at the disk
+# Time from a failed save to the next attempt.
+SAVE_RETRY_MS = 200.0
 
 
 class DiskWriter:
-    """Carries out the saves of ``core``, which is set before the first one."""
+    """Executes the saves of ``core``, which must be set before the first one."""
 
     core: Core
 
@@ -28,7 +30,7 @@
         self.saving: asyncio.Future[None] | None = None
 
     def save(self, ready: Ready) -> None:
-        """Begins a save; there is never a second one before its end."""
+        """Starts a save; the caller starts no other one before its end."""
         self.saving = asyncio.ensure_future(self._save(ready))
 
     async def _save(self, ready: Ready) -> None:
@@ -36,10 +38,10 @@
         try:
             await asyncio.get_running_loop().run_in_executor(self.pool, self.store.save, ready.save or {})
         except StorageError as error:
-            log.warning("core: the disk refused a write: %s.", error)
+            log.warning("core: write to disk failed: %s.", error)
             ok = False
         except Exception:
-            log.exception("core: a save failed.")
+            log.exception("core: save failed unexpectedly.")
             ok = False
         finally:
             self.saving = None
@@ -47,11 +49,11 @@
         if ok:
             self._process_ready()
         else:
-            self.wheel.after(RETRY_MS, self._process_ready)
+            self.wheel.after(SAVE_RETRY_MS, self._process_ready)
 
     def _process_ready(self) -> None:
         self.core.process_ready(self.wheel.now())
 
     def close(self) -> None:
-        """No more writes; one that hangs is left to itself."""
+        """Cancels the writes that have not started, and does not wait for one that hangs."""
         self.pool.shutdown(wait=False, cancel_futures=True)
--- a/larklb/gateway/errors.py
+++ b/larklb/gateway/errors.py
@@ -1,12 +1,13 @@
-"""Errors of the process."""
+"""Exceptions of the gateway."""
 
 
 class GatewayError(Exception):
-    """Of this layer."""
+    """Base class of the exceptions of this package."""
 
 
 class SettingsError(GatewayError):
-    """The settings file can't be used; the text says file, field, value and what would do."""
+    """The settings file can't be used; the message names the file, the field, its value and what is
+    allowed."""
 
 
 class AddressError(GatewayError):
@@ -14,8 +15,10 @@
 
 
 class MessageError(GatewayError):
-    """A message of another limiter can't be read. ``protocol``: that of its ``sender``, as far as known."""
+    """A message of another limiter can't be decoded.
 
-    def __init__(self, sender: str, protocol: object, why: str) -> None:
-        super().__init__(why)
+    ``protocol`` is the protocol version of its ``sender``, if it could be read."""
+
+    def __init__(self, sender: str, protocol: object, reason: str) -> None:
+        super().__init__(reason)
         self.sender, self.protocol = sender, protocol
--- a/larklb/gateway/forwarding.py
+++ b/larklb/gateway/forwarding.py
@@ -1,9 +1,10 @@
-"""Calls that this limiter passes on to another one, until their answers come.
+"""Calls that this limiter has forwarded to another one, until they are answered.
 
-Without I/O: ``send`` and ``after`` are the caller's. An answer settles a call only if it comes from the
-machine that was asked, and names this process's session and the call's number: numbers begin anew in each
-process, and an answer to the process before, or of a machine that was asked something else, must not settle
-a call of this one."""
+There is no I/O: the caller provides ``send`` and ``after``. An answer settles a call only if it comes from
+the machine that was asked, and repeats this process's session id and the call's number. Numbers start at 1 in
+each process, so an answer to the previous process, or from another machine, could otherwise settle the wrong
+call.
+"""
 
 from __future__ import annotations
 
@@ -15,17 +16,19 @@
 
 from larklb.gateway.messages import CallAnswer, ForwardedCall, Message
 
-Answered = Callable[[CallAnswer | None], object]
+AnswerHandler = Callable[[CallAnswer | None], object]
 
-CALL_MS = 850.0  # for an answer of another limiter: callers wait a second
-MAX_PENDING_CALLS = 1024  # calls that wait at the same time; more are given up at once
+# Time for an answer of another limiter; callers wait for one second.
+CALL_TIMEOUT_MS = 850.0
+# Calls beyond this number fail at once.
+MAX_PENDING_CALLS = 1024
 
 
 class Cancellable(Protocol):
-    """A timer that has been set."""
+    """A timer that is running."""
 
     def cancel(self) -> None:
-        """It doesn't go off any more."""
+        """Stops the timer."""
 
 
 After = Callable[[float, Callable[[], object]], Cancellable]
@@ -33,41 +36,42 @@
 
 @define
 class PendingCall:
-    """A call that was sent to the machine at ``ip``."""
+    """A call that was sent to the machine at ``ip``; ``done`` is called with its answer, or with None."""
 
     ip: str
-    done: Answered
+    done: AnswerHandler
     timer: Cancellable | None = None
 
 
 @define
 class CallForwarder:
-    """Of one process. ``session``: random, of this process alone."""
+    """The forwarded calls of one process. ``session`` is a random id of this process."""
 
     session: str
     send: Callable[[str, Message], object]
     after: After
     pending: dict[int, PendingCall] = field(factory=dict)
-    last: int = 0
+    last_number: int = 0
 
-    def forward(self, ip: str, call: ForwardedCall, done: Answered) -> None:
-        """Passes a call on, under a number and session of its own; ``done`` is called once, with the answer,
-        or None where none comes in time."""
+    def forward(self, ip: str, call: ForwardedCall, done: AnswerHandler) -> None:
+        """Forwards a call to the machine at ``ip`` under a number of its own.
+
+        ``done`` is called once: with the answer, or with None if there is none in time."""
         if len(self.pending) >= MAX_PENDING_CALLS:
             done(None)
             return
-        self.last += 1
-        number = self.last
+        self.last_number += 1
+        number = self.last_number
         self.pending[number] = pending = PendingCall(ip, done)
-        pending.timer = self.after(CALL_MS, lambda: self._give_up(number))
+        pending.timer = self.after(CALL_TIMEOUT_MS, lambda: self._time_out(number))
         self.send(ip, msgspec.structs.replace(call, number=number, session=self.session))
 
-    def _give_up(self, number: int) -> None:
+    def _time_out(self, number: int) -> None:
         if (pending := self.pending.pop(number, None)) is not None:
             pending.done(None)
 
     def handle_answer(self, answer: CallAnswer) -> bool:
-        """An answer has come; whether it settled a call."""
+        """Handles an answer; returns whether it has settled a call."""
         pending = self.pending.get(answer.number)
         if pending is None or answer.session != self.session or answer.address != pending.ip:
             return False
--- a/larklb/gateway/main.py
+++ b/larklb/gateway/main.py
@@ -42,7 +42,7 @@
 from larklb.gateway.quota_exchange import QuotaExchange
 from larklb.gateway.servers import Reply, ServerConnections
 from larklb.gateway.transport import Transport
-from larklb.gateway.zone_exchange import IN_FLIGHT_MS, ZoneExchange
+from larklb.gateway.zone_exchange import IN_FLIGHT_INTERVAL_MS, ZoneExchange
 from larklb.membership.members import UP, Member
 from larklb.net.http import Link
 from larklb.registry import registry
@@ -243,7 +243,7 @@
             log.warning("gateway: no metrics: %s.", error)
 
     def _tick_zone_exchange(self) -> None:
-        self.wheel.after(IN_FLIGHT_MS, self._tick_zone_exchange)
+        self.wheel.after(IN_FLIGHT_INTERVAL_MS, self._tick_zone_exchange)
         if self.data_plane.active is not None:
             self.zone_exchange.tick(self.wheel.now())
 
--- a/larklb/gateway/messages.py
+++ b/larklb/gateway/messages.py
@@ -1,4 +1,4 @@
-"""All messages between limiters, and how they are encoded: one JSON object a line."""
+"""All messages between limiters, and their encoding: one JSON object per line."""
 
 from __future__ import annotations
 
@@ -12,30 +12,31 @@
 from larklb.registry.messages import ConfigVersion, RegistryMessage
 from larklb.schema.errors import PROBLEMS_KEPT
 
-PROTOCOL = 2  # of the messages between limiters; another one is not understood
+# Version of the protocol between limiters; messages of any other version are rejected.
+PROTOCOL = 2
 
 Document = dict[str, Any]
 
 
 class Raft(Message, frozen=True, kw_only=True, tag="raft"):
-    """A message of the replica on ``disk`` to another replica: see ``consensus.messages``."""
+    """A message from the configuration replica on ``disk`` to another one; see ``consensus.messages``."""
 
     disk: str = msgspec.field(name="d")
     message: dict[str, Any] = msgspec.field(name="m")
 
 
 class Peek(Message, frozen=True, kw_only=True, tag="peek"):
-    """Asks a core machine for the newest configuration's version."""
+    """Requests the version of the newest configuration from a core machine."""
 
 
 class ConfigurationOffer(Message, frozen=True, kw_only=True, tag="offer"):
-    """The newest configuration, in answer to ``Peek``."""
+    """The version of the newest configuration, in answer to ``Peek``."""
 
     offer: ConfigVersion = msgspec.field(name="cfg")
 
 
 class Fetch(Message, frozen=True, kw_only=True, tag="fetch"):
-    """Asks a core machine for the newest configuration."""
+    """Requests the newest configuration from a core machine."""
 
 
 class Configuration(Message, frozen=True, kw_only=True, tag="config"):
@@ -45,22 +46,22 @@
 
 
 class ForwardedCall(Message, frozen=True, kw_only=True):
-    """A call that its receiver is to settle. The answer repeats ``number`` and ``session``, random of the
-    process that passes the call on."""
+    """A call that is forwarded to the receiver. The answer repeats ``number`` and ``session``, the random id
+    of the process that forwards the call."""
 
     number: int = msgspec.field(default=0, name="n")
     session: str = msgspec.field(default="", name="l")
 
 
 class ServerCall(ForwardedCall, frozen=True, kw_only=True, tag="server_call"):
-    """A server's heartbeat, or, without ``row``, its end."""
+    """A server's heartbeat, or its sign-off if ``row`` is None."""
 
     id: str
     row: Row | None
 
 
 class OperatorCall(ForwardedCall, frozen=True, kw_only=True, tag="operator_call"):
-    """An operator's call; ``hops``: how often it has been passed on."""
+    """An operator's call; ``hops`` is how often it has been forwarded."""
 
     kind: str
     base: int
@@ -69,9 +70,10 @@
 
 
 class CallResult(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What became of a call: an HTTP status, a text or a document, and for servers where their home is.
+    """The result of a call: an HTTP status, and a text or a document.
 
-    ``problems``: of a 400, each thing that is wrong, where more than the text is known."""
+    ``report_to`` is the control address for a server's further heartbeats. ``problems`` lists each error of a
+    call with status 400, if there is more to say than ``text`` does."""
 
     status: int
     text: str = ""
@@ -80,12 +82,12 @@
     problems: Annotated[tuple[str, ...], msgspec.Meta(max_length=PROBLEMS_KEPT)] = ()
 
     def answer_to(self, call: ForwardedCall) -> CallAnswer:
-        """The answer to the limiter that passed the call on."""
+        """Returns the answer to the limiter that forwarded the call."""
         return CallAnswer(number=call.number, session=call.session, result=self)
 
 
 class CallAnswer(Message, frozen=True, kw_only=True, tag="answer"):
-    """What became of a call that was passed on."""
+    """The result of a forwarded call."""
 
     number: int = msgspec.field(name="n")
     session: str = msgspec.field(name="l")
@@ -93,19 +95,19 @@
 
 
 class QuotaMessage(Message, frozen=True, kw_only=True, tag="quota"):
-    """A message of the quotas: see ``admission.quotas``."""
+    """A message about quotas; see ``admission.quotas``."""
 
     message: dict[str, Any] = msgspec.field(name="m")
 
 
 class InFlightMessage(Message, frozen=True, kw_only=True, tag="in_flight"):
-    """Requests in hand at servers: see ``balancing.load``."""
+    """The requests in flight at servers; see ``balancing.load``."""
 
     message: dict[str, Any] = msgspec.field(name="m")
 
 
 class CapacityReport(Message, frozen=True, kw_only=True, tag="capacity"):
-    """What was found of servers: see ``balancing.estimates``."""
+    """The estimated capacities of servers; see ``balancing.estimates``."""
 
     message: dict[str, Any] = msgspec.field(name="m")
 
@@ -125,7 +127,7 @@
 
 
 class _Header(msgspec.Struct, frozen=True):
-    """What is read of a message that is not understood."""
+    """The fields that are read from a message that can't be decoded."""
 
     kind: Any = msgspec.field(default=None, name="k")
     sender: Any = msgspec.field(default=None, name="s")
@@ -138,30 +140,31 @@
 
 
 def with_sender(message: Message, sender: str, address: str) -> AnyMessage:
-    """The message as its sender sends it."""
+    """Returns the message with its sender, the sender's address and the protocol version."""
     return msgspec.structs.replace(  # type: ignore[return-value]
         message, sender=sender, address=address, protocol=PROTOCOL
     )
 
 
 def encode(message: Message) -> bytes:
-    """One line, without its end."""
+    """Returns the message as one line, without the newline."""
     return _ENCODER.encode(message)
 
 
 def decode(line: bytes) -> AnyMessage:
-    """The message of one line. MessageError where it is none, or its sender speaks another
-    protocol."""
+    """Decodes the message of one line.
+
+    Raises ``MessageError`` if the line is not a message, or is one of another protocol version."""
     try:
         message = _DECODER.decode(line)
     except (msgspec.DecodeError, RecursionError) as error:
-        raise _explained(line, error) from error
+        raise _message_error(line, error) from error
     if message.protocol != PROTOCOL:
-        raise MessageError(message.sender, message.protocol, "another protocol")
+        raise MessageError(message.sender, message.protocol, "unsupported protocol version")
     return message
 
 
-def _explained(line: bytes, error: Exception) -> MessageError:
+def _message_error(line: bytes, error: Exception) -> MessageError:
     try:
         header = _HEADER_DECODER.decode(line)
     except (msgspec.DecodeError, RecursionError):
--- a/larklb/gateway/metrics.py
+++ b/larklb/gateway/metrics.py
@@ -1,6 +1,7 @@
-"""A limiter's figures in the Prometheus text format, for whoever scrapes the process itself.
+"""Metrics of a limiter in the Prometheus text format, for scrapes of the process itself.
 
-Imported with the first scrape alone, as importing the library takes longer than any request may wait.
+This module is imported with the first scrape only, as importing the library takes longer than a request may
+wait.
 """
 
 from __future__ import annotations
@@ -14,7 +15,8 @@
 from prometheus_client.registry import Collector
 
 CONTENT_TYPE = (b"Content-Type", b"text/plain; version=0.0.4; charset=utf-8")
-BYTES = "_bytes"  # ends the names of message counts that count bytes
+# Suffix of the message counters that count bytes.
+BYTES = "_bytes"
 GAUGES = (
     ("larklb_ready", "1 if the limiter takes clients.", "ready", 1.0),
     ("larklb_leaving", "1 if the limiter is ending in order.", "leaving", 1.0),
@@ -22,13 +24,14 @@
     ("larklb_configuration_version", "Version of the configuration in force, 0 for none.", "version", 1.0),
 )
 
-Answers = Mapping[str, Mapping[str, Any]]  # the status call ``counts``, by node
+# Answers to the status call ``counts``, by node.
+Answers = Mapping[str, Mapping[str, Any]]
 
 
 def gauge(
     name: str, text: str, labels: tuple[str, ...], rows: Iterable[tuple[tuple[str, ...], float]]
 ) -> GaugeMetricFamily:
-    """A family of gauges from ``rows`` of label values and value, in the order of the labels."""
+    """Returns a family of gauges; ``rows`` holds label values, in the order of ``labels``, and the value."""
     family = GaugeMetricFamily(name, text, labels=labels)
     for values, value in sorted(rows):
         family.add_metric(values, float(value))
@@ -36,43 +39,46 @@
 
 
 def families(answers: Answers) -> Iterable[Metric]:
-    """What limiters answered to the status call ``counts``, each sample labelled with its ``node``."""
+    """Yields the metrics of limiters from their answers, each sample labelled with its ``node``."""
     for name, text, key, scale in GAUGES:
-        yield gauge(name, text, ("node",), [((node,), told[key] * scale) for node, told in answers.items()])
+        yield gauge(
+            name, text, ("node",), [((node,), answer[key] * scale) for node, answer in answers.items()]
+        )
     events = CounterMetricFamily(
         "larklb_events", "Requests and what became of them, by event.", labels=("node", "event")
     )
-    words = CounterMetricFamily(
+    messages = CounterMetricFamily(
         "larklb_words", "Messages between limiters, by what became of them.", labels=("node", "event")
     )
-    size = CounterMetricFamily(
+    sizes = CounterMetricFamily(
         "larklb_word_bytes", "Bytes of messages between limiters, by event.", labels=("node", "event")
     )
-    for node, told in sorted(answers.items()):
-        for event, count in sorted(told["counts"].items()):
+    for node, answer in sorted(answers.items()):
+        for event, count in sorted(answer["counts"].items()):
             events.add_metric((node, event), count)
-        for event, count in sorted(told["words"].items()):
-            family = size if event.endswith(BYTES) else words
+        for event, count in sorted(answer["words"].items()):
+            family = sizes if event.endswith(BYTES) else messages
             family.add_metric((node, event.removesuffix(BYTES)), count)
-    yield from (events, words, size)
+    yield from (events, messages, sizes)
     yield gauge(
         "larklb_open_connections",
         "Connections now, by who is at the other end.",
         ("node", "peer"),
-        [((node, peer), count) for node, told in answers.items() for peer, count in told["open"].items()],
+        [((node, peer), count) for node, answer in answers.items() for peer, count in answer["open"].items()],
     )
 
 
-@define(eq=False)  # the registry keeps it as a key
-class _Answered(Collector):
+# Collectors are hashed by identity, as the registry uses them as keys.
+@define(eq=False)
+class _AnswerCollector(Collector):
     answers: Answers
 
     def collect(self) -> Iterable[Metric]:
         return families(self.answers)
 
 
-def exposition(node: str, told: Mapping[str, Any]) -> bytes:
-    """The text that a scrape of ``node`` gets; ``told``: its answer to the status call ``counts``."""
+def exposition(node: str, answer: Mapping[str, Any]) -> bytes:
+    """Returns the text of a scrape of ``node`` from its answer to the status call ``counts``."""
     registry = CollectorRegistry()
-    registry.register(_Answered({node: told}))
+    registry.register(_AnswerCollector({node: answer}))
     return generate_latest(registry)
--- a/larklb/gateway/options.py
+++ b/larklb/gateway/options.py
@@ -1,4 +1,4 @@
-"""The command line of a limiter's process."""
+"""Command-line options of a limiter."""
 
 from __future__ import annotations
 
@@ -7,13 +7,15 @@
 
 from attrs import define
 
-LAST_PORT = 65_535
+MAX_PORT = 65_535
 
 
 @define(frozen=True)
 class Options:
-    """``caller_affinity``: callers keep their server where a route doesn't say; ``metrics_port``: where the
-    process tells its figures, 0 for nowhere."""
+    """The command-line options.
+
+    ``caller_affinity``: callers are assigned to a server on routes that don't set their affinity.
+    ``metrics_port``: port for scrapes of the metrics, 0 for none."""
 
     caller_affinity: bool = False
     metrics_port: int = 0
@@ -21,13 +23,13 @@
 
 def _port(text: str) -> int:
     port = int(text)
-    if not 0 <= port <= LAST_PORT:
+    if not 0 <= port <= MAX_PORT:
         raise ValueError(text)
     return port
 
 
 def parse(arguments: Sequence[str]) -> Options:
-    """The options in ``arguments``; SystemExit with status 2, after a line of usage, where they are wrong."""
+    """Parses ``arguments``; prints the usage and raises ``SystemExit`` with status 2 if they are invalid."""
     parser = argparse.ArgumentParser(prog="python3 -m larklb.gateway", allow_abbrev=False)
     parser.add_argument("--affinity", choices=("none", "caller"), default="none")
     parser.add_argument("--metrics-port", type=_port, default=0)
--- a/larklb/gateway/settings.py
+++ b/larklb/gateway/settings.py
@@ -1,4 +1,5 @@
-"""What a process is told: the settings file (TOML) whose path stands in LARKLB_SETTINGS, checked whole."""
+"""The settings file (TOML) of a process, whose path is in LARKLB_SETTINGS; all of its values are
+validated."""
 
 from __future__ import annotations
 
@@ -15,7 +16,9 @@
 
 @define(frozen=True)
 class Bounds:
-    """Figures of the rules that the program goes by, in ms unless the name says otherwise."""
+    """Time bounds, limits and ratios of the service.
+
+    ``retry_slack`` and ``quota_slack`` are numbers of requests."""
 
     contact_ms: float = 3_000.0
     ack_ms: float = 5_000.0
@@ -34,7 +37,7 @@
 
 @define(frozen=True)
 class Settings:
-    """One process's settings; addresses are (host, port)."""
+    """The settings of one process; addresses are pairs of host and port."""
 
     path: str
     node: str
@@ -42,61 +45,68 @@
     zone: str
     region: str
     bootstrap: bool
-    data_dir: str  # folder of the disk; empty without one
+    # Folder of the core machine's disk, empty on other limiters.
+    data_dir: str
     counted: bool
     memory_mb: float
     descriptors: int
-    cores: float  # of processor that it has
+    # Processor cores available to the process.
+    cores: float
     edge: Address | None
     readiness: Address | None
     control: Address | None
     ports: tuple[int, int]
     seeds: tuple[Address, ...]
     zones: dict[str, str]
-    heartbeat_period_ms: float  # ms between a server's beats
+    # Time between the heartbeats of a server.
+    heartbeat_period_ms: float
     tolerance: int
     bounds: Bounds = field(factory=Bounds)
 
     @property
     def port(self) -> int:
-        """Where limiters speak to each other, the same on all machines."""
+        """The port for messages between limiters, the same on all machines."""
         return self.ports[0]
 
 
 class _Table:
-    """One table of the file, read field by field."""
+    """A table of the settings file, with accessors that validate each field and raise ``SettingsError``."""
 
-    def __init__(self, path: str, where: str, table: Any) -> None:
+    def __init__(self, path: str, section: str, table: Any) -> None:
         if not isinstance(table, dict):
-            raise SettingsError(f"{path}: [{where}] is missing")
-        self.path, self.where, self.table = path, where, table
+            raise SettingsError(f"{path}: [{section}] is missing")
+        self.path, self.section, self.table = path, section, table
 
-    def get(self, name: str, kind: type | tuple[type, ...], default: Any = None) -> Any:
+    def get(self, name: str, expected_type: type | tuple[type, ...], default: Any = None) -> Any:
         value = self.table.get(name, default)
-        if value is None or not isinstance(value, kind) or (isinstance(value, bool) and kind is not bool):
-            wanted = getattr(kind, "__name__", "a number")
-            raise SettingsError(f"{self.path}: {self.where}.{name}: {value!r}: must be {wanted}")
+        if (
+            value is None
+            or not isinstance(value, expected_type)
+            or (isinstance(value, bool) and expected_type is not bool)
+        ):
+            type_name = getattr(expected_type, "__name__", "a number")
+            raise SettingsError(f"{self.path}: {self.section}.{name}: {value!r}: must be {type_name}")
         return value
 
     def number(self, name: str, default: float | None = None) -> float:
         value = float(self.get(name, (int, float), default))
         if not 0 <= value < 1e12:
-            raise SettingsError(f"{self.path}: {self.where}.{name}: {value!r}: must not be negative")
+            raise SettingsError(f"{self.path}: {self.section}.{name}: {value!r}: must not be negative")
         return value
 
     def address(self, name: str) -> Address | None:
-        return _address(self.path, f"{self.where}.{name}", self.table[name]) if name in self.table else None
+        return _address(self.path, f"{self.section}.{name}", self.table[name]) if name in self.table else None
 
 
-def _address(path: str, where: str, value: Any) -> Address:
+def _address(path: str, section: str, value: Any) -> Address:
     host, _, port = str(value).rpartition(":")
     if not host or not port.isdecimal() or not 0 < int(port) < 65536:
-        raise SettingsError(f"{path}: {where}: {value!r}: must be host:port")
+        raise SettingsError(f"{path}: {section}: {value!r}: must be host:port")
     return host, int(port)
 
 
 def read(path: str) -> Settings:
-    """The settings in a file; SettingsError says what is wrong with it."""
+    """Reads and validates a settings file; raises ``SettingsError`` if it can't be used."""
     try:
         document = tomllib.loads(Path(path).read_text())
     except OSError as error:
@@ -112,12 +122,16 @@
     substrate = _Table(path, "substrate", document.get("substrate", {}))
     tolerance = _Table(path, "terms.tolerance", terms.table.get("tolerance", {}))
     ports = network.get("portRange", list)
-    if len(ports) != 2 or not all(isinstance(p, int) and 0 < p < 65536 for p in ports) or ports[0] > ports[1]:
+    if (
+        len(ports) != 2
+        or not all(isinstance(port, int) and 0 < port < 65536 for port in ports)
+        or ports[0] > ports[1]
+    ):
         raise SettingsError(f"{path}: network.portRange: {ports!r}: must be [first, last]")
     seeds = tuple(_address(path, "network.seeds", seed) for seed in network.get("seeds", list, []))
     zone = own.get("zone", str)
-    zones = {str(z): str(r) for z, r in network.get("zones", dict, {}).items()}
-    d = Bounds()
+    zones = {str(name): str(region) for name, region in network.get("zones", dict, {}).items()}
+    defaults = Bounds()
     return Settings(
         path=path,
         node=own.get("node", str),
@@ -139,18 +153,18 @@
         heartbeat_period_ms=max(50.0, substrate.number("reportPeriodMs", 1500)),
         tolerance=int(tolerance.number("machines", 1)),
         bounds=Bounds(
-            contact_ms=bounds.number("contactMs", d.contact_ms),
-            ack_ms=bounds.number("ackMs", d.ack_ms),
-            drain_ms=bounds.number("drainMs", d.drain_ms),
+            contact_ms=bounds.number("contactMs", defaults.contact_ms),
+            ack_ms=bounds.number("ackMs", defaults.ack_ms),
+            drain_ms=bounds.number("drainMs", defaults.drain_ms),
             grace_ms=bounds.number("graceS", 6) * 1000.0,
-            apply_ms=bounds.number("applyMs", d.apply_ms),
-            retry_ratio=bounds.number("retryRatio", d.retry_ratio),
+            apply_ms=bounds.number("applyMs", defaults.apply_ms),
+            retry_ratio=bounds.number("retryRatio", defaults.retry_ratio),
             retry_window_ms=bounds.number("retryWindowS", 10) * 1000.0,
-            retry_slack=bounds.number("retrySlack", d.retry_slack),
+            retry_slack=bounds.number("retrySlack", defaults.retry_slack),
             settling_ms=bounds.number("settlingS", 15) * 1000.0,
             convergence_ms=bounds.number("convergenceS", 4) * 1000.0,
             quota_window_ms=bounds.number("quotaWindowS", 5) * 1000.0,
-            quota_overshoot=bounds.number("quotaOvershoot", d.quota_overshoot),
-            quota_slack=bounds.number("quotaSlack", d.quota_slack),
+            quota_overshoot=bounds.number("quotaOvershoot", defaults.quota_overshoot),
+            quota_slack=bounds.number("quotaSlack", defaults.quota_slack),
         ),
     )
--- a/larklb/gateway/status.py
+++ b/larklb/gateway/status.py
@@ -1,4 +1,5 @@
-"""What a limiter tells an operator of itself, from its memory; the mark by which tools see that it runs."""
+"""Status documents of a limiter for operators, and the lock by which tools see that it uses a disk's
+folder."""
 
 from __future__ import annotations
 
@@ -18,64 +19,68 @@
 
 log = logging.getLogger("status")
 
-LOOK_S, LOOKS = 0.02, 50  # between two tries to mark a folder that a tool looks at, and how many
-STATES = {STEADY: "steady", DRAINING: "draining", GONE: "gone"}
+# Time between attempts to lock a folder that a tool has locked for a short check, and their number.
+LOCK_RETRY_S, LOCK_ATTEMPTS = 0.02, 50
+STATE_NAMES = {STEADY: "steady", DRAINING: "draining", GONE: "gone"}
 
 Document = dict[str, Any]
 
 
 def mark_in_use(folder: str) -> None:
-    """Marks a disk's folder as in use until this process has ended, however it ends; nothing is written.
+    """Takes a shared lock on a disk's folder until this process ends, in whatever way; nothing is written.
 
-    GatewayError where a tool changes the folder, and goes on for longer than a look lasts. A file system that
-    knows no such mark is said in one line."""
+    Raises ``GatewayError`` if a tool that changes the folder holds the lock for longer than a check takes. On
+    a file system without locks, only a warning is logged."""
     try:
-        mark = os.open(folder, os.O_RDONLY)
-        for left in reversed(range(LOOKS)):
+        descriptor = os.open(folder, os.O_RDONLY)
+        for attempts_left in reversed(range(LOCK_ATTEMPTS)):
             try:
-                fcntl.flock(mark, fcntl.LOCK_SH | fcntl.LOCK_NB)
+                fcntl.flock(descriptor, fcntl.LOCK_SH | fcntl.LOCK_NB)
                 return
             except BlockingIOError as error:
-                if not left:
-                    raise GatewayError(f"{folder}: a tool is at work on it: start it later") from error
-                time.sleep(LOOK_S)
+                if not attempts_left:
+                    raise GatewayError(f"{folder}: a tool is changing it: start the limiter later") from error
+                time.sleep(LOCK_RETRY_S)
     except OSError as error:
-        log.warning("status: %s can't be marked as in use: %s.", folder, error)
+        log.warning("status: %s can't be locked: %s.", folder, error)
 
 
 def document(limiter: Limiter, path: str, query: Mapping[str, str]) -> Document | None:
-    """The answer to a status call, at most STATUS_ROWS rows of it; None where there is no such call.
+    """Returns the answer to a status call with at most STATUS_ROWS rows, or None if there is no such call.
 
-    Tenants' keys stand in none of them."""
-    part = _PARTS.get(path)
-    return None if part is None else {**_answerer(limiter), **part(limiter, query)}
+    No answer contains the keys of tenants."""
+    build = _BUILDERS.get(path)
+    return None if build is None else {**_identity(limiter), **build(limiter, query)}
 
 
-def _answerer(limiter: Limiter) -> Document:
-    s, version = limiter.settings, limiter.version
-    known = [tuple(limiter.subscriber.offered_config)]
+def _identity(limiter: Limiter) -> Document:
+    settings, version = limiter.settings, limiter.version
+    versions = [tuple(limiter.subscriber.offered_config)]
     if limiter.core is not None:
-        known.append(tuple(limiter.core.offer))
+        versions.append(tuple(limiter.core.offer))
     return {
-        "node": s.node,
-        "ip": s.ip,
-        "zone": s.zone,
+        "node": settings.node,
+        "ip": settings.ip,
+        "zone": settings.zone,
         "life": limiter.subscriber.local_member.incarnation,
         "upMs": round(limiter.wheel.now() - limiter.started_at),
         "version": version,
-        "digest": next((digest for told, digest in known if version and told == version), ""),
+        "digest": next((digest for number, digest in versions if version and number == version), ""),
         "ready": limiter.ready(),
         "leaving": limiter.leaving.is_set(),
     }
 
 
 def _page(name: str, key: str, rows: list[Document], query: Mapping[str, str]) -> Document:
-    behind = sorted((row for row in rows if row[key] > query.get("after", "")), key=lambda row: str(row[key]))
-    part = behind[: calls.STATUS_ROWS]
-    # Rows of one key go together, or the next page, which begins behind it, would lack some.
-    while 0 < len(part) < len(behind) and part[0][key] != part[-1][key] == behind[len(part)][key]:
-        part.pop()
-    return {name: part, "more": len(behind) - len(part)}
+    remaining = sorted(
+        (row for row in rows if row[key] > query.get("after", "")), key=lambda row: str(row[key])
+    )
+    page = remaining[: calls.STATUS_ROWS]
+    # Rows with the same key must be on one page, or the next page, which begins after that key, would lack
+    # some of them.
+    while 0 < len(page) < len(remaining) and page[0][key] != page[-1][key] == remaining[len(page)][key]:
+        page.pop()
+    return {name: page, "more": len(remaining) - len(page)}
 
 
 def _members(limiter: Limiter, query: Mapping[str, str]) -> Document:
@@ -85,16 +90,16 @@
         "node",
         [
             {
-                "node": m.node,
-                "ip": m.ip,
-                "control": f"{m.ip}:{control[1]}" if control else "",
-                "zone": m.zone,
-                "life": m.incarnation,
-                "number": m.ring_number,
-                "state": m.state,
-                "disk": m.disk,
+                "node": member.node,
+                "ip": member.ip,
+                "control": f"{member.ip}:{control[1]}" if control else "",
+                "zone": member.zone,
+                "life": member.incarnation,
+                "number": member.ring_number,
+                "state": member.state,
+                "disk": member.disk,
             }
-            for m in limiter.subscriber.members.values()
+            for member in limiter.subscriber.members.values()
         ],
         query,
     )
@@ -102,23 +107,23 @@
 
 def _servers(limiter: Limiter, query: Mapping[str, str]) -> Document:
     now, rows = limiter.wheel.now(), []
-    for s in limiter.subscriber.servers.values():
-        if query.get("service", s.target) != s.target:
+    for server in limiter.subscriber.servers.values():
+        if query.get("service", server.target) != server.target:
             continue
-        seen = limiter.choice.servers.get(s.id)
+        selector_state = limiter.choice.servers.get(server.id)
         rows.append(
             {
-                "id": s.id,
-                "service": s.target,
-                "address": s.address,
-                "zone": s.zone,
-                "slots": s.slots,
-                "software": s.version,
-                "state": STATES.get(s.state, s.state),
-                "silent": s.silent,
-                "inHand": seen.in_flight if seen else 0,
-                "failures": seen.consecutive_failures if seen else 0,
-                "restsMs": round(max(0.0, seen.ejected_until - now)) if seen else 0,
+                "id": server.id,
+                "service": server.target,
+                "address": server.address,
+                "zone": server.zone,
+                "slots": server.slots,
+                "software": server.version,
+                "state": STATE_NAMES.get(server.state, server.state),
+                "silent": server.silent,
+                "inHand": selector_state.in_flight if selector_state else 0,
+                "failures": selector_state.consecutive_failures if selector_state else 0,
+                "restsMs": round(max(0.0, selector_state.ejected_until - now)) if selector_state else 0,
             }
         )
     return _page("servers", "id", rows, query)
@@ -131,14 +136,14 @@
 
 def _core(limiter: Limiter, query: Mapping[str, str]) -> Document:
     subscriber, core = limiter.subscriber, limiter.core
-    told: Document = {
+    answer: Document = {
         "home": subscriber.home,
         "cores": sorted(subscriber.cores)[: calls.STATUS_ROWS],
         "core": None,
     }
     if core is not None:
         replica = core.replica
-        told["core"] = {
+        answer["core"] = {
             "disk": core.disk,
             "folder": core.settings.data_dir,
             "saving": limiter.disk is not None and limiter.disk.saving is not None,
@@ -153,7 +158,7 @@
             "commit": replica.commit_index,
             "serves": core.home.ready and not core.home.fenced(limiter.wheel.now()),
         }
-    return told
+    return answer
 
 
 def _counts(limiter: Limiter, query: Mapping[str, str]) -> Document:
@@ -168,7 +173,7 @@
     }
 
 
-_PARTS = {
+_BUILDERS = {
     calls.MEMBERS: _members,
     calls.SERVERS: _servers,
     calls.QUOTAS: _quotas,
--- a/larklb/gateway/transport.py
+++ b/larklb/gateway/transport.py
@@ -1,6 +1,6 @@
-"""Messages between limiters: one way, as JSON lines, and they may be lost.
+"""One-way messages between limiters as JSON lines, without a guarantee of delivery.
 
-A short message is one datagram; a longer one goes over a connection, which is dropped when it stalls.
+A short message is sent as one datagram, a longer one over a connection, which is dropped if it stalls.
 """
 
 from __future__ import annotations
@@ -17,150 +17,161 @@
 
 log = logging.getLogger("transport")
 
-SHORT = 1_300  # bytes of a datagram at the most: more would be cut in pieces on the way
-MOST_LINE = 24 * 1024 * 1024
-MOST_WAITING = 4  # long messages to one limiter that wait for its connection; older ones are dropped
-DIAL_S = 0.6
-STALL_S = 2.5  # for one long message to be taken
-IDLE_S = 8.0  # without a long message, until its connection ends
-MOST_LINKS = 128  # connections that are taken in
+# A longer datagram would be fragmented on the way.
+MAX_DATAGRAM_BYTES = 1_300
+MAX_LINE_BYTES = 24 * 1024 * 1024
+# Long messages that may wait for the connection to one limiter; the oldest is dropped beyond that.
+MAX_QUEUED_MESSAGES = 4
+CONNECT_TIMEOUT_S = 0.6
+# Time for one long message to be written.
+SEND_TIMEOUT_S = 2.5
+# A connection is closed after this time without a long message.
+IDLE_TIMEOUT_S = 8.0
+MAX_INCOMING_CONNECTIONS = 128
 
 MessageHandler = Callable[[AnyMessage], object]
 
 
 class _Datagrams(asyncio.DatagramProtocol):
-    def __init__(self, on_line: Callable[[bytes], object]) -> None:
-        self.on_line = on_line
+    def __init__(self, on_datagram: Callable[[bytes], object]) -> None:
+        self.on_datagram = on_datagram
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        self.on_line(data)
+        self.on_datagram(data)
 
     def error_received(self, exc: Exception) -> None:
-        """A dead port answered: whoever is there will tell when it is back."""
+        """Ignores that a port is unreachable: its limiter sends messages itself when it is back."""
 
 
 class Transport:
-    """All messages of one limiter, to the others and from them."""
+    """Sends and receives the messages of one limiter; ``on_message`` is called with each received message."""
 
     def __init__(self, node: str, ip: str, port: int, on_message: MessageHandler) -> None:
         self.node, self.ip, self.port, self.on_message = node, ip, port, on_message
         self.transport: asyncio.DatagramTransport | None = None
         self.server: asyncio.Server | None = None
-        self.waiting: dict[str, list[bytes]] = {}
-        self.tasks: dict[str, asyncio.Task[None]] = {}
-        self.taken: set[asyncio.StreamWriter] = set()
-        self.other_protocol: set[str] = set()  # nodes that speak another one, each told of once
+        self.queues: dict[str, list[bytes]] = {}
+        self.senders: dict[str, asyncio.Task[None]] = {}
+        self.incoming: set[asyncio.StreamWriter] = set()
+        # Nodes with another protocol version, each of which is logged once.
+        self.other_protocol: set[str] = set()
         self.counts = {"sent": 0, "sent_bytes": 0, "heard": 0, "heard_bytes": 0, "unreadable": 0, "lost": 0}
 
     async def start(self) -> None:
-        """AddressError where the port can't be had."""
+        """Opens the port for datagrams and connections; raises ``AddressError`` if it isn't available."""
         loop = asyncio.get_running_loop()
         try:
             self.transport, _ = await loop.create_datagram_endpoint(
-                lambda: _Datagrams(self._line), local_addr=(self.ip, self.port)
+                lambda: _Datagrams(self._handle_line), local_addr=(self.ip, self.port)
+            )
+            self.server = await asyncio.start_server(
+                self._serve_connection, self.ip, self.port, limit=MAX_LINE_BYTES
             )
-            self.server = await asyncio.start_server(self._serve, self.ip, self.port, limit=MOST_LINE)
         except OSError as error:
             raise AddressError(f"{self.ip}:{self.port}: {error}") from error
 
     def send(self, ip: str, message: Message) -> None:
-        """Sends a message to a limiter; nobody hears whether it came."""
+        """Sends a message to a limiter; it may be lost without notice."""
         message = messages.with_sender(message, self.node, self.ip)
         if ip == self.ip:
-            asyncio.get_running_loop().call_soon(self._hear, message)
+            asyncio.get_running_loop().call_soon(self._deliver, message)
             return
         line = messages.encode(message) + b"\n"
         self.counts["sent"] += 1
         self.counts["sent_bytes"] += len(line)
-        if len(line) <= SHORT:
+        if len(line) <= MAX_DATAGRAM_BYTES:
             if self.transport is not None:
                 self.transport.sendto(line, (ip, self.port))
             return
-        if len(line) > MOST_LINE:
-            log.error("transport: a message of %d bytes is too long.", len(line))
+        if len(line) > MAX_LINE_BYTES:
+            log.error("transport: message of %d bytes exceeds the maximum length.", len(line))
             return
-        lines = self.waiting.setdefault(ip, [])
+        lines = self.queues.setdefault(ip, [])
         lines.append(line)
-        if len(lines) > MOST_WAITING:
+        if len(lines) > MAX_QUEUED_MESSAGES:
             self.counts["lost"] += 1
             del lines[0]
-        if ip not in self.tasks:
-            self.tasks[ip] = asyncio.get_running_loop().create_task(self._carry(ip))
+        if ip not in self.senders:
+            self.senders[ip] = asyncio.get_running_loop().create_task(self._send_queued(ip))
 
-    async def _carry(self, ip: str) -> None:
-        """One connection, as long as there are long messages for it."""
+    async def _send_queued(self, ip: str) -> None:
+        """Keeps one connection open and sends the queued messages until there are none for a while."""
         writer: asyncio.StreamWriter | None = None
         try:
-            async with asyncio.timeout(DIAL_S):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 _, writer = await asyncio.open_connection(ip, self.port)
-            sock = writer.get_extra_info("socket")
-            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(STALL_S * 1000))
-            waited = 0.0
-            while waited < IDLE_S:
-                lines = self.waiting.get(ip, [])
+            connection_socket = writer.get_extra_info("socket")
+            connection_socket.setsockopt(
+                socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(SEND_TIMEOUT_S * 1000)
+            )
+            idle_s = 0.0
+            while idle_s < IDLE_TIMEOUT_S:
+                lines = self.queues.get(ip, [])
                 if not lines:
-                    await asyncio.sleep(0.02 if waited < 0.2 else 0.5)
-                    waited += 0.02 if waited < 0.2 else 0.5
+                    await asyncio.sleep(0.02 if idle_s < 0.2 else 0.5)
+                    idle_s += 0.02 if idle_s < 0.2 else 0.5
                     continue
-                waited = 0.0
+                idle_s = 0.0
                 writer.write(lines.pop(0))
-                async with asyncio.timeout(STALL_S):
+                async with asyncio.timeout(SEND_TIMEOUT_S):
                     await writer.drain()
         except (OSError, TimeoutError):
-            self.counts["lost"] += len(self.waiting.get(ip, ()))
+            self.counts["lost"] += len(self.queues.get(ip, ()))
         finally:
-            self.waiting.pop(ip, None)
-            del self.tasks[ip]
+            self.queues.pop(ip, None)
+            del self.senders[ip]
             if writer is not None:
                 writer.transport.abort()
 
-    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if len(self.taken) >= MOST_LINKS:
+    async def _serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        if len(self.incoming) >= MAX_INCOMING_CONNECTIONS:
             writer.transport.abort()
             return
-        self.taken.add(writer)
+        self.incoming.add(writer)
         try:
             while line := await reader.readline():
-                self._line(line)
+                self._handle_line(line)
         except (OSError, ValueError):
-            pass  # it ended, or is no line of ours: what it would have said comes again
+            # The connection broke, or the line is too long. Messages are sent again periodically.
+            pass
         finally:
-            self.taken.discard(writer)
+            self.incoming.discard(writer)
             writer.transport.abort()
 
-    def _line(self, line: bytes) -> None:
+    def _handle_line(self, line: bytes) -> None:
         self.counts["heard"] += 1
         self.counts["heard_bytes"] += len(line)
         try:
             message = messages.decode(line)
         except MessageError as error:
             self.counts["unreadable"] += 1
-            self._unreadable(error)
+            self._log_unreadable(error)
             return
-        self._hear(message)
+        self._deliver(message)
 
-    def _hear(self, message: AnyMessage) -> None:
+    def _deliver(self, message: AnyMessage) -> None:
         try:
             self.on_message(message)
         except (KeyError, TypeError, ValueError, IndexError, AttributeError) as error:
             self.counts["unreadable"] += 1
-            log.warning("transport: a %s can't be used: %r.", type(message).__name__, error)
+            log.warning("transport: invalid %s: %r.", type(message).__name__, error)
 
-    def _unreadable(self, error: MessageError) -> None:
+    def _log_unreadable(self, error: MessageError) -> None:
         if error.protocol == PROTOCOL:
-            log.warning("transport: a message can't be read: %s.", error)
-        elif error.sender not in self.other_protocol and len(self.other_protocol) < MOST_LINKS:
+            log.warning("transport: message can't be decoded: %s.", error)
+        elif error.sender not in self.other_protocol and len(self.other_protocol) < MAX_INCOMING_CONNECTIONS:
             self.other_protocol.add(error.sender)
             log.warning("transport: %s speaks protocol %r, not %d.", error.sender, error.protocol, PROTOCOL)
 
     async def stop(self) -> None:
-        """Ends all links."""
+        """Closes the port and all connections."""
         if self.transport is not None:
             self.transport.close()
-            self.transport = None  # what is still to be said finds it closed, and would raise
+            # Sending on a closed transport would raise, so later messages are discarded.
+            self.transport = None
         if self.server is not None:
             self.server.close()
-        for task in list(self.tasks.values()):
+        for task in list(self.senders.values()):
             task.cancel()
-        for writer in list(self.taken):
+        for writer in list(self.incoming):
             writer.transport.abort()
--- a/larklb/gateway/zone_exchange.py
+++ b/larklb/gateway/zone_exchange.py
@@ -1,6 +1,8 @@
-"""What limiters of one zone tell each other of servers: requests in hand, and what each server is seen to do.
+"""Exchange of server state between the limiters of a zone: requests in flight and estimated capacities.
 
-Where they are many the messages would cost more than they bring, and each goes by what it sees."""
+With many limiters in a zone the messages would cost more than they gain, so each uses its own observations
+only.
+"""
 
 from __future__ import annotations
 
@@ -10,46 +12,51 @@
 from larklb.balancing.errors import UnreadableError
 from larklb.gateway.messages import CapacityReport, InFlightMessage, Message
 
-IN_FLIGHT_MS = 25.0  # between two messages on what is in hand
-ESTIMATES_MS = 500.0  # between two on what was found of servers
-MAX_ZONE_PEERS = 8  # limiters that are told: each is sent some tens of messages a second
+# Time between two messages about requests in flight.
+IN_FLIGHT_INTERVAL_MS = 25.0
+# Time between two messages about estimated capacities.
+ESTIMATES_INTERVAL_MS = 500.0
+# Above this number of other limiters there is no exchange; each is sent some tens of messages per second.
+MAX_ZONE_PEERS = 8
 
 
 class ZoneExchange:
-    """Of one limiter; ``send`` sends a message to an address."""
+    """The exchange of one limiter; ``send`` sends a message to an address."""
 
     def __init__(self, choice: CapacityAwareSelector, send: Callable[[str, Message], object]) -> None:
         self.choice, self.send = choice, send
         self.addresses: Sequence[str] = ()
-        self.estimates_at = -1e18
+        self.last_estimates = -1e18
 
     def set_peers(self, addresses: Sequence[str]) -> None:
-        """The other limiters of this zone."""
+        """Sets the addresses of the other limiters of this zone."""
         self.addresses = addresses if len(addresses) <= MAX_ZONE_PEERS else ()
         self.choice.exchange_enabled = bool(self.addresses)
 
     def tick(self, now: float) -> None:
-        """Called every ``IN_FLIGHT_MS`` while requests are served."""
+        """Sends the messages that are due; called every ``IN_FLIGHT_INTERVAL_MS`` while requests are
+        served."""
         if not self.addresses:
             return
         if (in_flight := self.choice.in_flight_message(now)) is not None:
-            self._tell(InFlightMessage(message=in_flight))
-        if now - self.estimates_at >= ESTIMATES_MS:
-            self.estimates_at = now
-            self._tell(CapacityReport(message=self.choice.estimates_message(now)))
+            self._broadcast(InFlightMessage(message=in_flight))
+        if now - self.last_estimates >= ESTIMATES_INTERVAL_MS:
+            self.last_estimates = now
+            self._broadcast(CapacityReport(message=self.choice.estimates_message(now)))
 
-    def _tell(self, message: Message) -> None:
+    def _broadcast(self, message: Message) -> None:
         for address in self.addresses:
             self.send(address, message)
 
     def handle_message(self, now: float, message: InFlightMessage | CapacityReport) -> None:
-        """ValueError where it makes no sense."""
-        hear = (
+        """Handles a message of another limiter of this zone; raises ``ValueError`` if its contents are
+        invalid."""
+        apply = (
             self.choice.apply_in_flight
             if isinstance(message, InFlightMessage)
             else self.choice.apply_estimates
         )
         try:
-            hear(now, message.sender, message.message)
+            apply(now, message.sender, message.message)
         except UnreadableError as error:
             raise ValueError(str(error)) from error
--- a/tests/test_control_plane.py
+++ b/tests/test_control_plane.py
@@ -82,8 +82,8 @@
     heard: list[Message] = []
     transport = Transport("n", "127.0.0.1", 0, heard.append)
     for line in (b'{"k":"beat","s":"old","f":"127.0.0.2"}', b'{"k":"peek","s":"old","f":"127.0.0.2","p":1}'):
-        transport._line(line)
-    transport._line(b'{"k":"peek","s":"new","f":"127.0.0.3","p":%d}' % PROTOCOL)
+        transport._handle_line(line)
+    transport._handle_line(b'{"k":"peek","s":"new","f":"127.0.0.3","p":%d}' % PROTOCOL)
     assert [message.sender for message in heard] == ["new"]
     assert sum("speaks protocol" in record.message for record in caplog.records) == 1
 
@@ -94,7 +94,7 @@
 def test_lines_that_are_no_messages_are_counted_and_harm_nothing(line: bytes) -> None:
     heard: list[Message] = []
     transport = Transport("n", "127.0.0.1", 0, heard.append)
-    transport._line(line)
+    transport._handle_line(line)
     assert not heard and transport.counts["unreadable"] == 1
 
 
