--- a/larklb/gateway/settings.py
+++ b/larklb/gateway/settings.py
@@ -18,7 +18,8 @@
 class Bounds:
     """Time bounds, limits and ratios of the service.
 
-    ``retry_slack`` and ``quota_slack`` are numbers of requests."""
+    ``retry_slack`` is a number of retries, and ``quota_slack`` a number of requests, allowed in each window
+    in addition to the ratio."""
 
     contact_ms: float = 3_000.0
     ack_ms: float = 5_000.0
--- a/tests/test_control_plane.py
+++ b/tests/test_control_plane.py
@@ -1,4 +1,5 @@
-"""Calls that are passed on, what a core machine says that is cut off, and what a clean build needs."""
+"""Forwarded calls, messages between limiters, the fencing of a core machine without contact to a majority of
+the core, and the packages that the build needs."""
 
 from __future__ import annotations
 
@@ -22,30 +23,30 @@
 from larklb.storage.store import Store
 
 ROOT = Path(__file__).parents[1]
-#: Programs of the build command and the Debian packages that bring them; none for those of the base system.
+# Debian package of each program in the build command, empty for programs of the base system.
 PACKAGE_OF = {"python3": "python3", "pip": "python3-pip", "rm": "", "touch": "", "[": ""}
 
 
 class Timers:
-    """Timers that go off when the test says so."""
+    """Timers that fire when the test calls them."""
 
     def __init__(self) -> None:
         self.due: list[Callable[[], object]] = []
 
-    def after(self, delay: float, act: Callable[[], object]) -> Timers:
-        self.due.append(act)
+    def after(self, delay: float, callback: Callable[[], object]) -> Timers:
+        self.due.append(callback)
         return self
 
     def cancel(self) -> None:
         pass
 
 
-def forwarding(session: str, sent: list[tuple[str, Message]], timers: Timers) -> CallForwarder:
+def forwarder(session: str, sent: list[tuple[str, Message]], timers: Timers) -> CallForwarder:
     return CallForwarder(session, lambda ip, message: sent.append((ip, message)), timers.after)
 
 
 def answer_of(ip: str, call: Message, status: int) -> CallAnswer:
-    """The answer as it comes from a machine."""
+    """Returns the answer to a call as it is received from a machine."""
     assert isinstance(call, ServerCall | OperatorCall)
     answer = messages.with_sender(CallResult(status).answer_to(call), "node", ip)
     assert isinstance(answer, CallAnswer)
@@ -53,49 +54,51 @@
 
 
 def test_only_the_answer_of_the_machine_that_was_asked_settles_a_call() -> None:
-    """Not another machine's with the same number, nor one to the process before."""
-    before, now = list[tuple[str, Message]](), list[tuple[str, Message]]()
+    """An answer of another machine, or to the previous process, may have the same number: it must be
+    ignored."""
+    before, after = list[tuple[str, Message]](), list[tuple[str, Message]]()
     answers: list[CallAnswer | None] = []
-    forwarding("old", before, Timers()).forward("10.0.0.1", ServerCall(id="s", row=None), lambda answer: None)
-    calls = forwarding("new", now, Timers())
+    forwarder("old", before, Timers()).forward("10.0.0.1", ServerCall(id="s", row=None), lambda answer: None)
+    calls = forwarder("new", after, Timers())
     calls.forward("10.0.0.2", OperatorCall(kind="read", base=0, body="", hops=1), answers.append)
-    to_old, to_new = answer_of("10.0.0.2", before[0][1], 200), answer_of("10.0.0.2", now[0][1], 503)
+    to_old, to_new = answer_of("10.0.0.2", before[0][1], 200), answer_of("10.0.0.2", after[0][1], 503)
     assert to_old.number == to_new.number, "numbers begin anew in each process"
-    assert not calls.handle_answer(to_old) and not calls.handle_answer(answer_of("10.0.0.1", now[0][1], 503))
+    assert not calls.handle_answer(to_old) and not calls.handle_answer(
+        answer_of("10.0.0.1", after[0][1], 503))
     assert not answers
     assert calls.handle_answer(to_new) and [a and a.result.status for a in answers] == [503]
     assert not calls.handle_answer(to_new) and len(answers) == 1, "once"
 
 
-def test_calls_without_an_answer_end_and_are_bounded() -> None:
+def test_calls_without_an_answer_time_out_and_are_bounded() -> None:
     timers, answers = Timers(), list[CallAnswer | None]()
-    calls = forwarding("s", [], timers)
+    calls = forwarder("s", [], timers)
     for _ in range(MAX_PENDING_CALLS + 1):
         calls.forward("10.0.0.1", ServerCall(id="s", row=None), answers.append)
     assert answers == [None] and len(calls.pending) == MAX_PENDING_CALLS
-    for act in timers.due:
-        act()
+    for callback in timers.due:
+        callback()
     assert answers == [None] * (MAX_PENDING_CALLS + 1) and not calls.pending
 
 
-def test_words_of_another_protocol_are_not_understood(caplog: pytest.LogCaptureFixture) -> None:
-    heard: list[Message] = []
-    transport = Transport("n", "127.0.0.1", 0, heard.append)
+def test_messages_of_another_protocol_version_are_rejected(caplog: pytest.LogCaptureFixture) -> None:
+    received: list[Message] = []
+    transport = Transport("n", "127.0.0.1", 0, received.append)
     for line in (b'{"k":"beat","s":"old","f":"127.0.0.2"}', b'{"k":"peek","s":"old","f":"127.0.0.2","p":1}'):
         transport._handle_line(line)
     transport._handle_line(b'{"k":"peek","s":"new","f":"127.0.0.3","p":%d}' % PROTOCOL)
-    assert [message.sender for message in heard] == ["new"]
+    assert [message.sender for message in received] == ["new"]
     assert sum("speaks protocol" in record.message for record in caplog.records) == 1
 
 
 @pytest.mark.parametrize("line", [
     b"", b"[]", b"{", b"\xff", b'{"k":"unheard of","p":2}', b'{"k":"beat","p":2}',
     b'{"k":"offer","p":2,"cfg":["1","d"]}', b"[" * 5000])
-def test_lines_that_are_no_messages_are_counted_and_harm_nothing(line: bytes) -> None:
-    heard: list[Message] = []
-    transport = Transport("n", "127.0.0.1", 0, heard.append)
+def test_lines_that_are_not_messages_are_counted_and_ignored(line: bytes) -> None:
+    received: list[Message] = []
+    transport = Transport("n", "127.0.0.1", 0, received.append)
     transport._handle_line(line)
-    assert not heard and transport.counts["unreadable"] == 1
+    assert not received and transport.counts["unreadable"] == 1
 
 
 def test_a_message_is_decoded_as_it_was_encoded() -> None:
@@ -112,22 +115,23 @@
     return home
 
 
-def echo(home: RegistryReplica, disk: str, at: float, life: int = 1) -> None:
-    home.handle_sync_ack(SyncAck(disk=disk, incarnation=life, sent_at=at))
+def acknowledge_sync(home: RegistryReplica, disk: str, sent_at: float, incarnation: int = 1) -> None:
+    home.handle_sync_ack(SyncAck(disk=disk, incarnation=incarnation, sent_at=sent_at))
 
 
-def test_a_core_machine_that_no_majority_hears_acknowledges_nothing() -> None:
-    """Cut one way it hears the others still; frozen, it finds old words in its buffers."""
-    home, told = core_machine(), list[bool]()
-    echo(home, "db", 500.0)
+def test_a_core_machine_that_no_majority_receives_acknowledges_nothing() -> None:
+    """A core machine that is cut off in one direction still receives messages, and one that was suspended
+    finds old messages in its buffers: neither shows that a majority of the core receives its messages."""
+    home, acknowledged = core_machine(), list[bool]()
+    acknowledge_sync(home, "db", 500.0)
     assert not home.fenced(1400.0) and home.fenced(1600.0)
-    home.server_heartbeat(1400.0, Server("s", "t", "h:1", "z", 2, sequence=1), told.append)
-    home.server_heartbeat(1600.0, Server("s", "t", "h:1", "z", 2, sequence=2), told.append)
-    assert told == [True, False], "the beat goes to one that others hear"
+    home.server_heartbeat(1400.0, Server("s", "t", "h:1", "z", 2, sequence=1), acknowledged.append)
+    home.server_heartbeat(1600.0, Server("s", "t", "h:1", "z", 2, sequence=2), acknowledged.append)
+    assert acknowledged == [True, False], "the beat goes to one that others hear"
     assert home.registry.by_id["s"].server.sequence == 2, "what it tells counts all the same"
-    echo(home, "db", 5000.0, life=0)
+    acknowledge_sync(home, "db", 5000.0, incarnation=0)
     assert home.fenced(5000.0), "an echo to the process before"
-    echo(home, "dc", 5000.0)
+    acknowledge_sync(home, "dc", 5000.0)
     assert not home.fenced(5900.0)
     home.last_echo.clear()
     home.tick(9000.0, home.local_member, home.voters, None, (0, ""))
@@ -135,17 +139,18 @@
     assert home.fenced(9000.0), "hearing others is not being heard"
 
 
-def test_a_fenced_home_sends_its_subscribers_away() -> None:
+def test_a_fenced_home_tells_its_subscribers_that_it_is_not_ready() -> None:
     home = core_machine()
-    beat = MemberHeartbeat(sender="n", address="n", member=Member("n", "n", "z", 1).to_row(), of=("", 0),
-                           have=0)
-    home.handle_heartbeat(5000.0, beat, (7, "digest"))
+    heartbeat = MemberHeartbeat(sender="n", address="n", member=Member("n", "n", "z", 1).to_row(), of=("", 0),
+                                have=0)
+    home.handle_heartbeat(5000.0, heartbeat, (7, "digest"))
     assert [message for ip, message in home.outbox if ip == "n"] == [NotReady()]
 
 
 @pytest.mark.parametrize("ready", [True, False])
-def test_rows_make_a_home_ready_where_they_follow_from_digests_of_its_life(ready: bool) -> None:
-    """The process before had more rows: what differed from its digests is not all that this one lacks."""
+def test_rows_make_a_home_ready_if_they_were_compared_with_its_own_digests(ready: bool) -> None:
+    """The previous process had more rows, so the rows that differ from its digests are not all that this one
+    lacks."""
     for compared in (0, 1):
         home = core_machine()
         home.ready = False
@@ -157,8 +162,9 @@
         assert isinstance(answer, RangeRows) and answer.compared == 5 and not answer.again
 
 
-def test_numbers_of_an_older_epoch_lose() -> None:
-    """A leader that was frozen grants under its old epoch; the newer one's grants stand."""
+def test_ring_numbers_of_an_older_epoch_are_overridden() -> None:
+    """A leader that was suspended may still grant numbers in its old epoch; those of the newer epoch
+    prevail."""
     old, new = Members(), Members()
     for members in (old, new):
         for node in "ab":
@@ -172,8 +178,8 @@
                 and new.by_node[node].member.grant >= 2 * GRANTS_PER_EPOCH)
 
 
-def test_a_folder_without_votes_is_a_blank_disk_under_a_new_id(tmp_path: Path) -> None:
-    """It might vote twice in a term under its old one."""
+def test_a_folder_without_votes_is_a_blank_disk_with_a_new_id(tmp_path: Path) -> None:
+    """Under its old id it might vote twice in a term."""
     folder = tmp_path / "disk"
     store = Store(folder)
     first = store.identity()
@@ -187,7 +193,7 @@
     assert Store(folder).identity() == disk, "it keeps that one"
 
 
-def test_the_packages_are_those_that_the_build_calls() -> None:
+def test_the_deploy_file_lists_the_packages_that_the_build_needs() -> None:
     deploy = tomllib.loads((ROOT / "deploy" / "system.toml").read_text())
     called = set[str]()
     for part in re.split(r"&&|\|\|", deploy["build"].replace("(", " ").replace(")", " ")):
--- a/tests/test_gateway_metrics.py
+++ b/tests/test_gateway_metrics.py
@@ -1,4 +1,4 @@
-"""A limiter's own figures: where they are served, and what a scrape gets."""
+"""The metrics endpoint of a limiter: its port, its path and the samples of a scrape."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 import pytest
 from prometheus_client.parser import text_string_to_metric_families
 
-from larklb.gateway import settings as told
+from larklb.gateway import settings as settings_module
 from larklb.gateway.main import Limiter
 from larklb.gateway.options import Options, parse
 from larklb.lab.system_network import Net, settings
@@ -30,13 +30,13 @@
 def limiter_with(tmp_path: Path, port: int) -> Limiter:
     file = tmp_path / "s.toml"
     file.write_text(settings(Net("127.1.9", 18000), 0, tmp_path, True))
-    limiter = Limiter(told.read(str(file)), Options(metrics_port=port))
+    limiter = Limiter(settings_module.read(str(file)), Options(metrics_port=port))
     assert limiter.settings.ip == HOST
     return limiter
 
 
-def test_a_scrape_gets_the_counts_of_the_process(tmp_path: Path) -> None:
-    async def go() -> None:
+def test_a_scrape_returns_the_counters_of_the_process(tmp_path: Path) -> None:
+    async def scenario() -> None:
         port = free_port()
         limiter = limiter_with(tmp_path, port)
         limiter.count["ended.client_gone.waiting.safe.break_off"] += 3
@@ -52,24 +52,25 @@
         assert samples["larklb_configuration_version"] == 0
         assert (await scrape(port, "/"))[0] == 404
         await limiter.metrics.close()
-    asyncio.run(go())
+    asyncio.run(scenario())
 
 
-def test_a_taken_port_costs_the_figures_alone(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
-    async def go() -> None:
-        with socket.socket() as taken:
-            taken.bind((HOST, 0))
-            taken.listen()
-            await limiter_with(tmp_path, taken.getsockname()[1])._start_metrics()
-    asyncio.run(go())
+def test_a_limiter_starts_without_metrics_if_the_port_is_in_use(
+        tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
+    async def scenario() -> None:
+        with socket.socket() as occupied:
+            occupied.bind((HOST, 0))
+            occupied.listen()
+            await limiter_with(tmp_path, occupied.getsockname()[1])._start_metrics()
+    asyncio.run(scenario())
     assert "gateway: no metrics: " in caplog.text
 
 
 def test_options(capsys: pytest.CaptureFixture[str]) -> None:
     assert parse([]) == Options() and parse(["--affinity", "none"]) == Options()
     assert parse(["--affinity", "caller", "--metrics-port", "9464"]) == Options(True, 9464)
-    for wrong in (["--affinity", "some"], ["--metrics-port", "70000"], ["--metrics-port", "x"], ["more"]):
-        with pytest.raises(SystemExit) as ended:
-            parse(wrong)
-        assert ended.value.code == 2
+    for invalid in (["--affinity", "some"], ["--metrics-port", "70000"], ["--metrics-port", "x"], ["more"]):
+        with pytest.raises(SystemExit) as exit_info:
+            parse(invalid)
+        assert exit_info.value.code == 2
     assert "usage: python3 -m larklb.gateway" in capsys.readouterr().err
--- a/tests/test_settings_system.py
+++ b/tests/test_settings_system.py
@@ -1,4 +1,5 @@
-"""What a process of the system reads from its settings file, and what it says of one that can't be used."""
+"""The settings file of a limiter: the values that are read, the defaults, and the errors of an invalid
+file."""
 
 from __future__ import annotations
 
@@ -9,7 +10,7 @@
 from larklb.gateway.errors import GatewayError, SettingsError
 from larklb.gateway.settings import read
 
-WHOLE = """
+SETTINGS = """
 [self]
 node = "n1"
 ip = "127.0.0.5"
@@ -46,15 +47,16 @@
     return str(path)
 
 
-def test_what_is_read(tmp_path: Path) -> None:
-    found = read(_file(tmp_path, WHOLE))
-    assert (found.node, found.ip, found.zone, found.region) == ("n1", "127.0.0.5", "near", "here")
-    assert (found.bootstrap, found.data_dir, found.cores, found.descriptors) == (True, "/var/data", 1.0, 3000)
-    assert (found.edge, found.readiness, found.port) == (("127.0.0.5", 8000), None, 7000)
-    assert found.seeds == (("127.0.0.6", 8080), ("127.0.0.7", 8080))
-    assert (found.heartbeat_period_ms, found.tolerance, found.bounds.drain_ms) == (1000.0, 2, 1500.0)
-    assert (found.bounds.grace_ms, found.bounds.retry_window_ms) == (4000.0, 5000.0)      # told in seconds
-    assert (found.bounds.contact_ms, found.bounds.retry_slack) == (3000.0, 64.0)       # not told
+def test_values_and_defaults(tmp_path: Path) -> None:
+    result = read(_file(tmp_path, SETTINGS))
+    assert (result.node, result.ip, result.zone, result.region) == ("n1", "127.0.0.5", "near", "here")
+    assert (result.bootstrap, result.data_dir, result.cores, result.descriptors) == (
+        True, "/var/data", 1.0, 3000)
+    assert (result.edge, result.readiness, result.port) == (("127.0.0.5", 8000), None, 7000)
+    assert result.seeds == (("127.0.0.6", 8080), ("127.0.0.7", 8080))
+    assert (result.heartbeat_period_ms, result.tolerance, result.bounds.drain_ms) == (1000.0, 2, 1500.0)
+    assert (result.bounds.grace_ms, result.bounds.retry_window_ms) == (4000.0, 5000.0)  # given in seconds
+    assert (result.bounds.contact_ms, result.bounds.retry_slack) == (3000.0, 64.0)  # defaults
 
 
 @pytest.mark.parametrize(("old", "new", "field"), [
@@ -75,12 +77,12 @@
     ("[self]", "[me]", "self"),
     ("[self]", "[self", "no TOML"),
 ])
-def test_what_is_wrong_is_named(tmp_path: Path, old: str, new: str, field: str) -> None:
-    assert old in WHOLE
-    path = _file(tmp_path, WHOLE.replace(old, new))
-    with pytest.raises(SettingsError) as caught:
+def test_errors_name_the_file_and_the_field(tmp_path: Path, old: str, new: str, field: str) -> None:
+    assert old in SETTINGS
+    path = _file(tmp_path, SETTINGS.replace(old, new))
+    with pytest.raises(SettingsError) as error:
         read(path)
-    assert path in str(caught.value) and field in str(caught.value)
+    assert path in str(error.value) and field in str(error.value)
 
 
 def test_file_that_cannot_be_read(tmp_path: Path) -> None:
