--- a/larklb/gateway/data_plane.py
+++ b/larklb/gateway/data_plane.py
@@ -1,6 +1,7 @@
-"""The data plane: a client's request from its last byte to its answer.
+"""The data plane: takes a client's request from its last byte to its answer.
 
-Route, key, quota, server, further tries: each is decided elsewhere, without I/O; here they follow each other.
+The decisions on the route, the key, the quota, the server and retries are made by modules that do no input or
+output; this module calls them in order and carries them out.
 """
 
 from __future__ import annotations
@@ -27,45 +28,56 @@
 from larklb.schema.routing import Keys, Routes, service_of, targets
 from larklb.wheel import Wheel
 
-RESPONSE_MARGIN_MS = 12.0  # of the client's time that is left for the answer's way back
-RETRY_AFTER_MS = 60.0  # a refused request may come again after this: for want of room ...
-MAX_RETRY_AFTER_MS = 400.0  # ... and at the most, as long as its time allows
-DEFAULT_TIME_LEFT_MS = 30_000.0  # a client that tells no time waits this long
-HEDGE_P95_FACTOR = 1.15  # times the slowest twentieth: then another server is asked as well
-MIN_HEDGE_DELAY_SETPOINTS = 0.35  # ... but not before this part of the aim
-MAX_HEDGE_DELAY_SETPOINTS = 0.85  # ... nor after this part
+# Part of the client's time that is reserved for the answer's way back.
+RESPONSE_MARGIN_MS = 12.0
+# Shortest Retry-After of a refused request; drawn between this and twice this if no server has room.
+RETRY_AFTER_MS = 60.0
+# Longest Retry-After of a refused request.
+MAX_RETRY_AFTER_MS = 400.0
+# Time allowed to a request whose client states none.
+DEFAULT_TIME_LEFT_MS = 30_000.0
+# Hedging delay as a multiple of the route's 95th percentile latency.
+HEDGE_P95_FACTOR = 1.15
+# Shortest hedging delay, as a fraction of the route's setpoint.
+MIN_HEDGE_DELAY_SETPOINTS = 0.35
+# Longest hedging delay, as a fraction of the route's setpoint. A request with a longer one is not hedged.
+MAX_HEDGE_DELAY_SETPOINTS = 0.85
+# Headers that servers get from the limiter alone, or not at all.
 _LIMITER_HEADERS = frozenset((b"x-tenant", b"x-time-left", b"x-target-instance", b"expect"))
 _LIMITER_AND_KEY_HEADERS = _LIMITER_HEADERS | {b"authorization"}
 
-Quota = Callable[[Tenant], Awaitable[Verdict | None]]
+QuotaRequest = Callable[[Tenant], Awaitable[Verdict | None]]
 
 
 @define(frozen=True)
 class ClientRequest:
-    """One request that may be served; times are the wheel's ms."""
+    """A request that may be served; times are in ms of the wheel's clock."""
 
     route: Route
     tenant: Tenant | None
     message: Message
-    began: float
-    due: float  # when its answer is of no use any more
-    limit: Cause  # whose time ends then
-    caller: int | None  # who stays at a server, where the route's callers do
+    received_at: float
+    # When the answer is of no more use, and the cause that applies then.
+    deadline: float
+    deadline_cause: Cause
+    # Key of the caller if the route keeps its callers on the same servers.
+    caller: int | None
 
 
 @define(frozen=True)
 class ActiveConfiguration:
-    """A configuration as the data plane uses it."""
+    """A configuration and the indexes that the data plane derives from it."""
 
     version: int
     configuration: Configuration
     routes: Routes
     keys: Keys
-    has_caller_affinity: bool  # some route's callers stay put
+    # Whether any route keeps its callers on the same servers.
+    has_caller_affinity: bool
 
 
 def prepare_configuration(configuration: Configuration) -> ActiveConfiguration:
-    """A checked configuration, ready for use."""
+    """Builds the indexes of a checked configuration."""
     has_caller_affinity = any(
         route.affinity == "caller" for host in configuration.hosts for route in host.paths
     )
@@ -74,53 +86,59 @@
     )
 
 
-def refusal(status: int, again_ms: float = 0.0) -> Reply:
-    """An answer of our own; where the request has not run, when to come back."""
-    headers = [(b"Retry-After", b"%.3f" % (again_ms / 1000.0))] if again_ms > 0 else []
+def refusal(status: int, retry_after_ms: float = 0.0) -> Reply:
+    """Returns an answer of the limiter's own, with a Retry-After header if ``retry_after_ms`` is positive."""
+    headers = [(b"Retry-After", b"%.3f" % (retry_after_ms / 1000.0))] if retry_after_ms > 0 else []
     return Reply(status, headers)
 
 
 @define
 class DataPlane:
-    """Answers clients."""
+    """Answers the requests of clients."""
 
     wheel: Wheel
-    servers: ServerConnections
-    choice: ServerSelector
+    server_connections: ServerConnections
+    selector: ServerSelector
     budget: RetryBudget
-    quota: Quota  # a tenant's verdict; None: no word yet, and none to be had
+    # Returns the decision on a tenant's quota, or None if there is none and none can be had.
+    request_verdict: QuotaRequest
     random: random.Random
     count: Counter[str] = field(factory=Counter)
     active: ActiveConfiguration | None = None
-    caller_affinity: bool = False  # callers stay put where a route doesn't say
-    background: set[asyncio.Task[tuple[AttemptOutcome, Reply | None]]] = field(factory=set)
-    works: set[RequestWork] = field(factory=set)
+    # Whether callers stay on the same servers on routes that don't specify it.
+    caller_affinity: bool = False
+    attempt_tasks: set[asyncio.Task[tuple[AttemptOutcome, Reply | None]]] = field(factory=set)
+    requests_in_progress: set[RequestWork] = field(factory=set)
 
     async def answer(self, head: h11.Request, body: bytes, link: Link) -> Reply:
-        """The answer to one request of a client; nothing is sent any more once the client has left."""
-        taken = self._taken(head, body)
-        if isinstance(taken, Reply):
-            return taken
+        """Returns the answer to a client's request; starts no further attempt once the client has left."""
+        request = self._parse(head, body)
+        if isinstance(request, Reply):
+            return request
         work = RequestWork(
-            self.wheel, self.count, taken.route.route_type == "safe", taken.due, limit=taken.limit
+            self.wheel,
+            self.count,
+            request.route.route_type == "safe",
+            request.deadline,
+            deadline_cause=request.deadline_cause,
         )
-        self.works.add(work)
+        self.requests_in_progress.add(work)
         client_gone = partial(work.end, Cause.CLIENT_GONE)
         link.reader.on_end = client_gone
         if link.reader.ended():
             client_gone()
         try:
-            return await self._worked(taken, work)
+            return await self._admit(request, work)
         finally:
             link.reader.on_end = None
-            work.answered()
-            self.works.discard(work)
+            work.finish()
+            self.requests_in_progress.discard(work)
 
-    def _taken(self, head: h11.Request, body: bytes) -> ClientRequest | Reply:
-        """What a request asks for, or its answer where it can't be served."""
-        began, state = self.wheel.now(), self.active
+    def _parse(self, head: h11.Request, body: bytes) -> ClientRequest | Reply:
+        """Returns what a request asks for, or the answer to it if it can't be served."""
+        received_at, configuration = self.wheel.now(), self.active
         self.count["taken"] += 1
-        if state is None:
+        if configuration is None:
             self.count["refused.no_configuration"] += 1
             return refusal(503, MAX_RETRY_AFTER_MS)
         headers = dict(head.headers)
@@ -128,209 +146,235 @@
         if not target.startswith(b"/"):
             target = b"/" + target.partition(b"://")[2].partition(b"/")[2]
         host = headers.get(b"host", b"").decode("latin-1")
-        route = state.routes.find(host, target.decode("latin-1"))
+        route = configuration.routes.find(host, target.decode("latin-1"))
         if route is None:
             self.count["no_route"] += 1
             return refusal(404)
-        tenant, refused = self._tenant(state, route, headers)
+        tenant, refused = self._authenticate(configuration, route, headers)
         if refused is not None:
             return refused
-        name = headers.get(b"x-attempt-id", b"")
-        if not name or sum(n == b"x-attempt-id" for n, _ in head.headers) > 1:
+        attempt_id = headers.get(b"x-attempt-id", b"")
+        if not attempt_id or sum(header == b"x-attempt-id" for header, _ in head.headers) > 1:
             return refusal(400)
-        given, allowed = _time_left(headers) - RESPONSE_MARGIN_MS, route.timeout_ms
+        client_limit, route_limit = _time_left(headers) - RESPONSE_MARGIN_MS, route.timeout_ms
         caller = None
         if route.affinity == "caller" or route.affinity is None and self.caller_affinity:
-            finer = headers.get(route.affinity_header.lower().encode(), b"") if route.affinity_header else b""
+            affinity_value = (
+                headers.get(route.affinity_header.lower().encode(), b"") if route.affinity_header else b""
+            )
             caller = caller_key(
-                tenant.name if tenant is not None else "", route.name, finer.decode("latin-1")
+                tenant.name if tenant is not None else "", route.name, affinity_value.decode("latin-1")
             )
         return ClientRequest(
             route,
             tenant,
-            self._message(state, head, target, name, body, tenant),
-            began,
-            began + min(given, allowed),
-            Cause.DEADLINE if given <= allowed else Cause.ROUTE_TIMEOUT,
+            self._build_message(configuration, head, target, attempt_id, body, tenant),
+            received_at,
+            received_at + min(client_limit, route_limit),
+            Cause.DEADLINE if client_limit <= route_limit else Cause.ROUTE_TIMEOUT,
             caller,
         )
 
-    async def _worked(self, taken: ClientRequest, work: RequestWork) -> Reply:
-        tenant = taken.tenant
-        if work.wanted and tenant is not None and not taken.route.unkeyed and tenant.rate_per_s > 0:
-            verdict = await work.unless_ended(self.quota(tenant))
-            if work.wanted and verdict is not None and not verdict.allowed:
+    async def _admit(self, request: ClientRequest, work: RequestWork) -> Reply:
+        tenant = request.tenant
+        if work.may_attempt and tenant is not None and not request.route.unkeyed and tenant.rate_per_s > 0:
+            verdict = await work.run_unless_ended(self.request_verdict(tenant))
+            if work.may_attempt and verdict is not None and not verdict.allowed:
                 self.count["refused.quota"] += 1
-                return refusal(429, self._again(taken.due, max(RETRY_AFTER_MS, verdict.retry_after_ms)))
-        # A close that came with the request is read in the loop's next turn, and before anything is sent.
+                return refusal(
+                    429, self._retry_after_ms(request.deadline, max(RETRY_AFTER_MS, verdict.retry_after_ms))
+                )
+        # If the client's close arrived together with the request, it is read in the next iteration of the
+        # event loop, before anything is sent.
         await asyncio.sleep(0)
-        return await self._served(taken, work)
+        return await self._run_attempts(request, work)
 
     def shut_down(self) -> None:
-        """The grace of an orderly stop is used up: each request that is left has its answer now."""
-        for work in tuple(self.works):
+        """Ends the requests still in progress when the grace period is over; each is answered at once."""
+        for work in tuple(self.requests_in_progress):
             work.end(Cause.SHUTDOWN)
 
-    def _tenant(
-        self, state: ActiveConfiguration, route: Route, headers: dict[bytes, bytes]
+    def _authenticate(
+        self, configuration: ActiveConfiguration, route: Route, headers: dict[bytes, bytes]
     ) -> tuple[Tenant | None, Reply | None]:
-        if not state.keys.needed:
+        if not configuration.keys.needed:
             return None, None
-        word, _, key = headers.get(b"authorization", b"").partition(b" ")
-        tenant = state.keys.tenant(key.strip().decode("latin-1")) if word.lower() == b"bearer" else None
+        scheme, _, key = headers.get(b"authorization", b"").partition(b" ")
+        tenant = (
+            configuration.keys.tenant(key.strip().decode("latin-1")) if scheme.lower() == b"bearer" else None
+        )
         if tenant is None and not route.unkeyed:
             self.count["no_key"] += 1
             return None, refusal(401)
         return tenant, None
 
     @staticmethod
-    def _message(
-        state: ActiveConfiguration,
+    def _build_message(
+        configuration: ActiveConfiguration,
         head: h11.Request,
         target: bytes,
-        name: bytes,
+        attempt_id: bytes,
         body: bytes,
         tenant: Tenant | None,
     ) -> Message:
-        passed = end_to_end_headers(
-            head.headers, _LIMITER_AND_KEY_HEADERS if state.keys.needed else _LIMITER_HEADERS
+        headers = end_to_end_headers(
+            head.headers, _LIMITER_AND_KEY_HEADERS if configuration.keys.needed else _LIMITER_HEADERS
         )
         if body or head.method not in (b"GET", b"HEAD"):
-            passed.append((b"Content-Length", b"%d" % len(body)))
+            headers.append((b"Content-Length", b"%d" % len(body)))
         if tenant is not None:
-            passed.append((b"X-Tenant", tenant.name.encode()))
-        return Message(name, bytes(head.method), target, passed, body)
+            headers.append((b"X-Tenant", tenant.name.encode()))
+        return Message(attempt_id, bytes(head.method), target, headers, body)
 
-    def _again(self, due: float, wanted: float) -> float:
-        """When a refused request may come again: within a third of its time, as clients heed no longer."""
-        return max(1.0, min(wanted, MAX_RETRY_AFTER_MS, (due - self.wheel.now()) / 4.0))
+    def _retry_after_ms(self, deadline: float, desired_ms: float) -> float:
+        """Returns the Retry-After of a refused request in ms.
+
+        Clients ignore a delay of more than a third of their time, so it is at most a quarter of what is
+        left."""
+        return max(1.0, min(desired_ms, MAX_RETRY_AFTER_MS, (deadline - self.wheel.now()) / 4.0))
 
     # Attempts -----------------------------------------------------------------------------
 
-    async def _served(self, taken: ClientRequest, work: RequestWork) -> Reply:
-        route, due, caller = taken.route, taken.due, taken.caller
-        course, tried = AttemptHistory(work.safe, route.tries), set[str]()
+    async def _run_attempts(self, request: ClientRequest, work: RequestWork) -> Reply:
+        route, deadline, caller = request.route, request.deadline, request.caller
+        history, tried_servers = AttemptHistory(work.safe, route.tries), set[str]()
         service = service_of(route, self.random.random())
-        self.budget.record_request(taken.began, service)
-        last = NextStep.REFUSE
+        self.budget.record_request(request.received_at, service)
+        fallback_step = NextStep.REFUSE
         while True:
             now = self.wheel.now()
-            if now >= due - MIN_TIME_LEFT_MS:
-                return self._own(course, NextStep.TIME_OUT if course.may_have_run else NextStep.REFUSE, due)
+            if now >= deadline - MIN_TIME_LEFT_MS:
+                return self._own_answer(
+                    history, NextStep.TIME_OUT if history.may_have_run else NextStep.REFUSE, deadline
+                )
             if work.abandoned:
-                return self._ended(course, due)
-            place = self._pick(now, route, service, tried, caller)
-            if place is None or course.needs_budget() and not self.budget.take_retry(now, place.target):
-                return self._own(course, last, due)
-            tried.add(place.id)
-            end, reply = await self._attempt(taken, service, course, place, tried, work)
-            step, otherwise = course.record_outcome(end)
-            self.count[f"end.{end.value}"] += 1
+                return self._abandoned_answer(history, deadline)
+            server = self._select_server(now, route, service, tried_servers, caller)
+            if server is None or history.needs_budget() and not self.budget.take_retry(now, server.target):
+                return self._own_answer(history, fallback_step, deadline)
+            tried_servers.add(server.id)
+            outcome, reply = await self._attempt(request, service, history, server, tried_servers, work)
+            step, alternative = history.record_outcome(outcome)
+            self.count[f"end.{outcome.value}"] += 1
             if step is NextStep.RETRY:
-                last = otherwise
+                fallback_step = alternative
                 if (
-                    otherwise is NextStep.FORWARD
+                    alternative is NextStep.FORWARD
                     and reply is not None
                     and (
-                        self.wheel.now() >= due - MIN_TIME_LEFT_MS
-                        or not work.wanted
+                        self.wheel.now() >= deadline - MIN_TIME_LEFT_MS
+                        or not work.may_attempt
                         or not self.budget.can_retry(self.wheel.now(), service)
-                        or self._pick(self.wheel.now(), route, service, tried) is None
+                        or self._select_server(self.wheel.now(), route, service, tried_servers) is None
                     )
                 ):
                     return reply
-                if otherwise is NextStep.FORWARD:
-                    last = NextStep.FAIL
+                if alternative is NextStep.FORWARD:
+                    fallback_step = NextStep.FAIL
                 continue
             if step is NextStep.FORWARD and reply is not None:
                 self.count["passed"] += 1
                 return reply
-            return self._ended(course, due) if work.abandoned else self._own(course, step, due)
+            return (
+                self._abandoned_answer(history, deadline)
+                if work.abandoned
+                else self._own_answer(history, step, deadline)
+            )
 
-    def _ended(self, course: AttemptHistory, due: float) -> Reply:
-        """Nothing is sent any more: an answer for whoever may still read it, and the connection's end."""
-        reply = self._own(course, NextStep.FAIL if course.may_have_run else NextStep.REFUSE, due)
+    def _abandoned_answer(self, history: AttemptHistory, deadline: float) -> Reply:
+        """Returns the answer to a request that was abandoned, after which the connection is closed."""
+        reply = self._own_answer(
+            history, NextStep.FAIL if history.may_have_run else NextStep.REFUSE, deadline
+        )
         reply.close = True
         return reply
 
-    def _pick(
-        self, now: float, route: Route, service: str, tried: set[str], caller: int | None = None
+    def _select_server(
+        self, now: float, route: Route, service: str, tried_servers: set[str], caller: int | None = None
     ) -> ServerState | None:
-        place = self.choice.pick(now, service, route.name, route.setpoint_ms, tried, caller)
-        if place is None:
-            for other in targets(route):
-                if other != service:
-                    place = place or self.choice.pick(now, other, route.name, route.setpoint_ms, tried)
-        return place
+        server = self.selector.pick(now, service, route.name, route.setpoint_ms, tried_servers, caller)
+        if server is None:
+            for other_service in targets(route):
+                if other_service != service:
+                    server = server or self.selector.pick(
+                        now, other_service, route.name, route.setpoint_ms, tried_servers
+                    )
+        return server
 
     async def _attempt(
         self,
-        taken: ClientRequest,
+        request: ClientRequest,
         service: str,
-        course: AttemptHistory,
-        place: ServerState,
-        tried: set[str],
+        history: AttemptHistory,
+        server: ServerState,
+        tried_servers: set[str],
         work: RequestWork,
     ) -> tuple[AttemptOutcome, Reply | None]:
-        """One attempt; a safe request that waits for longer than nearly all is sent to a second server
-        too."""
-        route, message, due = taken.route, taken.message, taken.due
-        first = self.servers.attempt(place, route.name, message, work)
-        aim = route.setpoint_ms
-        patience = max(
-            MIN_HEDGE_DELAY_SETPOINTS * aim, HEDGE_P95_FACTOR * self.choice.route_latency(route.name).p95
+        """Makes one attempt, and hedges it with a second server if a safe request waits unusually long."""
+        route, message, deadline = request.route, request.message, request.deadline
+        first = self.server_connections.attempt(server, route.name, message, work)
+        setpoint = route.setpoint_ms
+        hedge_delay = max(
+            MIN_HEDGE_DELAY_SETPOINTS * setpoint,
+            HEDGE_P95_FACTOR * self.selector.route_latency(route.name).p95,
         )
         now = self.wheel.now()
         if (
-            not course.safe
-            or course.sent + 1 >= course.max_attempts
-            or patience > min(MAX_HEDGE_DELAY_SETPOINTS * aim, due - now)
+            not history.safe
+            or history.sent + 1 >= history.max_attempts
+            or hedge_delay > min(MAX_HEDGE_DELAY_SETPOINTS * setpoint, deadline - now)
         ):
             return await first
-        tasks = {self._task(first)}
-        done, _ = await asyncio.wait(tasks, timeout=patience / 1000.0)
-        if not done and work.wanted:
+        tasks = {self._start_attempt_task(first)}
+        done, _ = await asyncio.wait(tasks, timeout=hedge_delay / 1000.0)
+        if not done and work.may_attempt:
             now = self.wheel.now()
-            other = self.choice.pick(now, service, route.name, aim, tried)
-            if other is not None and self.budget.take_retry(now, service):
+            second = self.selector.pick(now, service, route.name, setpoint, tried_servers)
+            if second is not None and self.budget.take_retry(now, service):
                 self.count["hedged"] += 1
-                tried.add(other.id)
-                course.sent += 1
-                course.may_have_run = True
-                tasks.add(self._task(self.servers.attempt(other, route.name, message, work)))
-        ended: tuple[AttemptOutcome, Reply | None] = (AttemptOutcome.TIMED_OUT, None)
+                tried_servers.add(second.id)
+                history.sent += 1
+                history.may_have_run = True
+                tasks.add(
+                    self._start_attempt_task(
+                        self.server_connections.attempt(second, route.name, message, work)
+                    )
+                )
+        result: tuple[AttemptOutcome, Reply | None] = (AttemptOutcome.TIMED_OUT, None)
         while tasks:
             done, tasks = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
             for task in done:
-                ended = task.result()
-                if ended[0] is AttemptOutcome.ANSWER:
-                    work.end_others()
-                    return ended
-        return ended
+                result = task.result()
+                if result[0] is AttemptOutcome.ANSWER:
+                    work.end_attempts()
+                    return result
+        return result
 
-    def _task(
+    def _start_attempt_task(
         self, attempt: Awaitable[tuple[AttemptOutcome, Reply | None]]
     ) -> asyncio.Task[tuple[AttemptOutcome, Reply | None]]:
         task = asyncio.ensure_future(attempt)
-        self.background.add(task)
-        task.add_done_callback(self._over)
+        self.attempt_tasks.add(task)
+        task.add_done_callback(self._on_attempt_done)
         return task
 
-    def _over(self, task: asyncio.Task[tuple[AttemptOutcome, Reply | None]]) -> None:
-        self.background.discard(task)
+    def _on_attempt_done(self, task: asyncio.Task[tuple[AttemptOutcome, Reply | None]]) -> None:
+        self.attempt_tasks.discard(task)
         if not task.cancelled():
-            task.exception()  # whoever waited for it may have its answer from the other one
+            # Marks the exception as retrieved, as the request may have been answered by the other attempt.
+            task.exception()
 
-    def _own(self, course: AttemptHistory, step: NextStep, due: float) -> Reply:
-        """An answer of our own."""
-        step = course.without_false_refusal(step)
+    def _own_answer(self, history: AttemptHistory, step: NextStep, deadline: float) -> Reply:
+        """Returns the limiter's own answer to a request for which no server's answer is forwarded."""
+        step = history.without_false_refusal(step)
         self.count[f"own.{step.value}"] += 1
         if step is NextStep.REFUSE:
-            return refusal(503, self._again(due, RETRY_AFTER_MS * (1.0 + self.random.random())))
+            return refusal(503, self._retry_after_ms(deadline, RETRY_AFTER_MS * (1.0 + self.random.random())))
         return Reply(504 if step is NextStep.TIME_OUT else 502)
 
 
 def _time_left(headers: dict[bytes, bytes]) -> float:
+    """Returns the ms that X-Time-Left states, or the default if the header is absent or invalid."""
     try:
         left = float(headers.get(b"x-time-left", b""))
     except ValueError:
--- a/larklb/gateway/servers.py
+++ b/larklb/gateway/servers.py
@@ -198,17 +198,17 @@
         self, place: ServerState, route: str, message: Message, work: RequestWork
     ) -> tuple[AttemptOutcome, Reply | None]:
         """Sends a request to a server; how that ended, and the answer, if any."""
-        if not work.wanted:
+        if not work.may_attempt:
             return AttemptOutcome.UNSENT, None
         self.choice.record_start(place)
-        attempt = work.attempted()
+        attempt = work.start_attempt()
         try:
             return await self._tried(place, route, message, work, attempt)
         except BaseException:
             self.choice.release(place)
             raise
         finally:
-            work.attempt_over(attempt)
+            work.finish_attempt(attempt)
 
     async def _tried(
         self, place: ServerState, route: str, message: Message, work: RequestWork, attempt: Attempt
@@ -217,16 +217,18 @@
         link = self._pooled(place.id, work.safe)
         if link is None:
             near = choice.regions.get(place.zone) == choice.regions.get(choice.zone)
-            within = min(work.due - started, REGIONAL_DIAL_TIMEOUT_MS if near else REMOTE_DIAL_TIMEOUT_MS)
+            within = min(
+                work.deadline - started, REGIONAL_DIAL_TIMEOUT_MS if near else REMOTE_DIAL_TIMEOUT_MS
+            )
             link = await self._dial(place, within, attempt)
             if link is None:
-                if attempt.ended_by is None or attempt.out_of_time:
+                if attempt.ended_by is None or attempt.timed_out:
                     choice.record_failure(self.wheel.now(), place, True)
                 else:
                     choice.release(place)
                 return AttemptOutcome.UNSENT, None
         now = self.wheel.now()
-        left = work.due - now
+        left = work.deadline - now
         # A dial takes time: the server may have begun to leave meanwhile.
         gone = place.draining or choice.servers.get(place.id) is not place
         if attempt.ended_by is not None or left < MIN_TIME_LEFT_MS or gone:
@@ -272,7 +274,7 @@
         if attempt.ended_by is None:
             self.choice.record_failure(now, place, False)
             return AttemptOutcome.BROKEN
-        if attempt.out_of_time:
+        if attempt.timed_out:
             self.choice.record_failure(now, place, True)
             return AttemptOutcome.TIMED_OUT
         self.choice.record_abandonment(now, place, route, waited)
--- a/tests/test_gateway_process.py
+++ b/tests/test_gateway_process.py
@@ -493,7 +493,7 @@
         bed.steps = [works_until_closed]
         assert (await bed.ask("safe")).body == b"whole" and len(bed.seen) == 2
         await broken_off.wait()
-        await bed.until(lambda: not bed.front.background)
+        await bed.until(lambda: not bed.front.attempt_tasks)
         assert bed.servers.open_connections == 1 and all(not p.in_flight for p in bed.choice.servers.values())
         bed.steps = [hangs]
         assert (await bed.ask("unsafe", left=400)).status == 504 and len(bed.seen) == 3
--- a/tests/test_request_cancellation.py
+++ b/tests/test_request_cancellation.py
@@ -124,7 +124,7 @@
         await bed.until(lambda: len(bed.seen) == 2)
         writer.close()
         assert await soon(lambda: ends == [BROKEN_OFF] * 2), ends
-        assert await soon(lambda: not bed.door.active_requests() and not bed.front.background)
+        assert await soon(lambda: not bed.door.active_requests() and not bed.front.attempt_tasks)
         assert all(not place.in_flight for place in bed.choice.servers.values())
     played(test)
 
@@ -166,7 +166,7 @@
             await bed.go_on.wait()
             return None
 
-        bed.front.quota = quota
+        bed.front.request_verdict = quota
         _, writer = await bed.client()
         writer.write(request(route, more=b"Authorization: Bearer k1\r\n"))
         await asked.wait()
@@ -261,7 +261,7 @@
             await bed.go_on.wait()
             return None
 
-        bed.front.quota = quota
+        bed.front.request_verdict = quota
         got = await bed.ask("unsafe", more=b"Authorization: Bearer k1\r\n", left=200)
         assert got.status == 503 and b"retry-after" in got.headers and not bed.seen
     played(test, tenants=True)
