--- a/larklb/gateway/client_reader.py
+++ b/larklb/gateway/client_reader.py
@@ -1,4 +1,4 @@
-"""The reader of a client's connection, which also tells of a close behind bytes that are not read yet."""
+"""The reader of a client connection, which also detects a close behind bytes that have not been read."""
 
 from __future__ import annotations
 
@@ -7,25 +7,29 @@
 
 from larklb.net.http import WatchedReader
 
-# Of a poll: the other side has closed its half, or the connection is broken.
-_CLOSED = select.POLLRDHUP | select.POLLHUP | select.POLLERR
+# Poll events: the peer has closed its side, or the connection is broken.
+_CLOSE_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 
 
 class ClientReader(WatchedReader):
-    """Reading stops while too much waits behind a request in work; a close behind that is asked for."""
+    """A reader that notices a close by the client while reading is paused.
 
-    closed_unread = False
+    Reading is paused while too many bytes wait behind a request in progress. A close behind them is not read,
+    so the socket has to be polled for it.
+    """
+
+    close_polled = False
 
     def ended(self) -> bool:
-        """Whether the other side has closed or broken the connection, read or not."""
-        return self.closed_unread or super().ended()
+        """Returns whether the peer has closed or broken the connection, even behind unread bytes."""
+        return self.close_polled or super().ended()
 
-    def look_for_close(self, sock: socket.socket) -> None:
-        """Asks the system, where reading has stopped; called regularly while a request is in work."""
+    def poll_for_close(self, sock: socket.socket) -> None:
+        """Polls the socket if reading is paused; to be called regularly while a request is in progress."""
         if not self._paused or self.ended():  # type: ignore[attr-defined]
             return
         poll = select.poll()
         poll.register(sock.fileno(), select.POLLRDHUP)
-        if any(events & _CLOSED for _, events in poll.poll(0)):
-            self.closed_unread = True
+        if any(events & _CLOSE_EVENTS for _, events in poll.poll(0)):
+            self.close_polled = True
             self._tell()
--- a/larklb/gateway/listener.py
+++ b/larklb/gateway/listener.py
@@ -1,7 +1,7 @@
-"""A listening address that speaks HTTP/1.1: its connections, their bounds, and one answer for each request.
+"""A listening address that speaks HTTP/1.1: its connections, their limits, and one answer for each request.
 
-What the requests mean is the business of whoever answers them: clients at the front, servers and operators
-at the control address, the platform at the readiness address.
+The requests are interpreted by the handler of the address: the data plane for clients, the control API for
+servers and operators, and the readiness check for the platform.
 """
 
 from __future__ import annotations
@@ -24,16 +24,19 @@
 
 LISTEN_BACKLOG = 512
 SWEEP_INTERVAL_MS = 250.0
-LINGER_MS = 2_000.0  # in which what arrives behind a refusal is thrown away ...
-MAX_LINGER_READS = 64  # ... in so many reads: a close over unread bytes would lose the answer
+# What arrives behind a refused request is discarded for this time and in this many reads at most, as closing
+# a socket with unread bytes would reset the connection and lose the answer.
+LINGER_MS = 2_000.0
+MAX_LINGER_READS = 64
+# Statuses of refusals after which part of the request may be unread.
 _LINGERING_STATUSES = (400, 408, 413, 431, 501)
 
-Answer = Callable[[h11.Request, bytes, Link], Awaitable[Reply]]
+RequestHandler = Callable[[h11.Request, bytes, Link], Awaitable[Reply]]
 
 
 @define
 class RequestLimits:
-    """What a caller may send, and how long it may take or stay idle (ms)."""
+    """Limits on the size of a request in bytes, and on the time to send one or to stay idle in ms."""
 
     head_bytes: int = 64 * 1024
     body_bytes: int = 64 * 1024 * 1024
@@ -42,31 +45,32 @@
 
 
 class Listener:
-    """One listening address."""
+    """One listening address and its connections."""
 
-    def __init__(self, wheel: Wheel, answer: Answer, max_connections: int) -> None:
-        """``answer`` is asked for each request; ``most`` connections are kept at once."""
-        self.wheel, self.answer, self.max_connections = wheel, answer, max_connections
+    def __init__(self, wheel: Wheel, handler: RequestHandler, max_connections: int) -> None:
+        """Creates a listener of at most ``max_connections``; ``handler`` answers each request."""
+        self.wheel, self.handler, self.max_connections = wheel, handler, max_connections
         self.limits = RequestLimits()
         self.connections: dict[Link, None] = {}
         self.tasks: set[asyncio.Task[None]] = set()
         self.server: asyncio.Server | None = None
-        self.draining = False  # each connection ends with its next answer
+        # Whether each connection is closed after its next answer.
+        self.draining = False
         self.closed = False
 
     async def start(self, host: str, port: int) -> None:
-        """AddressError where the address can't be had."""
+        """Starts to accept connections; raises ``AddressError`` if the address can't be listened on."""
         loop = asyncio.get_running_loop()
 
-        def connected(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        def on_connect(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             assert isinstance(reader, ClientReader)
-            task = loop.create_task(self._connection(Link(reader, writer, h11.SERVER)))
+            task = loop.create_task(self._serve_connection(Link(reader, writer, h11.SERVER)))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
 
         try:
             self.server = await loop.create_server(
-                lambda: asyncio.StreamReaderProtocol(ClientReader(), connected, loop=loop),
+                lambda: asyncio.StreamReaderProtocol(ClientReader(), on_connect, loop=loop),
                 host,
                 port,
                 backlog=LISTEN_BACKLOG,
@@ -77,7 +81,7 @@
         self.wheel.after(SWEEP_INTERVAL_MS, self._sweep)
 
     def _sweep(self) -> None:
-        """What says nothing, or hangs in the middle of a head, must not hold a descriptor for good."""
+        """Ends connections that have been idle, or in the middle of a request, for longer than the limits."""
         if self.closed:
             return
         self.wheel.after(SWEEP_INTERVAL_MS, self._sweep)
@@ -85,9 +89,10 @@
         for link in list(self.connections):
             if link.busy:
                 if isinstance(link.reader, ClientReader):
-                    link.reader.look_for_close(link.writer.get_extra_info("socket"))
+                    link.reader.poll_for_close(link.writer.get_extra_info("socket"))
                 if link.waits_since and now - link.waits_since > self.limits.idle_ms:
-                    link.reader.give_up()  # in the middle of a body
+                    # The body has stopped arriving.
+                    link.reader.give_up()
                 continue
             if link.more():
                 link.begun = link.begun or now
@@ -106,7 +111,7 @@
                 return True
         return False
 
-    async def _connection(self, link: Link) -> None:
+    async def _serve_connection(self, link: Link) -> None:
         if not self._make_room():
             link.abort()
             return
@@ -115,21 +120,23 @@
         try:
             if sock is not None:
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            while await self._message(link):
+            while await self._serve_request(link):
                 link.busy, link.begun, link.new = False, 0.0, False
                 link.since = self.wheel.now()
                 self.connections.pop(link, None)
-                self.connections[link] = None  # the one that rested longest stands first
+                # The order is by idle time, with the connection that has been idle longest first.
+                self.connections[link] = None
         except (OSError, h11.LocalProtocolError):
-            pass  # the caller has gone, or what it does allows no answer
+            # The peer has gone, or the state of the connection allows no answer.
+            pass
         except Exception:
-            log.exception("listener: a connection failed.")
+            log.exception("listener: unexpected error on a connection.")
         finally:
             self.connections.pop(link, None)
             link.writer.close()
 
-    async def _message(self, link: Link) -> bool:
-        """One request and its answer; whether another may follow."""
+    async def _serve_request(self, link: Link) -> bool:
+        """Reads a request and answers it; returns whether another request may follow on the connection."""
         try:
             head = await link.head()
             if head is None:
@@ -138,8 +145,8 @@
             if (link.length or 0) > self.limits.body_bytes:
                 raise TooLongError
             body = []
-            while (part := await link.piece()) is not None:
-                body.append(part)
+            while (piece := await link.piece()) is not None:
+                body.append(piece)
                 if link.size > self.limits.body_bytes:
                     raise TooLongError
         except LateError:
@@ -148,14 +155,14 @@
             return await self._refuse(link, 413)
         except h11.RemoteProtocolError as error:
             return False if link.reader.ended() else await self._refuse(link, error.error_status_hint)
-        reply = await self.answer(head, b"".join(body), link)
+        reply = await self.handler(head, b"".join(body), link)
         close = reply.close or self.draining
         self._write(link, reply, close, head.method)
         await link.writer.drain()
         return not close and not link.reader.ended() and link.again()
 
     async def _refuse(self, link: Link, status: int) -> bool:
-        """What can't be read is answered, if it can be, and its connection ends."""
+        """Answers a request that can't be read, if an answer is still possible; the connection then ends."""
         link.busy = True
         if link.may_answer():
             self._write(link, Reply(status), True, b"GET")
@@ -185,20 +192,20 @@
         )
 
     def drain(self) -> None:
-        """Connections end as they come to rest; new ones are still taken, for one answer each."""
+        """Closes each connection when it is idle; new ones are still accepted, for one answer each."""
         self.draining = True
 
     def stop_listening(self) -> None:
-        """Takes no more connections."""
+        """Stops accepting connections."""
         if self.server is not None:
             self.server.close()
 
     def active_requests(self) -> int:
-        """Requests that are in work."""
+        """Returns the number of connections with a request in progress."""
         return sum(link.busy or link.more() for link in self.connections)
 
     async def close(self) -> None:
-        """Ends everything."""
+        """Closes the address and all connections, and cancels the requests in progress."""
         self.closed = True
         self.stop_listening()
         for link in list(self.connections):
--- a/larklb/gateway/servers.py
+++ b/larklb/gateway/servers.py
@@ -1,7 +1,7 @@
-"""Connections to servers, and attempts on them: one request out, one whole answer back, or how it failed.
+"""Connections to servers and the attempts made on them, each with one complete answer or a failure.
 
-An answer is held until its last byte: what ends early never looks complete to a client.  Bytes behind an
-answer end the connection; an answer to another request than the one asked is read away.
+An answer is buffered until its last byte, so that a truncated one never looks complete to a client. Surplus
+bytes behind an answer end the connection. An answer to another request than the current one is discarded.
 """
 
 from __future__ import annotations
@@ -20,24 +20,27 @@
 from larklb.net.http import LateError, Link, TooLongError, dial, finished
 from larklb.wheel import Wheel
 
-MAX_ANSWER_BYTES = 32 * 1024 * 1024  # bytes of an answer that are held
-DEFAULT_IDLE_TIMEOUT_MS = (
-    4_000.0  # a connection that rests is closed after so long, where the server tells no time
-)
-# ...
-IDLE_TIMEOUT_FRACTION = 0.4  # ... or after this part of the time that it tells
-MAX_IDLE_FOR_UNSAFE_MS = (
-    1_500.0  # an unsafe request goes only on a connection that rested less: it can't go twice
-)
-MIN_IDLE_BEFORE_REUSE_MS = (
-    10.0  # from an answer to the next use of its connection: what follows it has come then
-)
-REGIONAL_DIAL_TIMEOUT_MS = 250.0  # for a connection to come up in this region ...
-REMOTE_DIAL_TIMEOUT_MS = 600.0  # ... and in another
-MAX_STRAY_ANSWERS = 2  # answers to other requests that are read away before the one that was asked for
+# Longest body of an answer, all of which is buffered.
+MAX_ANSWER_BYTES = 32 * 1024 * 1024
+# An idle connection is closed after this time if its server states no timeout.
+DEFAULT_IDLE_TIMEOUT_MS = 4_000.0
+# Fraction of a server's stated idle timeout that is used, so that a request doesn't cross the server's close.
+IDLE_TIMEOUT_FRACTION = 0.4
+# An unsafe request can't be sent twice, so it uses only connections that have been idle for less than this.
+MAX_IDLE_FOR_UNSAFE_MS = 1_500.0
+# A connection is reused only this long after an answer, by when any surplus bytes behind it have arrived.
+MIN_IDLE_BEFORE_REUSE_MS = 10.0
+# Time allowed to open a connection within the limiter's region.
+REGIONAL_DIAL_TIMEOUT_MS = 250.0
+# Time allowed to open a connection to another region.
+REMOTE_DIAL_TIMEOUT_MS = 600.0
+# Answers to other requests that are discarded before the awaited one.
+MAX_STRAY_ANSWERS = 2
 SWEEP_INTERVAL_MS = 500.0
-MIN_TIME_LEFT_MS = 4.0  # left of the time, below which nothing is sent any more
-MISDIRECTED_EJECTION_MS = 10_000.0  # another server has the address: until the registry tells
+# Nothing is sent to a server if less time than this is left.
+MIN_TIME_LEFT_MS = 4.0
+# Ejection after a 421. The address now belongs to another server, as the registry will report by then.
+MISDIRECTED_EJECTION_MS = 10_000.0
 
 _HOP_BY_HOP_HEADERS = frozenset(
     (
@@ -58,7 +61,7 @@
 
 @define
 class Message:
-    """What goes to a server, but for what each attempt adds."""
+    """A request to a server, without the headers that each attempt adds."""
 
     id: bytes
     method: bytes
@@ -69,20 +72,21 @@
 
 @define
 class Reply:
-    """What goes back to a client.  ``headers`` as the server sent them, without those of one connection."""
+    """An answer to a client; ``headers`` are the server's without the hop-by-hop ones."""
 
     status: int
     headers: Headers = field(factory=list)
     body: bytes = b""
     reason: bytes = b""
     close: bool = False
-    length: bytes = b""  # of a body that is told and not sent (HEAD)
+    # Content-Length of the answer to a HEAD request, whose body is not sent.
+    length: bytes = b""
 
 
 def end_to_end_headers(
-    headers: Iterable[tuple[bytes, bytes]], beside: frozenset[bytes] = frozenset()
+    headers: Iterable[tuple[bytes, bytes]], exclude: frozenset[bytes] = frozenset()
 ) -> Headers:
-    """Headers but those of one connection, the length, and those named ``beside``."""
+    """Returns the headers without the hop-by-hop ones, Content-Length and those in ``exclude``."""
     named = {
         part.strip().lower() for name, value in headers if name == b"connection" for part in value.split(b",")
     }
@@ -92,22 +96,23 @@
         if name not in _HOP_BY_HOP_HEADERS
         and name != b"content-length"
         and name not in named
-        and name not in beside
+        and name not in exclude
     ]
 
 
 class ServerConnections:
-    """All connections to servers."""
+    """Opens, pools and closes the connections to servers, and makes attempts on them."""
 
     def __init__(
-        self, wheel: Wheel, choice: ServerSelector, max_connections: int, count: dict[str, int]
+        self, wheel: Wheel, selector: ServerSelector, max_connections: int, count: dict[str, int]
     ) -> None:
-        """``max_connections`` connections may be open; ``count`` takes what is counted."""
-        self.wheel, self.choice, self.max_connections, self.count = wheel, choice, max_connections, count
-        self.pools: defaultdict[str, list[tuple[Link, float]]] = defaultdict(list)  # by id, with its last
-        # time
+        """Creates empty pools for ``max_connections`` open connections at most; ``count`` takes counters."""
+        self.wheel, self.selector, self.max_connections, self.count = wheel, selector, max_connections, count
+        # Idle connections by server id, each with the time at which it expires.
+        self.pools: defaultdict[str, list[tuple[Link, float]]] = defaultdict(list)
         self.open_connections = 0
-        self.unnamed: set[Link] = set()  # connections on which an answer came that named no request
+        # Connections on which an answer without an attempt id has arrived.
+        self.unidentified: set[Link] = set()
         wheel.after(SWEEP_INTERVAL_MS, self._sweep)
 
     # Connections --------------------------------------------------------------------------
@@ -115,77 +120,79 @@
     def _sweep(self) -> None:
         self.wheel.after(SWEEP_INTERVAL_MS, self._sweep)
         now = self.wheel.now()
-        for name, pool in list(self.pools.items()):
-            place = self.choice.servers.get(name)
-            for link, until in list(pool):
-                if now >= until or place is None or place.draining:
-                    self._drop(name, link)
+        for server_id, pool in list(self.pools.items()):
+            server = self.selector.servers.get(server_id)
+            for link, expires_at in list(pool):
+                if now >= expires_at or server is None or server.draining:
+                    self._close_idle(server_id, link)
             if not pool:
-                del self.pools[name]
+                del self.pools[server_id]
 
-    def _drop(self, name: str, link: Link) -> None:
-        pool = self.pools.get(name, [])
-        pool[:] = [kept for kept in pool if kept[0] is not link]
-        self._end(link)
+    def _close_idle(self, server_id: str, link: Link) -> None:
+        pool = self.pools.get(server_id, [])
+        pool[:] = [entry for entry in pool if entry[0] is not link]
+        self._close(link)
 
-    def _end(self, link: Link) -> None:
+    def _close(self, link: Link) -> None:
         link.reader.on_end = None
         link.abort()
-        self.unnamed.discard(link)
+        self.unidentified.discard(link)
         self.open_connections -= 1
 
-    def _pooled(self, name: str, safe: bool) -> Link | None:
+    def _take_idle(self, server_id: str, safe: bool) -> Link | None:
         now = self.wheel.now()
-        pool = self.pools.get(name, [])
+        pool = self.pools.get(server_id, [])
         for index in range(len(pool) - 1, -1, -1):
-            link, until = pool[index]
-            rested = now - link.since
-            if rested < MIN_IDLE_BEFORE_REUSE_MS:
+            link, expires_at = pool[index]
+            idle_ms = now - link.since
+            if idle_ms < MIN_IDLE_BEFORE_REUSE_MS:
                 continue
-            if now >= until or not safe and rested > MAX_IDLE_FOR_UNSAFE_MS:
+            if now >= expires_at or not safe and idle_ms > MAX_IDLE_FOR_UNSAFE_MS:
                 break
-            if not safe and link in self.unnamed:
-                continue  # a copy of that answer could pass for the next one, and say that it has not run
+            if not safe and link in self.unidentified:
+                # A late copy of that answer could be taken for the next one and state that the request has
+                # not run.
+                continue
             del pool[index]
             link.reader.on_end, link.reader.quiet = None, False
             return link
         return None
 
-    def _keep(self, name: str, link: Link, answer: h11.Response | None) -> None:
-        place = self.choice.servers.get(name)
-        if place is None or place.draining or link.reader.ended() or link.more() or not link.again():
-            self._end(link)
+    def _put_back(self, server_id: str, link: Link, answer: h11.Response | None) -> None:
+        server = self.selector.servers.get(server_id)
+        if server is None or server.draining or link.reader.ended() or link.more() or not link.again():
+            self._close(link)
             return
         link.since = self.wheel.now()
-        idle = DEFAULT_IDLE_TIMEOUT_MS
+        timeout_ms = DEFAULT_IDLE_TIMEOUT_MS
         for header, value in answer.headers if answer is not None else ():
-            if header == b"keep-alive" and (told := _KEEP_ALIVE_TIMEOUT.search(value)):
-                idle = min(idle, int(told[1]) * 1000.0 * IDLE_TIMEOUT_FRACTION)
-        link.reader.on_end, link.reader.quiet = lambda: self._drop(name, link), True
-        self.pools[name].append((link, link.since + idle))
+            if header == b"keep-alive" and (timeout := _KEEP_ALIVE_TIMEOUT.search(value)):
+                timeout_ms = min(timeout_ms, int(timeout[1]) * 1000.0 * IDLE_TIMEOUT_FRACTION)
+        link.reader.on_end, link.reader.quiet = lambda: self._close_idle(server_id, link), True
+        self.pools[server_id].append((link, link.since + timeout_ms))
 
     def _make_room(self) -> bool:
-        """Whether one connection more may be opened, if need be in place of the one that rested longest."""
+        """Returns whether another connection may be opened; closes the one idle longest if necessary."""
         if self.open_connections < self.max_connections:
             return True
-        rests = [(pool[0][0].since, name) for name, pool in self.pools.items() if pool]
-        if not rests:
+        idle_pools = [(pool[0][0].since, server_id) for server_id, pool in self.pools.items() if pool]
+        if not idle_pools:
             return False
-        name = min(rests)[1]
-        self._drop(name, self.pools[name][0][0])
+        server_id = min(idle_pools)[1]
+        self._close_idle(server_id, self.pools[server_id][0][0])
         return True
 
-    async def _dial(self, place: ServerState, within: float, attempt: Attempt) -> Link | None:
+    async def _dial(self, server: ServerState, timeout_ms: float, attempt: Attempt) -> Link | None:
         if not self._make_room():
             self.count["no_descriptor"] += 1
             return None
         self.open_connections += 1
         self.count["dialled"] += 1
-        host, _, port = place.address.rpartition(":")
+        host, _, port = server.address.rpartition(":")
         dialling = attempt.dialling = asyncio.ensure_future(dial(host, int(port)))
         link = None
         try:
-            link = await finished(dialling, within, self.wheel)
+            link = await finished(dialling, timeout_ms, self.wheel)
         finally:
             attempt.dialling = None
             if link is None:
@@ -195,45 +202,45 @@
     # Attempts -----------------------------------------------------------------------------
 
     async def attempt(
-        self, place: ServerState, route: str, message: Message, work: RequestWork
+        self, server: ServerState, route: str, message: Message, work: RequestWork
     ) -> tuple[AttemptOutcome, Reply | None]:
-        """Sends a request to a server; how that ended, and the answer, if any."""
+        """Sends a request to a server; returns the outcome, and the answer if there is one to forward."""
         if not work.may_attempt:
             return AttemptOutcome.UNSENT, None
-        self.choice.record_start(place)
+        self.selector.record_start(server)
         attempt = work.start_attempt()
         try:
-            return await self._tried(place, route, message, work, attempt)
+            return await self._attempt(server, route, message, work, attempt)
         except BaseException:
-            self.choice.release(place)
+            self.selector.release(server)
             raise
         finally:
             work.finish_attempt(attempt)
 
-    async def _tried(
-        self, place: ServerState, route: str, message: Message, work: RequestWork, attempt: Attempt
+    async def _attempt(
+        self, server: ServerState, route: str, message: Message, work: RequestWork, attempt: Attempt
     ) -> tuple[AttemptOutcome, Reply | None]:
-        choice, started = self.choice, self.wheel.now()
-        link = self._pooled(place.id, work.safe)
+        selector, started = self.selector, self.wheel.now()
+        link = self._take_idle(server.id, work.safe)
         if link is None:
-            near = choice.regions.get(place.zone) == choice.regions.get(choice.zone)
-            within = min(
-                work.deadline - started, REGIONAL_DIAL_TIMEOUT_MS if near else REMOTE_DIAL_TIMEOUT_MS
+            same_region = selector.regions.get(server.zone) == selector.regions.get(selector.zone)
+            timeout_ms = min(
+                work.deadline - started, REGIONAL_DIAL_TIMEOUT_MS if same_region else REMOTE_DIAL_TIMEOUT_MS
             )
-            link = await self._dial(place, within, attempt)
+            link = await self._dial(server, timeout_ms, attempt)
             if link is None:
                 if attempt.ended_by is None or attempt.timed_out:
-                    choice.record_failure(self.wheel.now(), place, True)
+                    selector.record_failure(self.wheel.now(), server, True)
                 else:
-                    choice.release(place)
+                    selector.release(server)
                 return AttemptOutcome.UNSENT, None
         now = self.wheel.now()
-        left = work.deadline - now
-        # A dial takes time: the server may have begun to leave meanwhile.
-        gone = place.draining or choice.servers.get(place.id) is not place
-        if attempt.ended_by is not None or left < MIN_TIME_LEFT_MS or gone:
-            choice.release(place)
-            self._end(link)
+        time_left = work.deadline - now
+        # The server may have begun to drain, or left, while the connection was opened.
+        unavailable = server.draining or selector.servers.get(server.id) is not server
+        if attempt.ended_by is not None or time_left < MIN_TIME_LEFT_MS or unavailable:
+            selector.release(server)
+            self._close(link)
             return AttemptOutcome.UNSENT, None
         attempt.link = link
         head = h11.Request(
@@ -241,62 +248,65 @@
             target=message.target,
             headers=[
                 *message.headers,
-                (b"X-Time-Left", b"%d" % left),
-                (b"X-Target-Instance", place.id.encode()),
+                (b"X-Time-Left", b"%d" % time_left),
+                (b"X-Target-Instance", server.id.encode()),
             ],
         )
         try:
             link.write(head, message.body)
-            answer, body = await self._answer(link, head, message)
+            answer, body = await self._read_answer(link, head, message)
         except (OSError, LateError, TooLongError, h11.RemoteProtocolError):
             answer, body = None, b""
         except BaseException:
-            self._end(link)
+            self._close(link)
             raise
         now = self.wheel.now()
         if answer is None:
-            self._end(link)
-            return self._unanswered(now, place, route, now - started, attempt), None
-        names = [value for name, value in answer.headers if name == b"x-attempt-id"]
-        proof = bool(names) or link not in self.unnamed
-        if not names:
-            self.unnamed.add(link)
+            self._close(link)
+            return self._record_unanswered(now, server, route, now - started, attempt), None
+        attempt_ids = [value for header, value in answer.headers if header == b"x-attempt-id"]
+        belongs = bool(attempt_ids) or link not in self.unidentified
+        if not attempt_ids:
+            self.unidentified.add(link)
         if attempt.ended_by is None:
-            self._keep(place.id, link, answer)
+            self._put_back(server.id, link, answer)
         else:
-            self._end(link)  # its end crossed the answer
-        return self._read(now, place, route, now - started, message, answer, body, proof)
+            # The attempt was ended while its answer was arriving.
+            self._close(link)
+        return self._evaluate(now, server, route, now - started, message, answer, body, belongs)
 
-    def _unanswered(
-        self, now: float, place: ServerState, route: str, waited: float, attempt: Attempt
+    def _record_unanswered(
+        self, now: float, server: ServerState, route: str, waited_ms: float, attempt: Attempt
     ) -> AttemptOutcome:
-        """What an attempt without an answer tells of its server, and how it ended."""
+        """Records an attempt without an answer for its server; returns the outcome."""
         if attempt.ended_by is None:
-            self.choice.record_failure(now, place, False)
+            self.selector.record_failure(now, server, False)
             return AttemptOutcome.BROKEN
         if attempt.timed_out:
-            self.choice.record_failure(now, place, True)
+            self.selector.record_failure(now, server, True)
             return AttemptOutcome.TIMED_OUT
-        self.choice.record_abandonment(now, place, route, waited)
+        self.selector.record_abandonment(now, server, route, waited_ms)
         return AttemptOutcome.ABANDONED
 
-    async def _answer(
+    async def _read_answer(
         self, link: Link, head: h11.Request, message: Message
     ) -> tuple[h11.Response | None, bytes]:
-        """The answer that has this request's id; None where the connection brings none that can be used."""
+        """Returns the answer to this request, or None if the connection brings no usable one.
+
+        An answer that has another request's attempt id is discarded."""
         for _ in range(MAX_STRAY_ANSWERS + 1):
             answer = await link.head()
             if answer is None:
                 return None, b""
             body = []
-            while (part := await link.piece()) is not None:
-                body.append(part)
+            while (piece := await link.piece()) is not None:
+                body.append(piece)
                 if link.size > MAX_ANSWER_BYTES:
                     raise TooLongError
-            told = [value for name, value in answer.headers if name == b"x-attempt-id"]
-            if not told or told == [message.id]:
+            attempt_ids = [value for header, value in answer.headers if header == b"x-attempt-id"]
+            if not attempt_ids or attempt_ids == [message.id]:
                 return answer, b"".join(body)
-            # What stands here answers an earlier request: this one's answer comes behind it.
+            # This answers an earlier request; the awaited answer follows it.
             if link.http.their_state is not h11.DONE or link.http.our_state is not h11.DONE:
                 return None, b""
             rest = link.http.trailing_data[0]
@@ -309,42 +319,45 @@
                 link.http.receive_data(rest)
         return None, b""
 
-    def _read(
+    def _evaluate(
         self,
         now: float,
-        place: ServerState,
+        server: ServerState,
         route: str,
-        took: float,
+        latency_ms: float,
         message: Message,
         answer: h11.Response,
         body: bytes,
-        proof: bool,
+        belongs: bool,
     ) -> tuple[AttemptOutcome, Reply | None]:
-        """What an answer means; ``proof``: it is this request's, by its id, or as no other answer without
-        one came on its connection before."""
+        """Evaluates an answer and records it for the server; returns the outcome and the answer to forward.
+
+        ``belongs`` tells that the answer certainly is this request's: it has the attempt id, or no other
+        answer without one arrived on its connection before."""
         headers = dict(answer.headers)
-        status, choice = answer.status_code, self.choice
+        status, selector = answer.status_code, self.selector
         if b"x-not-run" in headers or status == 421:
-            if not proof:
-                choice.record_failure(now, place, False)
+            if not belongs:
+                selector.record_failure(now, server, False)
                 return AttemptOutcome.BROKEN, None
             if status == 421:
-                choice.record_failure(now, place, False)
-                place.ejected_until = now + MISDIRECTED_EJECTION_MS
+                selector.record_failure(now, server, False)
+                server.ejected_until = now + MISDIRECTED_EJECTION_MS
             else:
-                choice.record_rejection(now, place)
+                selector.record_rejection(now, server)
             self.count["turned_away"] += 1
             return AttemptOutcome.NOT_RUN, None
         framed = b"content-length" in headers or b"transfer-encoding" in headers
-        whole = framed or status in (204, 304) or message.method == b"HEAD"
-        named = b"x-attempt-id" in headers  # else it may answer anything
+        complete = framed or status in (204, 304) or message.method == b"HEAD"
+        # An answer without an attempt id may belong to any request.
+        identified = b"x-attempt-id" in headers
         sealed = b"x-server-seal" in headers or status >= 300
-        if not named or not sealed or not whole or b"content-encoding" in headers:
-            choice.record_failure(now, place, False)
+        if not identified or not sealed or not complete or b"content-encoding" in headers:
+            selector.record_failure(now, server, False)
             return AttemptOutcome.BROKEN, None
-        choice.record_answer(now, place, route, took, status < 500)
-        if load := headers.get(b"x-load"):
-            self._told(now, place, load)
+        selector.record_answer(now, server, route, latency_ms, status < 500)
+        if load_header := headers.get(b"x-load"):
+            self._record_load(now, server, load_header)
         reply = Reply(
             status,
             end_to_end_headers(answer.headers),
@@ -353,23 +366,24 @@
             length=headers.get(b"content-length", b"") if message.method == b"HEAD" else b"",
         )
         if status >= 500 or status in (408, 429):
-            # Such a status of its own would be a promise, and this server says nothing of not having run.
+            # These statuses would promise that the request has not run, which the server does not state.
             if status in (408, 429, 503):
                 reply = Reply(502)
             return AttemptOutcome.ERROR, reply
         return AttemptOutcome.ANSWER, reply
 
-    def _told(self, now: float, place: ServerState, load: bytes) -> None:
+    def _record_load(self, now: float, server: ServerState, load_header: bytes) -> None:
         try:
-            running, waiting, slots = (int(part) for part in load.split(b","))
+            running, waiting, slots = (int(piece) for piece in load_header.split(b","))
         except ValueError:
-            return  # it tells nothing that could be used
+            # An unreadable report is ignored.
+            return
         if 0 <= running < 1 << 20 and 0 <= waiting < 1 << 20 and 0 < slots < 1 << 20:
-            place.slots = slots
-            self.choice.record_load(now, place, running, waiting)
+            server.slots = slots
+            self.selector.record_load(now, server, running, waiting)
 
     def close(self) -> None:
-        """Ends all that rests."""
-        for name, pool in list(self.pools.items()):
+        """Closes all idle connections."""
+        for server_id, pool in list(self.pools.items()):
             for link, _ in list(pool):
-                self._drop(name, link)
+                self._close_idle(server_id, link)
--- a/tests/test_system_cli.py
+++ b/tests/test_system_cli.py
@@ -349,9 +349,9 @@
         for path in (*calls.STATUS, f"{calls.MEMBERS}?after=limiter-98", f"{calls.SERVERS}?service=t1",
                      f"{calls.QUOTAS}?tenant=skiff", f"{calls.COUNTS}?{'&'.join('a=b' for _ in range(20))}"):
             head = h11.Request(method="GET", target=path, headers=[("host", "x")])
-            reply = await limiter.control.answer(head, b"", None)                 # type: ignore[arg-type]
+            reply = await limiter.control.handler(head, b"", None)                # type: ignore[arg-type]
             found[path] = json.loads(reply.body) if reply.status == 200 else reply.status
-        assert (await limiter.control.answer(
+        assert (await limiter.control.handler(
             h11.Request(method="POST", target=calls.CORE, headers=[("host", "x")]), b"",
             None)).status == 405                                                  # type: ignore[arg-type]
         limiter.disk.close()                                                      # type: ignore[union-attr]
@@ -403,7 +403,7 @@
                                     ("/larklb/instances/i/heartbeat", [], beat),
                                     ("/larklb/instances/i/heartbeat", [], b"no")):
             head = h11.Request(method="POST", target=path, headers=[("host", "x"), *headers])
-            reply = await limiter.control.answer(head, body, None)                # type: ignore[arg-type]
+            reply = await limiter.control.handler(head, body, None)               # type: ignore[arg-type]
             assert reply.status == 400 and (b"Content-Type", b"application/json") in reply.headers, path
             found.append(json.loads(reply.body)["problems"])
         limiter.disk.close()                                                      # type: ignore[union-attr]
