--- a/larklb/gateway/client_reader.py
+++ b/larklb/gateway/client_reader.py
@@ -18,11 +18,11 @@
     so the socket has to be polled for it.
     """
 
-    close_polled = False
+    close_detected = False
 
     def ended(self) -> bool:
         """Returns whether the peer has closed or broken the connection, even behind unread bytes."""
-        return self.close_polled or super().ended()
+        return self.close_detected or super().ended()
 
     def poll_for_close(self, sock: socket.socket) -> None:
         """Polls the socket if reading is paused; to be called regularly while a request is in progress."""
@@ -31,5 +31,5 @@
         poll = select.poll()
         poll.register(sock.fileno(), select.POLLRDHUP)
         if any(events & _CLOSE_EVENTS for _, events in poll.poll(0)):
-            self.close_polled = True
+            self.close_detected = True
             self._tell()
--- a/larklb/gateway/listener.py
+++ b/larklb/gateway/listener.py
@@ -180,8 +180,8 @@
     def _write(link: Link, reply: Reply, close: bool, method: bytes) -> None:
         headers = list(reply.headers)
         bodiless = reply.status in (204, 304) or method == b"HEAD"
-        if reply.length:
-            headers.append((b"Content-Length", reply.length))
+        if reply.content_length:
+            headers.append((b"Content-Length", reply.content_length))
         elif reply.status not in (204, 304):
             headers.append((b"Content-Length", b"%d" % len(reply.body)))
         if close:
--- a/larklb/gateway/servers.py
+++ b/larklb/gateway/servers.py
@@ -80,7 +80,7 @@
     reason: bytes = b""
     close: bool = False
     # Content-Length of the answer to a HEAD request, whose body is not sent.
-    length: bytes = b""
+    content_length: bytes = b""
 
 
 def end_to_end_headers(
@@ -363,7 +363,7 @@
             end_to_end_headers(answer.headers),
             body,
             bytes(answer.reason),
-            length=headers.get(b"content-length", b"") if message.method == b"HEAD" else b"",
+            content_length=headers.get(b"content-length", b"") if message.method == b"HEAD" else b"",
         )
         if status >= 500 or status in (408, 429):
             # These statuses would promise that the request has not run, which the server does not state.
