--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -322,7 +322,7 @@
         self.servers[name] = (server, hollow)
         body = heartbeat_of(server)
         began = time.process_time()
-        told = calls.heartbeat(body)
+        told = calls.parse_heartbeat(body)
         assert hollow.core is not None
         home = hollow.core.home
         home.server_heartbeat(self.now, evolve(server, target=told.target), bool)
--- a/larklb/cli/system_calls.py
+++ b/larklb/cli/system_calls.py
@@ -17,7 +17,7 @@
 from larklb.schema import calls
 from larklb.schema.document import parse
 from larklb.schema.errors import InvalidError, SchemaError
-from larklb.schema.fields import shown
+from larklb.schema.fields import format_value
 
 DONE, OFF, UNUSABLE = 0, 1, 2          # exit statuses, see `larklb.cli.system`
 
@@ -50,9 +50,9 @@
     found: dict[str, None] = {}
     for part in text.split(","):
         try:
-            found[calls.address(part.strip())] = None
+            found[calls.parse_address(part.strip())] = None
         except ValueError as error:
-            raise UnusableError(f"ADDRESS: {shown(part)}: must be {error}, "
+            raise UnusableError(f"ADDRESS: {format_value(part)}: must be {error}, "
                                 "or several with commas") from error
     return list(found)
 
--- a/larklb/cli/system_config.py
+++ b/larklb/cli/system_config.py
@@ -27,7 +27,7 @@
 from larklb.schema import configuration as schema
 from larklb.schema.document import digest
 from larklb.schema.errors import InvalidError
-from larklb.schema.fields import SECRET, problem
+from larklb.schema.fields import SECRET_FIELDS, format_problem
 
 LEAST_DESCRIPTORS = 264    # 200 that are no sockets, and 64 that are
 
@@ -206,7 +206,7 @@
         before, after = old.get(field), new.get(field)
         if digest({"": before}) == digest({"": after}):
             continue
-        if field in SECRET:
+        if field in SECRET_FIELDS:
             gone, come = (set(a or ()) - set(b or ()) for a, b in ((before, after), (after, before)))
             if not gone and not come:
                 continue
@@ -248,7 +248,7 @@
     try:
         amendments.amend({"version": base, "services": [], "hosts": []}, document)
         if document["version"] <= base:
-            raise InvalidError([problem("version", document["version"], f"above {base}")])
+            raise InvalidError([format_problem("version", document["version"], f"above {base}")])
     except InvalidError as error:
         raise told_problems(file, error) from error
     return _change(address, calls.AMEND, file, base, document, json)
@@ -260,7 +260,7 @@
     try:
         # The file's own bytes: what is read back is to be what the operator wrote.
         answer = Caller(addresses(address)).call("POST", path, file.read_bytes(),
-                                                 {calls.BASE_VERSION: str(base)})
+                                                 {calls.BASE_VERSION_HEADER: str(base)})
     except SilentError as error:
         if json:
             line({"outcome": "unknown", "version": document["version"], "base": base, "why": str(error)})
--- a/larklb/cli/system_disk.py
+++ b/larklb/cli/system_disk.py
@@ -15,7 +15,7 @@
 from larklb.consensus.log import Log, decode
 from larklb.consensus.replica import Replica
 from larklb.storage.errors import StorageError
-from larklb.storage.store import IDENTITY, Store
+from larklb.storage.store import IDENTITY_KEY, Store
 
 LOG, BALLOT = "log", "ballot"
 RUNNING = "a limiter runs on it: stop that process first"
@@ -103,7 +103,7 @@
         wanted, store = _log(folder, generation), Store(folder)
         try:
             before = store.load() or {}
-            value = store.value(LOG, generation)
+            value = store.read_generation(LOG, generation)
             if value is None or BALLOT not in before:
                 raise UnusableError(f"{folder}: no votes are left here: empty the folder, and the disk joins "
                                     "its group as a newcomer")
@@ -172,9 +172,9 @@
 def _rows(folder: Path) -> list[Row]:
     store, rows = Store(folder), []
     try:
-        for one in store.dump():
-            value = store.value(one.key, one.number) if one.whole else None
-            rows.append({"key": one.key, "number": one.number, "bytes": one.size, "whole": one.whole,
+        for one in store.list_generations():
+            value = store.read_generation(one.key, one.number) if one.intact else None
+            rows.append({"key": one.key, "number": one.number, "bytes": one.size_bytes, "whole": one.intact,
                          "used": False, "what": _what(one.key, value)})
     except StorageError as error:
         raise UnusableError(f"{folder}: {error}") from error
@@ -188,7 +188,7 @@
     if value is None:
         return "torn"
     try:
-        if key == IDENTITY:
+        if key == IDENTITY_KEY:
             return f"disk {value.decode()}"
         if key == BALLOT:
             ballot = decode(value)
@@ -224,7 +224,7 @@
 
 def _log(folder: Path, number: int) -> Log:
     try:
-        value = Store(folder).value(LOG, number)
+        value = Store(folder).read_generation(LOG, number)
         if value is not None:
             return Log.from_bytes(value)
     except (StorageError, ConsensusError) as error:
@@ -238,7 +238,7 @@
     store = Store(folder)
     try:
         stored = store.load()
-        identity = next((row for row in _rows(folder) if row["key"] == IDENTITY and row["used"]), None)
+        identity = next((row for row in _rows(folder) if row["key"] == IDENTITY_KEY and row["used"]), None)
     except StorageError as error:
         raise UnusableError(f"{folder}: {error}") from error
     replica = _replica(folder, stored or {})
--- a/larklb/gateway/control.py
+++ b/larklb/gateway/control.py
@@ -55,11 +55,11 @@
     async def answer(self, head: h11.Request, body: bytes, link: Link) -> Reply:
         """Returns the reply to one call."""
         path, _, query = head.target.decode("latin-1").partition("?")
-        if match := calls.HEARTBEAT.fullmatch(path):
+        if match := calls.HEARTBEAT_PATTERN.fullmatch(path):
             if head.method != b"POST":
                 return Reply(405)
             try:
-                heartbeat = calls.heartbeat(body)
+                heartbeat = calls.parse_heartbeat(body)
             except SchemaError as error:
                 return _invalid(error.problems if isinstance(error, InvalidError) else [str(error)])
             server = Server(
@@ -74,7 +74,7 @@
                 heartbeat.warmup_left_ms,
             )
             return self._reply(await self.server(server))
-        if match := calls.LEAVE.fullmatch(path):
+        if match := calls.LEAVE_PATTERN.fullmatch(path):
             return self._reply(await self.server(match[1])) if head.method == b"POST" else Reply(405)
         if path == calls.READ:
             if head.method != b"GET":
@@ -84,7 +84,7 @@
             if head.method != b"POST":
                 return Reply(405)
             return await self._change("replace" if path == calls.REPLACE else "amend", head, body)
-        if path in calls.STATUS:
+        if path in calls.STATUS_PATHS:
             return self._status(head, path, query)
         return Reply(404)
 
@@ -98,7 +98,7 @@
         return Reply(404) if document is None else self._reply(CallResult(200, document=document))
 
     async def _change(self, kind: str, head: h11.Request, body: bytes) -> Reply:
-        base = dict(head.headers).get(calls.BASE_VERSION.encode(), b"")
+        base = dict(head.headers).get(calls.BASE_VERSION_HEADER.encode(), b"")
         if not base.isdigit() or len(base) > 18:
             return _invalid(["X-Base-Version: must be the version that the change builds on"])
         try:
--- a/larklb/gateway/messages.py
+++ b/larklb/gateway/messages.py
@@ -10,7 +10,7 @@
 from larklb.membership.messages import Message as Message
 from larklb.membership.messages import Row
 from larklb.registry.messages import ConfigVersion, RegistryMessage
-from larklb.schema.errors import PROBLEMS_KEPT
+from larklb.schema.errors import MAX_PROBLEMS
 
 # Version of the protocol between limiters; messages of any other version are rejected.
 PROTOCOL = 2
@@ -79,7 +79,7 @@
     text: str = ""
     document: Document | None = None
     report_to: str = ""
-    problems: Annotated[tuple[str, ...], msgspec.Meta(max_length=PROBLEMS_KEPT)] = ()
+    problems: Annotated[tuple[str, ...], msgspec.Meta(max_length=MAX_PROBLEMS)] = ()
 
     def answer_to(self, call: ForwardedCall) -> CallAnswer:
         """Returns the answer to the limiter that forwarded the call."""
--- a/larklb/gateway/status.py
+++ b/larklb/gateway/status.py
@@ -46,7 +46,7 @@
 
 
 def document(limiter: Limiter, path: str, query: Mapping[str, str]) -> Document | None:
-    """Returns the answer to a status call with at most STATUS_ROWS rows, or None if there is no such call.
+    """Returns the answer to a status call with at most MAX_STATUS_ROWS rows, or None if there is no such call.
 
     No answer contains the keys of tenants."""
     build = _BUILDERS.get(path)
@@ -75,7 +75,7 @@
     remaining = sorted(
         (row for row in rows if row[key] > query.get("after", "")), key=lambda row: str(row[key])
     )
-    page = remaining[: calls.STATUS_ROWS]
+    page = remaining[: calls.MAX_STATUS_ROWS]
     # Rows with the same key must be on one page, or the next page, which begins after that key, would lack
     # some of them.
     while 0 < len(page) < len(remaining) and page[0][key] != page[-1][key] == remaining[len(page)][key]:
@@ -138,7 +138,7 @@
     subscriber, core = limiter.subscriber, limiter.core
     answer: Document = {
         "home": subscriber.home,
-        "cores": sorted(subscriber.cores)[: calls.STATUS_ROWS],
+        "cores": sorted(subscriber.cores)[: calls.MAX_STATUS_ROWS],
         "core": None,
     }
     if core is not None:
--- a/larklb/lab/system.py
+++ b/larklb/lab/system.py
@@ -119,7 +119,8 @@
         while asyncio.get_running_loop().time() < until:
             for address in self.net.controls():
                 with suppress(OSError, TimeoutError):
-                    status, _, told = await call(address, "POST", path, {calls.BASE_VERSION: str(base)}, body)
+                    status, _, told = await call(
+                        address, "POST", path, {calls.BASE_VERSION_HEADER: str(base)}, body)
                     if status < 300:
                         return
                     if status in (400, 412):
--- a/larklb/schema/amendments.py
+++ b/larklb/schema/amendments.py
@@ -4,7 +4,7 @@
 
 from larklb.schema.document import Document
 from larklb.schema.errors import InvalidError
-from larklb.schema.fields import problem, read_version
+from larklb.schema.fields import format_problem, read_version
 
 UPSERT_PARTS = ("services", "limits", "tenants", "hosts")
 REMOVE_PARTS = ("routes", "services", "tenants", "hosts")
@@ -15,12 +15,12 @@
     if items is None:
         return []
     if not isinstance(items, list):
-        raise InvalidError([problem(where, items, "a list")])
+        raise InvalidError([format_problem(where, items, "a list")])
     found: list[tuple[str, Document]] = []
     for i, item in enumerate(items):
         name = item.get(key) if isinstance(item, dict) else None
         if not isinstance(name, str) or not name:
-            raise InvalidError([problem(f"{where}[{i}].{key}", name, "a name that isn't empty")])
+            raise InvalidError([format_problem(f"{where}[{i}].{key}", name, "a name that isn't empty")])
         found.append((name, item))
     return found
 
@@ -31,9 +31,9 @@
     if section is None:
         return {}
     if not isinstance(section, dict):
-        raise InvalidError([problem(key, section, "an object")])
+        raise InvalidError([format_problem(key, section, "an object")])
     unknown = [
-        problem(f"{key}.{name}", value, f"one of {', '.join(known)}")
+        format_problem(f"{key}.{name}", value, f"one of {', '.join(known)}")
         for name, value in section.items()
         if name not in known
     ]
@@ -47,7 +47,7 @@
     if names is None:
         return set()
     if not isinstance(names, list) or not all(isinstance(name, str) for name in names):
-        raise InvalidError([problem(f"remove.{key}", names, "a list of names")])
+        raise InvalidError([format_problem(f"remove.{key}", names, "a list of names")])
     return set(names)
 
 
@@ -103,7 +103,7 @@
     that aren't there are no error. InvalidError: the change is malformed. The result has yet to pass `check`.
     """
     if not isinstance(change, dict):
-        raise InvalidError([problem("change", change, "an object")])
+        raise InvalidError([format_problem("change", change, "an object")])
     problems: list[str] = []
     out = {**document, "version": read_version(change, problems)}
     if problems:
@@ -112,7 +112,7 @@
     remove = _section(change, "remove", REMOVE_PARTS)
     if upsert.get("limits") is not None:
         if not isinstance(upsert["limits"], dict):
-            raise InvalidError([problem("upsert.limits", upsert["limits"], "an object")])
+            raise InvalidError([format_problem("upsert.limits", upsert["limits"], "an object")])
         out["limits"] = upsert["limits"]
     for key in ("services", "tenants"):
         new, gone = _named(upsert.get(key), f"upsert.{key}"), _names(remove, key)
--- a/larklb/schema/configuration.py
+++ b/larklb/schema/configuration.py
@@ -15,7 +15,7 @@
     ItemT,
     at_least,
     choice,
-    problem,
+    format_problem,
     read,
     read_version,
     wire,
@@ -150,7 +150,7 @@
 def _list(holder: Mapping[str, Any], key: str, where: str, problems: list[str]) -> list[Any]:
     value = holder.get(key)
     if not isinstance(value, list):
-        problems.append(problem(where, value, "a list"))
+        problems.append(format_problem(where, value, "a list"))
         return []
     return value
 
@@ -167,7 +167,7 @@
     seen: set[str] = set()
     for name in names:
         if name in seen:
-            problems.append(problem(where, name, "each name once"))
+            problems.append(format_problem(where, name, "each name once"))
         seen.add(name)
 
 
@@ -178,7 +178,7 @@
     for i, entry in enumerate(_list(document, "hosts", "hosts", problems)):
         where = f"hosts[{i}]"
         if not isinstance(entry, dict) or not isinstance(entry.get("host"), str) or not entry["host"]:
-            problems.append(problem(f"{where}.host", entry, "an object with a host and its paths"))
+            problems.append(format_problem(f"{where}.host", entry, "an object with a host and its paths"))
             continue
         routes: list[Route] = []
         for j, value in enumerate(_list(entry, "paths", f"{where}.paths", problems)):
@@ -191,14 +191,14 @@
             place = (entry["host"].lower(), route.prefix)
             if place in taken:
                 problems.append(
-                    problem(f"{at}.prefix", route.prefix, f"one route a prefix: {taken[place]} has it")
+                    format_problem(f"{at}.prefix", route.prefix, f"one route a prefix: {taken[place]} has it")
                 )
             taken.setdefault(place, route.name)
             # Without a time-out of the operator's there is nothing that the set point could exceed.
             excess = route.setpoint_ms - route.timeout_ms
             if excess >= SETPOINT_EXCESS_MS and value.get("timeoutMs") is not None:
                 problems.append(
-                    problem(f"{at}.setpointMs", route.setpoint_ms, "less than timeoutMs and a minute")
+                    format_problem(f"{at}.setpointMs", route.setpoint_ms, "less than timeoutMs and a minute")
                 )
             named = [
                 (f"{at}.distribution[{k}].target", share.target) for k, share in enumerate(route.distribution)
@@ -206,21 +206,21 @@
             if route.target is not None:
                 named.append((f"{at}.target", route.target))
             problems += [
-                problem(spot, name, "a service of this configuration")
+                format_problem(spot, name, "a service of this configuration")
                 for spot, name in named
                 if services is not None and name not in services
             ]
             if not targets(route):
                 if route.distribution:
                     problems.append(
-                        problem(
+                        format_problem(
                             f"{at}.distribution",
                             value["distribution"],
                             "a gain above 0: nobody could serve this route",
                         )
                     )
                 else:
-                    problems.append(problem(f"{at}.target", None, "a target or a distribution"))
+                    problems.append(format_problem(f"{at}.target", None, "a target or a distribution"))
         hosts.append(Host(host=entry["host"], paths=routes))
     _twice(names, "hosts.paths.name", problems)
     return hosts
@@ -237,7 +237,7 @@
             holder = holders.setdefault(key, tenant.name)
             if holder != tenant.name:
                 problems.append(
-                    problem(
+                    format_problem(
                         "tenants.keys",
                         f"a key of {holder} and {tenant.name}",
                         "keys that no other tenant has",
@@ -249,7 +249,7 @@
 def check(document: Document, above: int) -> Configuration:
     """The typed view of a configuration that may follow version `above`. InvalidError lists what is wrong."""
     if not isinstance(document, dict):
-        raise InvalidError([problem("configuration", document, "an object")])
+        raise InvalidError([format_problem("configuration", document, "an object")])
     problems: list[str] = []
     services = _all(Service, document, "services", problems)
     # A service that can't be read is the problem, and not each route that names it.
@@ -259,7 +259,7 @@
     version = read_version(document, unread)
     problems += unread
     if not unread and version <= above:
-        problems.append(problem("version", version, f"above {above}"))
+        problems.append(format_problem("version", version, f"above {above}"))
     limits: Limits | None = Limits()
     if document.get("limits") is not None:
         limits = read(Limits, document["limits"], "limits", problems)
--- a/larklb/schema/errors.py
+++ b/larklb/schema/errors.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 
 # A body of thousands of broken routes must not make an answer of megabytes; twenty are enough to mend by.
-PROBLEMS_KEPT = 20
+MAX_PROBLEMS = 20
 
 
 class SchemaError(Exception):
@@ -17,9 +17,9 @@
 class InvalidError(SchemaError):
     """The JSON object says something that can't be taken.
 
-    `problems`: 'field: value: what would do', the first PROBLEMS_KEPT of them.
+    `problems`: 'field: value: what would do', the first MAX_PROBLEMS of them.
     """
 
     def __init__(self, problems: Iterable[str]) -> None:
-        self.problems: list[str] = list(problems)[:PROBLEMS_KEPT]
+        self.problems: list[str] = list(problems)[:MAX_PROBLEMS]
         super().__init__("; ".join(self.problems))
--- a/larklb/schema/fields.py
+++ b/larklb/schema/fields.py
@@ -13,7 +13,7 @@
 # Characters of an offending value that are shown in a problem.
 SHOWN = 60
 # Values that are shown in no problem: a client's key lets anyone in who reads the log.
-SECRET = frozenset({"keys"})
+SECRET_FIELDS = frozenset({"keys"})
 
 
 # --- readers: strict, since the library would take "7", 7.9 or True for the number 7
@@ -108,7 +108,7 @@
 # --- problems
 
 
-def shown(value: Any) -> str:
+def format_value(value: Any) -> str:
     """A value for a problem, cut to SHOWN characters. Of an object or list only that: keys may be in it."""
     if isinstance(value, dict | list):
         return "(an object)" if isinstance(value, dict) else "(a list)"
@@ -119,9 +119,9 @@
     return out if len(out) <= SHOWN else out[: SHOWN - 3] + "..."
 
 
-def problem(where: str, value: Any, remedy: str) -> str:
+def format_problem(where: str, value: Any, remedy: str) -> str:
     """'field: value: what would do'."""
-    return f"{where}: {shown(value)}: {remedy}"
+    return f"{where}: {format_value(value)}: {remedy}"
 
 
 def _camel(name: str) -> str:
@@ -136,7 +136,7 @@
     while node is not None:
         if isinstance(node, InvalidFieldValue):
             names.append(_camel(node.field_name))
-            value, hidden = node.field_value, hidden or node.field_name in SECRET
+            value, hidden = node.field_value, hidden or node.field_name in SECRET_FIELDS
         elif isinstance(node, MissingField):
             names.append(_camel(node.field_name))
             remedy, missing = "must be given", True
@@ -146,7 +146,7 @@
     name = ".".join(names)
     if missing or hidden:
         return f"{name}: ({'missing' if missing else 'not shown'}): {remedy}"
-    return problem(name, value, remedy)
+    return format_problem(name, value, remedy)
 
 
 ItemT = TypeVar("ItemT", bound=Item)
@@ -165,6 +165,6 @@
     """The version that a document or a change gives itself; 0 and one more problem where it gives none."""
     version = document.get("version")
     if isinstance(version, bool) or not isinstance(version, int):
-        problems.append(problem("version", version, "a whole number"))
+        problems.append(format_problem("version", version, "a whole number"))
         return 0
     return version
--- a/larklb/storage/store.py
+++ b/larklb/storage/store.py
@@ -30,7 +30,7 @@
 
 log = logging.getLogger(__name__)
 
-IDENTITY = "identity"  # key of the disk's id
+IDENTITY_KEY = "identity"  # key of the disk's id
 ID_BYTES = 8
 KEPT = 2  # whole generations of a key: the newest, and one before it for the operator's sake
 SUFFIXES = (".dat", ".dir", ".bak")
@@ -44,8 +44,8 @@
 
     key: str
     number: int
-    size: int
-    whole: bool
+    size_bytes: int
+    intact: bool
 
 
 @define
@@ -64,7 +64,7 @@
         """The newest whole value of each key but the disk's id; None when there is none."""
         with _translated("read"):
             values = self._look()
-        values.pop(IDENTITY, None)
+        values.pop(IDENTITY_KEY, None)
         return values or None
 
     def save(self, changed: dict[str, bytes]) -> None:
@@ -93,20 +93,20 @@
     def identity(self, renew: bool = False) -> str:
         """The disk's id: random, made once, durable before it is told; ``renew``: a new one in any case."""
         with _translated("read"):
-            value = None if renew else self._look().get(IDENTITY)
+            value = None if renew else self._look().get(IDENTITY_KEY)
         if value is None:
             value = secrets.token_hex(ID_BYTES).encode()
-            self.save({IDENTITY: value})
+            self.save({IDENTITY_KEY: value})
         return value.decode()
 
-    def value(self, key: str, number: int) -> bytes | None:
+    def read_generation(self, key: str, number: int) -> bytes | None:
         """The value in one generation of a key; None where it is torn or not there."""
         if not _KEY.fullmatch(key) or number < 1:
             return None
         with _translated("read"):
             return self._read(key, number)
 
-    def dump(self) -> list[Generation]:
+    def list_generations(self) -> list[Generation]:
         """What lies on the disk, for the operator: by key and number."""
         with _translated("read"):
             return [
--- a/tests/test_schema.py
+++ b/tests/test_schema.py
@@ -19,7 +19,7 @@
 from larklb.schema.amendments import REMOVE_PARTS, UPSERT_PARTS, amend
 from larklb.schema.configuration import Configuration, check
 from larklb.schema.document import digest, parse
-from larklb.schema.errors import PROBLEMS_KEPT, InvalidError, UnreadableError
+from larklb.schema.errors import MAX_PROBLEMS, InvalidError, UnreadableError
 from larklb.schema.routing import Keys, Routes
 
 PLAIN = settings(derandomize=True, deadline=None, max_examples=150)
@@ -134,7 +134,7 @@
 def test_problems_are_bounded() -> None:
     with pytest.raises(InvalidError) as caught:
         check(config({"h": [route("x" * 500, "nowhere") for _ in range(100)]}), 0)
-    assert len(caught.value.problems) == PROBLEMS_KEPT and len(str(caught.value)) < 4000
+    assert len(caught.value.problems) == MAX_PROBLEMS and len(str(caught.value)) < 4000
 
 
 def test_a_part_of_a_body_is_no_body() -> None:
@@ -273,7 +273,7 @@
 
 
 def test_heartbeats() -> None:
-    found = calls.heartbeat(HEARTBEAT)
+    found = calls.parse_heartbeat(HEARTBEAT)
     assert (found.address, found.target, found.capacity) == ("10.0.0.9:8080", "desk", 2)
     assert (found.state, found.sequence, found.warmup_left_ms) == ("draining", 4, 0.5)
     for named, old, new in [
@@ -282,17 +282,18 @@
             ("sequence", b":4", b":null"), ("info", b'"info"', b'"inf"'), ("target", b"desk", b""),
             ("warmupLeftMs", b"0.5", b"-1")]:
         with pytest.raises(InvalidError) as caught:
-            calls.heartbeat(HEARTBEAT.replace(old, new, 1))
+            calls.parse_heartbeat(HEARTBEAT.replace(old, new, 1))
         assert caught.value.problems[0].startswith(named)
 
 
 def test_the_openapi_file_says_what_the_code_does() -> None:
     api = yaml.safe_load(resources.files("larklb.schema").joinpath("openapi.yaml").read_text("utf-8"))
     heartbeat, leave, *rest = api["paths"]
-    assert calls.HEARTBEAT.fullmatch(heartbeat.replace("{id}", "i-1")) and "{id}" in heartbeat
-    assert calls.LEAVE.fullmatch(leave.replace("{id}", "i-1")) and not calls.LEAVE.fullmatch(heartbeat)
-    assert rest == [calls.REPLACE, calls.AMEND, calls.READ, calls.READINESS, *calls.STATUS]
-    assert api["components"]["parameters"]["BaseVersion"]["name"] == calls.BASE_VERSION
+    assert calls.HEARTBEAT_PATTERN.fullmatch(heartbeat.replace("{id}", "i-1")) and "{id}" in heartbeat
+    assert calls.LEAVE_PATTERN.fullmatch(leave.replace("{id}", "i-1")) and (
+        not calls.LEAVE_PATTERN.fullmatch(heartbeat))
+    assert rest == [calls.REPLACE, calls.AMEND, calls.READ, calls.READINESS, *calls.STATUS_PATHS]
+    assert api["components"]["parameters"]["BaseVersion"]["name"] == calls.BASE_VERSION_HEADER
     statuses = {call["operationId"]: set(call["responses"]) for path in api["paths"].values()
                 for method, call in path.items() if method in ("get", "post")}
     assert statuses["replace"] == statuses["amend"] == {"200", "307", "400", "412", "503"}
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -50,7 +50,7 @@
         (store.folder / "notes.txt").write_bytes(b"stray")
         assert (Store(store.folder).load() or {})["log"] == b"%d" % number
     assert store.load() == {"log": b"5", "ballot": b"\x00\xff"}
-    kept = [(part.key, part.number, part.whole) for part in store.dump()]
+    kept = [(part.key, part.number, part.intact) for part in store.list_generations()]
     assert kept == [("ballot", 1, True), ("identity", 1, True), ("log", 5, True), ("log", 6, True)]
     assert Store(tmp_path / "other").identity() != identity
     with pytest.raises(StorageError):
@@ -158,11 +158,12 @@
             with pytest.raises(StorageError):
                 store.save(NEW)
         assert store.load() == OLD and Store(store.folder).load() == OLD
-        assert all(part.whole for part in store.dump())
-        numbers = {part.number for part in store.dump() if part.key == "ballot"}
+        assert all(part.intact for part in store.list_generations())
+        numbers = {part.number for part in store.list_generations() if part.key == "ballot"}
         store.save(NEW)
         assert Store(store.folder).load() == NEW
-        assert max(part.number for part in store.dump() if part.key == "ballot") > max(numbers) + 1
+        assert max(
+            part.number for part in store.list_generations() if part.key == "ballot") > max(numbers) + 1
 
 
 def test_what_the_disk_says_is_told(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_system_cli.py
+++ b/tests/test_system_cli.py
@@ -136,7 +136,7 @@
     whole, change = put(tmp_path, "new.json", json.dumps(CONFIGURATION, indent=1)), put(tmp_path, "c", CHANGE)
     assert system.main(["replace", core.address, whole, "--base", "0"]) == 0
     assert [body for _, _, body in core.asked] == [Path(whole).read_bytes()] * 2, "sent again unchanged"
-    assert {h[k] for _, h, _ in core.asked for k in h if k.lower() == calls.BASE_VERSION} == {"0"}
+    assert {h[k] for _, h, _ in core.asked for k in h if k.lower() == calls.BASE_VERSION_HEADER} == {"0"}
     assert system.main(["amend", core.address, change, "--base", "1"]) == 1
     assert system.main(["amend", core.address, change, "--base", "1", "--json"]) == 1
     out, err = capsys.readouterr()
@@ -330,14 +330,14 @@
 def test_what_a_limiter_tells_is_what_the_openapi_file_says(
         tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     api = yaml.safe_load(resources.files("larklb.schema").joinpath("openapi.yaml").read_text("utf-8"))
-    assert [path for path in api["paths"] if path.startswith("/larklb/status/")] == list(calls.STATUS)
+    assert [path for path in api["paths"] if path.startswith("/larklb/status/")] == list(calls.STATUS_PATHS)
     file = put(tmp_path, "s.toml", settings(Net("127.1.2", 18000), 0, tmp_path, True))
 
     async def answers() -> dict[str, Any]:
         limiter = Limiter(told.read(file))
         limiter._apply_configuration(CONFIGURATION)
         me = limiter.subscriber.local_member
-        for i in range(calls.STATUS_ROWS + 2):
+        for i in range(calls.MAX_STATUS_ROWS + 2):
             node = f"limiter-{i}"
             limiter.subscriber.members[node] = evolve(me, node=node, ring_number=i) if i else Member(
                 me.node, me.ip, me.zone, me.incarnation, me.disk, ring_number=0)
@@ -346,7 +346,7 @@
         for tenant in ("yard", "skiff"):
             limiter.quotas.request(limiter.wheel.now(), Allowance(tenant, 5.0, 5.0))
         found = {}
-        for path in (*calls.STATUS, f"{calls.MEMBERS}?after=limiter-98", f"{calls.SERVERS}?service=t1",
+        for path in (*calls.STATUS_PATHS, f"{calls.MEMBERS}?after=limiter-98", f"{calls.SERVERS}?service=t1",
                      f"{calls.QUOTAS}?tenant=skiff", f"{calls.COUNTS}?{'&'.join('a=b' for _ in range(20))}"):
             head = h11.Request(method="GET", target=path, headers=[("host", "x")])
             reply = await limiter.control.handler(head, b"", None)                # type: ignore[arg-type]
@@ -369,7 +369,7 @@
         for one in found[path][rows] if rows else []:
             assert schema_of(api, row)[0] <= set(one) <= schema_of(api, row)[1], path
     assert set(found[calls.CORE]["core"]) == schema_of(api, "CorePart")[0]
-    assert len(found[calls.MEMBERS]["members"]) == calls.STATUS_ROWS and found[calls.MEMBERS]["more"] == 2
+    assert len(found[calls.MEMBERS]["members"]) == calls.MAX_STATUS_ROWS and found[calls.MEMBERS]["more"] == 2
     assert [row["node"] for row in found[f"{calls.MEMBERS}?after=limiter-98"]["members"]] == ["limiter-99"]
     assert [row["id"] for row in found[f"{calls.SERVERS}?service=t1"]["servers"]] == ["s1", "s3"]
     assert [row["tenant"] for row in found[f"{calls.QUOTAS}?tenant=skiff"]["quotas"]] == ["skiff"]
@@ -385,7 +385,7 @@
         configuration.check(bad, 0)
     beat = json.dumps({"address": "nowhere", "info": {"target": "t", "capacity": 0},
                        "observed": {"state": "odd", "sequence": 1}}).encode()
-    base = (calls.BASE_VERSION, "0")
+    base = (calls.BASE_VERSION_HEADER, "0")
 
     async def refused() -> list[Any]:
         limiter = Limiter(evolve(told.read(file), tolerance=0))
@@ -492,7 +492,7 @@
     assert json.loads(capsys.readouterr().out)["version"] == 3
     # A log of another group would be thrown away at the start, and the disk would come back empty.
     store.save({"log": stranger.load()["log"]})                                   # type: ignore[index]
-    foreign = max(g.number for g in store.dump() if g.key == "log")
+    foreign = max(g.number for g in store.list_generations() if g.key == "log")
     store.save({"log": after["log"]})
     assert system.main(["disk", "restore", str(folder), str(foreign), "--yes"]) == 2
     assert "is of another group" in capsys.readouterr().err
@@ -509,7 +509,7 @@
                            env={**os.environ, "LARKLB_SETTINGS": file}, timeout=30)
     assert ended.returncode == 2 and "Traceback" not in ended.stderr
     assert f"gateway: {folder}: can't start with it: the log: Object missing required field" in ended.stderr
-    whole = min(g.number for g in store.dump() if g.key == "log" and g.whole)
+    whole = min(g.number for g in store.list_generations() if g.key == "log" and g.intact)
     assert system.main(["disk", "restore", str(folder), str(whole), "--yes"]) == 0
     assert system.main(["disk", "check", str(folder)]) == 0
     # Without votes a log is not loaded, but the disk's id would come back under the voter's.
@@ -523,7 +523,7 @@
 def test_a_disk_in_use_is_not_changed(tmp_path: Path, capsys: pytest.CaptureFixture[str],
                                       monkeypatch: pytest.MonkeyPatch) -> None:
     store = grown(tmp_path / "disk", 2)
-    earlier = min(g.number for g in store.dump() if g.key == "log")
+    earlier = min(g.number for g in store.list_generations() if g.key == "log")
     status.mark_in_use(str(store.folder))
     assert system.main(["disk", "restore", str(store.folder), str(earlier), "--yes"]) == 2
     assert "a limiter runs on it: stop that process first" in capsys.readouterr().err
