--- a/larklb/storage/__init__.py
+++ b/larklb/storage/__init__.py
@@ -1,1 +1,1 @@
-"""Owns the disk: generations of dbm.dumb files and their syncs; never knows what it stores."""
+"""Durable storage of opaque values in generations of dbm.dumb files, with control over syncing."""
--- a/larklb/storage/errors.py
+++ b/larklb/storage/errors.py
@@ -1,7 +1,7 @@
-"""The errors of the durable storage."""
+"""Exceptions of the durable storage."""
 
 from __future__ import annotations
 
 
 class StorageError(Exception):
-    """The disk couldn't be read or written; what a failed save was to change is as it was before."""
+    """Reading or writing the disk failed. After a failed save the previous values still hold."""
