--- a/larklb/schema/__init__.py
+++ b/larklb/schema/__init__.py
@@ -1,2 +1,5 @@
-"""Owns the schema: the operator's configuration as a document and as typed values, its checks, amendments and
-digests, routing by it, and the calls' OpenAPI file; it must never touch a socket, a disk or a clock."""
+"""The operator's configuration: document format, typed and validated view, amendments, digests and routing.
+
+It also contains the paths and bodies of the HTTP calls, with their OpenAPI description. The package does no
+input or output and reads no clock.
+"""
--- a/larklb/schema/amendments.py
+++ b/larklb/schema/amendments.py
@@ -1,4 +1,4 @@
-"""Amendments: what a partial change makes of a whole configuration."""
+"""Amendments: partial changes that are applied to a complete configuration document."""
 
 from typing import Any
 
@@ -10,39 +10,47 @@
 REMOVE_PARTS = ("routes", "services", "tenants", "hosts")
 
 
-def _named(items: Any, where: str, key: str = "name") -> list[tuple[str, Document]]:
-    """Items with the name of each; InvalidError where they are no list of objects with names."""
+def _named_items(items: Any, path: str, key: str = "name") -> list[tuple[str, Document]]:
+    """Pair each item with its name, found under `key`. `items` is at `path` in the document.
+
+    Raises InvalidError if `items` is not a list of objects with non-empty names.
+    """
     if items is None:
         return []
     if not isinstance(items, list):
-        raise InvalidError([format_problem(where, items, "a list")])
-    found: list[tuple[str, Document]] = []
+        raise InvalidError([format_problem(path, items, "a list")])
+    named: list[tuple[str, Document]] = []
     for i, item in enumerate(items):
         name = item.get(key) if isinstance(item, dict) else None
         if not isinstance(name, str) or not name:
-            raise InvalidError([format_problem(f"{where}[{i}].{key}", name, "a name that isn't empty")])
-        found.append((name, item))
-    return found
+            raise InvalidError([format_problem(f"{path}[{i}].{key}", name, "a name that isn't empty")])
+        named.append((name, item))
+    return named
 
 
-def _section(change: Document, key: str, known: tuple[str, ...]) -> Document:
-    """`change[key]`, all of it known: what isn't understood must not be acknowledged as done."""
+def _section(change: Document, key: str, allowed: tuple[str, ...]) -> Document:
+    """Return the object `change[key]`, or an empty one if it is absent.
+
+    Raises InvalidError if it contains anything but `allowed`: an unsupported part must not be acknowledged as
+    applied.
+    """
     section = change.get(key)
     if section is None:
         return {}
     if not isinstance(section, dict):
         raise InvalidError([format_problem(key, section, "an object")])
     unknown = [
-        format_problem(f"{key}.{name}", value, f"one of {', '.join(known)}")
+        format_problem(f"{key}.{name}", value, f"one of {', '.join(allowed)}")
         for name, value in section.items()
-        if name not in known
+        if name not in allowed
     ]
     if unknown:
         raise InvalidError(unknown)
     return section
 
 
-def _names(remove: Document, key: str) -> set[str]:
+def _removed_names(remove: Document, key: str) -> set[str]:
+    """Return the names listed under `remove[key]`. Raises InvalidError if they are malformed."""
     names = remove.get(key)
     if names is None:
         return set()
@@ -52,55 +60,63 @@
 
 
 def _amend_hosts(document: Document, upsert: Any, routes: set[str], hosts: set[str]) -> list[Any]:
-    """The new list of hosts. Entries that nothing changes are the old ones."""
-    gone = {host.lower() for host in hosts}
-    entries = _named(document.get("hosts"), "hosts", "host")
-    paths = [dict(_named(entry.get("paths"), f"hosts[{i}].paths")) for i, (_, entry) in enumerate(entries)]
-    stood = {name: i for i, held in enumerate(paths) for name in held}
-    first: dict[str, int] = {}
+    """Return the new list of hosts. Entries that don't change are shared with `document`.
+
+    `routes` and `hosts` are the names to remove.
+    """
+    removed_hosts = {host.lower() for host in hosts}
+    entries = _named_items(document.get("hosts"), "hosts", "host")
+    paths = [
+        dict(_named_items(entry.get("paths"), f"hosts[{i}].paths")) for i, (_, entry) in enumerate(entries)
+    ]
+    entry_of_route = {name: i for i, routes_of_entry in enumerate(paths) for name in routes_of_entry}
+    entry_of_host: dict[str, int] = {}
     for i, (host, _) in enumerate(entries):
-        first.setdefault(host.lower(), i)
+        entry_of_host.setdefault(host.lower(), i)
     changed: set[int] = set()
-    left: set[int] = set()
-    for i, (host, entry) in enumerate(_named(upsert, "upsert.hosts", "host")):
-        place = first.get(host.lower())
+    # Entries that lost a route, and are dropped if none is left.
+    shrunk: set[int] = set()
+    for i, (host, entry) in enumerate(_named_items(upsert, "upsert.hosts", "host")):
+        index = entry_of_host.get(host.lower())
         extra = {key: value for key, value in entry.items() if key not in ("host", "paths")}
-        if place is None:
-            place = first[host.lower()] = len(entries)
+        if index is None:
+            index = entry_of_host[host.lower()] = len(entries)
             entries.append((host, {"host": host, **extra}))
             paths.append({})
         elif extra:
-            entries[place] = (entries[place][0], {**entries[place][1], **extra})
-        changed.add(place)
-        for name, route in _named(entry.get("paths"), f"upsert.hosts[{i}].paths"):
-            old = stood.get(name)
+            entries[index] = (entries[index][0], {**entries[index][1], **extra})
+        changed.add(index)
+        for name, route in _named_items(entry.get("paths"), f"upsert.hosts[{i}].paths"):
+            old = entry_of_route.get(name)
             if old is not None and entries[old][0].lower() == host.lower():
                 paths[old][name] = route
                 changed.add(old)
                 continue
             if old is not None:
                 del paths[old][name]
-                left.add(old)
-            paths[place][name] = route
-            stood[name] = place
+                shrunk.add(old)
+            paths[index][name] = route
+            entry_of_route[name] = index
     for name in routes:
-        if name in stood:
-            del paths[stood[name]][name]
-            left.add(stood[name])
+        if name in entry_of_route:
+            del paths[entry_of_route[name]][name]
+            shrunk.add(entry_of_route[name])
     out: list[Any] = []
     for i, (host, entry) in enumerate(entries):
-        if host.lower() in gone or (i in left and not paths[i]):
+        if host.lower() in removed_hosts or (i in shrunk and not paths[i]):
             continue
-        out.append({**entry, "paths": list(paths[i].values())} if i in changed or i in left else entry)
+        out.append({**entry, "paths": list(paths[i].values())} if i in changed or i in shrunk else entry)
     return out
 
 
 def amend(document: Document, change: Document) -> Document:
-    """A new document: `document` with the change's version, its `upsert` put in, then its `remove` taken out.
+    """Return a copy of `document` with the version of `change`, its `upsert` applied, then its `remove`.
+
+    The inputs are not modified; unchanged parts are shared with the result. A replaced item keeps its
+    position and new items are appended. A route that is upserted under another host moves there, and a host
+    that loses its last route is removed. Removing a name that doesn't exist is not an error.
 
-    Neither input is touched; unchanged parts are shared. A replaced item keeps its place, new ones go last, a
-    route that is put under another host leaves the old one, and a host that loses its last route goes. Names
-    that aren't there are no error. InvalidError: the change is malformed. The result has yet to pass `check`.
+    Raises InvalidError if the change is malformed. The result still has to pass `configuration.check`.
     """
     if not isinstance(change, dict):
         raise InvalidError([format_problem("change", change, "an object")])
@@ -115,11 +131,11 @@
             raise InvalidError([format_problem("upsert.limits", upsert["limits"], "an object")])
         out["limits"] = upsert["limits"]
     for key in ("services", "tenants"):
-        new, gone = _named(upsert.get(key), f"upsert.{key}"), _names(remove, key)
-        if new or gone and document.get(key) is not None:
-            items = {**dict(_named(document.get(key), key)), **dict(new)}
-            out[key] = [item for name, item in items.items() if name not in gone]
-    routes, hosts = _names(remove, "routes"), _names(remove, "hosts")
+        new, removed = _named_items(upsert.get(key), f"upsert.{key}"), _removed_names(remove, key)
+        if new or removed and document.get(key) is not None:
+            items = {**dict(_named_items(document.get(key), key)), **dict(new)}
+            out[key] = [item for name, item in items.items() if name not in removed]
+    routes, hosts = _removed_names(remove, "routes"), _removed_names(remove, "hosts")
     if upsert.get("hosts") is not None or routes or hosts:
         out["hosts"] = _amend_hosts(document, upsert.get("hosts"), routes, hosts)
     return out
--- a/larklb/schema/calls.py
+++ b/larklb/schema/calls.py
@@ -1,4 +1,4 @@
-"""The calls of servers and operators: paths as in `openapi.yaml`, and the servers' calls as typed values."""
+"""HTTP calls of servers and operators: their paths, as in `openapi.yaml`, and the body of heartbeats."""
 
 import re
 from dataclasses import dataclass, field
@@ -6,35 +6,39 @@
 
 from larklb.schema.document import parse
 from larklb.schema.errors import InvalidError
-from larklb.schema.fields import Item, at_least, choice, format_problem, read, wire
+from larklb.schema.fields import Item, at_least, choice, format_problem, read_item, wire
 
-# Full matches; the group is the server's id, bounded since it becomes a key of tables.
+# To be used with fullmatch(). The group is the server's id; its length is bounded because it becomes a key of
+# tables.
 HEARTBEAT_PATTERN = re.compile(r"/larklb/instances/([^/?#\s]{1,128})/heartbeat")
 LEAVE_PATTERN = re.compile(r"/larklb/instances/([^/?#\s]{1,128})/leave")
 REPLACE = "/larklb/config/replace"
 AMEND = "/larklb/config/amend"
 READ = "/larklb/config/read"
 READINESS = "/larklb/readiness"
-# What a limiter tells an operator of itself, from its memory.
+# Status calls, which a limiter answers from its own memory.
 MEMBERS = "/larklb/status/members"
 SERVERS = "/larklb/status/servers"
 QUOTAS = "/larklb/status/quotas"
 CORE = "/larklb/status/core"
 COUNTS = "/larklb/status/counts"
 STATUS_PATHS = (MEMBERS, SERVERS, QUOTAS, CORE, COUNTS)
-# Rows of a status answer at the most; the rest is asked for behind the last key.
+# Maximum rows in the answer to a status call. Further rows are requested with the last key as a cursor.
 MAX_STATUS_ROWS = 500
-# The header with the version that a change builds on.
+# Header with the configuration version on which a change is based.
 BASE_VERSION_HEADER = "x-base-version"
 
 _ADDRESS = re.compile(r"(?:\[[0-9A-Fa-f:.]+\]|[A-Za-z0-9._-]+):([0-9]{1,5})")
-# Where each field stands in the body.
-_INFO = ("target", "version", "zone", "capacity")
-_OBSERVED = ("state", "sequence", "warmupLeftMs")
+# Fields of the objects in the body of a heartbeat.
+_INFO_FIELDS = ("target", "version", "zone", "capacity")
+_OBSERVED_FIELDS = ("state", "sequence", "warmupLeftMs")
 
 
 def parse_address(value: Any) -> str:
-    """'host:port', nothing else: it is connected to as it stands. ValueError says what would do."""
+    """Return `value` if it is of the form 'host:port', without anything else, ready to be connected to.
+
+    Raises ValueError, whose message is the expected form.
+    """
     match = _ADDRESS.fullmatch(value) if isinstance(value, str) else None
     if match is None or not 0 < int(match[1]) < 65536:
         raise ValueError("host:port")
@@ -43,7 +47,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Heartbeat(Item):
-    """What a server says of itself. `capacity`: requests at once; `sequence` rises within one life."""
+    """A server's report about itself.
+
+    `capacity` is the number of requests that it handles concurrently. `sequence` increases with each
+    heartbeat of one incarnation of the server.
+    """
 
     address: str = field(metadata=wire("address", parse_address))
     target: str
@@ -56,16 +64,19 @@
 
 
 def parse_heartbeat(body: bytes) -> Heartbeat:
-    """The heartbeat in `body`. UnreadableError: no JSON object. InvalidError: a field is missing or wrong."""
+    """Parse the body of a heartbeat.
+
+    Raises UnreadableError if it is not a JSON object, and InvalidError if a field is missing or invalid.
+    """
     document = parse(body)
     flat: dict[str, Any] = {"address": document.get("address")}
-    for part, names in (("info", _INFO), ("observed", _OBSERVED)):
-        held = document.get(part)
-        if not isinstance(held, dict):
-            raise InvalidError([format_problem(part, held, f"an object with {', '.join(names)}")])
-        flat |= {name: held.get(name) for name in names}
+    for section, names in (("info", _INFO_FIELDS), ("observed", _OBSERVED_FIELDS)):
+        values = document.get(section)
+        if not isinstance(values, dict):
+            raise InvalidError([format_problem(section, values, f"an object with {', '.join(names)}")])
+        flat |= {name: values.get(name) for name in names}
     problems: list[str] = []
-    found = read(Heartbeat, flat, "", problems)
-    if found is None:
+    parsed = read_item(Heartbeat, flat, "", problems)
+    if parsed is None:
         raise InvalidError(problems)
-    return found
+    return parsed
--- a/larklb/schema/configuration.py
+++ b/larklb/schema/configuration.py
@@ -1,7 +1,7 @@
-"""The typed view of an operator's configuration, and the checks that it has to pass.
+"""The typed view of an operator's configuration, and its validation.
 
-The document is what is kept, digested and read back (``document``); the typed view knows only the fields that
-this program acts on.
+The document itself is what is stored, digested and returned to operators (see ``document``). The typed view
+contains only the fields that this program uses.
 """
 
 from collections.abc import Iterable, Mapping
@@ -16,37 +16,37 @@
     at_least,
     choice,
     format_problem,
-    read,
+    read_item,
     read_version,
     wire,
 )
 
-# A set point this much above its route's time-out (ms) makes a configuration invalid.
-SETPOINT_EXCESS_MS = 60_000.0
+# A route is invalid if its setpoint exceeds its timeout by this much or more.
+INVALID_SETPOINT_EXCESS_MS = 60_000.0
 
-# What holds where the operator gives no value.
-TIMEOUT_MS = 30_000.0
-SETPOINT_MS = 1_000.0
-SATURATION = 100
-HEADER_BYTES = 16_384
-BODY_BYTES = 64 << 20
-HEADER_MS = 10_000.0
-IDLE_MS = 15_000.0
+# Defaults of optional fields.
+DEFAULT_TIMEOUT_MS = 30_000.0
+DEFAULT_SETPOINT_MS = 1_000.0
+DEFAULT_SATURATION = 100
+DEFAULT_HEADER_BYTES = 16_384
+DEFAULT_BODY_BYTES = 64 << 20
+DEFAULT_HEADER_MS = 10_000.0
+DEFAULT_IDLE_MS = 15_000.0
 
 
-def _prefix(value: Any) -> str:
+def _parse_prefix(value: Any) -> str:
     if not isinstance(value, str) or not value.startswith("/") or not value.endswith("/"):
         raise ValueError("a path that begins and ends with a slash")
     return value
 
 
-def _keys(value: Any) -> list[str]:
+def _parse_keys(value: Any) -> list[str]:
     if not isinstance(value, list) or not all(isinstance(key, str) for key in value):
         raise ValueError("a list of strings")
     return value
 
 
-def _shares(value: Any) -> "list[Share]":
+def _parse_shares(value: Any) -> "list[Share]":
     if not isinstance(value, list):
         raise ValueError("a list of objects with target and gain")
     return [Share.from_dict(share) for share in value]
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Share(Item):
-    """A service's part in a route: `gain` against the sum of gains."""
+    """A service's share of a route's requests: its `gain` relative to the sum of gains."""
 
     target: str
     gain: float
@@ -62,26 +62,27 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Route(Item):
-    """Requests of one host under one prefix.
-
-    `timeout_ms` is how long a try may be held, `setpoint_ms` the time of full worth, `tries` the most servers
-    that one try goes to, `precedence` the rank with 0 highest. `distribution` goes before `target`; one of
-    them is there. `affinity` 'caller': requests of one caller stay at its server; the caller is the tenant
-    with the route and, if named, the value of the header `affinity_header`. Without it the program's default
-    holds.
+    """How the requests for one host whose paths begin with one prefix are handled.
+
+    `timeout_ms` is the maximum time that a request is held, `setpoint_ms` the latency up to which a response
+    has its full value, `tries` the maximum number of servers to which one request is sent, and `precedence`
+    the rank, with 0 as the highest. At least one of `distribution` and `target` is given, and `distribution`
+    is used first. With `affinity` 'caller', requests of one caller are kept on the same server; a caller is
+    identified by its tenant, the route and, if `affinity_header` is given, the value of that header. Without
+    `affinity` the program's default applies. Requests to an `unkeyed` route need no key.
     """
 
     name: str
-    prefix: str = field(metadata=wire("prefix", _prefix))
-    # What may be repeated is told by the operator alone: a route that doesn't say is kept from running twice.
+    prefix: str = field(metadata=wire("prefix", _parse_prefix))
+    # Only the operator knows which requests may be repeated, so a route is unsafe unless declared otherwise.
     route_type: Literal["safe", "unsafe"] = field(
         default="unsafe", metadata=wire("routeType", choice("safe", "unsafe"))
     )
-    timeout_ms: float = field(default=TIMEOUT_MS, metadata=wire("timeoutMs"))
-    setpoint_ms: float = field(default=SETPOINT_MS, metadata=wire("setpointMs"))
+    timeout_ms: float = field(default=DEFAULT_TIMEOUT_MS, metadata=wire("timeoutMs"))
+    setpoint_ms: float = field(default=DEFAULT_SETPOINT_MS, metadata=wire("setpointMs"))
     precedence: int = 0
     target: str | None = None
-    distribution: list[Share] = field(default_factory=list, metadata=wire("distribution", _shares))
+    distribution: list[Share] = field(default_factory=list, metadata=wire("distribution", _parse_shares))
     tries: int = field(default=1, metadata=wire("tries", at_least(1)))
     unkeyed: bool = False
     affinity: str | None = field(default=None, metadata=wire("affinity", choice("none", "caller")))
@@ -90,7 +91,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Host(Item):
-    """A host's name as the operator wrote it, and its routes."""
+    """A host name as written by the operator, and its routes."""
 
     host: str
     paths: list[Route] = field(default_factory=list)
@@ -98,31 +99,39 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Service(Item):
-    """What servers register under. `saturation`: connections that a server takes, all callers together."""
+    """A service, under whose name servers register.
+
+    `probe` is the path of the health check. `saturation` is the number of connections that one server accepts
+    from all callers together.
+    """
 
     name: str
     probe: str = "/"
-    saturation: int = field(default=SATURATION, metadata=wire("saturation", at_least(0)))
+    saturation: int = field(default=DEFAULT_SATURATION, metadata=wire("saturation", at_least(0)))
     protocol: str = "h1"
     tls: bool = False
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Limits(Item):
-    """What a client may send (bytes) and how long it may take over a head or stay idle (ms)."""
+    """Limits on clients: sizes of header and body in bytes, times to send a header and to stay idle in ms."""
 
-    header_bytes: int = field(default=HEADER_BYTES, metadata=wire("headerBytes", at_least(0)))
-    body_bytes: int = field(default=BODY_BYTES, metadata=wire("bodyBytes", at_least(0)))
-    header_ms: float = field(default=HEADER_MS, metadata=wire("headerMs"))
-    idle_ms: float = field(default=IDLE_MS, metadata=wire("idleMs"))
+    header_bytes: int = field(default=DEFAULT_HEADER_BYTES, metadata=wire("headerBytes", at_least(0)))
+    body_bytes: int = field(default=DEFAULT_BODY_BYTES, metadata=wire("bodyBytes", at_least(0)))
+    header_ms: float = field(default=DEFAULT_HEADER_MS, metadata=wire("headerMs"))
+    idle_ms: float = field(default=DEFAULT_IDLE_MS, metadata=wire("idleMs"))
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Tenant(Item):
-    """Who holds which keys. `rate_per_s` requests a second, `burst` on top, on all machines; 0: no limit."""
+    """A tenant and its keys.
+
+    `rate_per_s` limits its requests per second over all machines together, with bursts of up to `burst`
+    requests; 0 means no limit. `precedence` is the rank, with 0 as the highest, and overrides the route's.
+    """
 
     name: str
-    keys: list[str] = field(default_factory=list, metadata=wire("keys", _keys))
+    keys: list[str] = field(default_factory=list, metadata=wire("keys", _parse_keys))
     precedence: int = 0
     rate_per_s: float = field(default=0.0, metadata=wire("ratePerS"))
     burst: float = 0.0
@@ -130,7 +139,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Configuration:
-    """A checked configuration. `tenants` is None where the document has none: then no key is needed."""
+    """A valid configuration.
+
+    `tenants` is None if the document contains no list of tenants, in which case requests need no key.
+    """
 
     version: int
     services: list[Service]
@@ -140,97 +152,114 @@
 
 
 def targets(route: Route) -> list[str]:
-    """Services that may run a route's requests: those with a gain above 0, else its target. Empty: nobody."""
-    found = [share.target for share in route.distribution if share.gain > 0]
-    if not found and route.target is not None:
-        found.append(route.target)
-    return found
+    """Return the services that may handle a route's requests: those with a positive gain, else its target.
+
+    The list is empty if no service serves the route.
+    """
+    services = [share.target for share in route.distribution if share.gain > 0]
+    if not services and route.target is not None:
+        services.append(route.target)
+    return services
 
 
-def _list(holder: Mapping[str, Any], key: str, where: str, problems: list[str]) -> list[Any]:
-    value = holder.get(key)
+def _read_list(parent: Mapping[str, Any], key: str, path: str, problems: list[str]) -> list[Any]:
+    """Return the list `parent[key]`; if invalid, add a message to `problems` and return an empty list."""
+    value = parent.get(key)
     if not isinstance(value, list):
-        problems.append(format_problem(where, value, "a list"))
+        problems.append(format_problem(path, value, "a list"))
         return []
     return value
 
 
-def _all(kind: type[ItemT], document: Document, key: str, problems: list[str]) -> list[ItemT]:
-    found = (
-        read(kind, value, f"{key}[{i}]", problems)
-        for i, value in enumerate(_list(document, key, key, problems))
+def _read_items(item_type: type[ItemT], document: Document, key: str, problems: list[str]) -> list[ItemT]:
+    """Parse the items of the list `document[key]`; invalid ones are left out and added to `problems`."""
+    items = (
+        read_item(item_type, value, f"{key}[{i}]", problems)
+        for i, value in enumerate(_read_list(document, key, key, problems))
     )
-    return [item for item in found if item is not None]
+    return [item for item in items if item is not None]
 
 
-def _twice(names: Iterable[str], where: str, problems: list[str]) -> None:
+def _check_unique(names: Iterable[str], path: str, problems: list[str]) -> None:
+    """Add a message to `problems` for each repetition of a name."""
     seen: set[str] = set()
     for name in names:
         if name in seen:
-            problems.append(format_problem(where, name, "each name once"))
+            problems.append(format_problem(path, name, "each name once"))
         seen.add(name)
 
 
-def _hosts(document: Document, services: set[str] | None, problems: list[str]) -> list[Host]:
+def _read_hosts(document: Document, services: set[str] | None, problems: list[str]) -> list[Host]:
+    """Parse and validate the hosts. Routes may refer to `services`, or to any service if it is None."""
     hosts: list[Host] = []
-    taken: dict[tuple[str, str], str] = {}
+    route_names: dict[tuple[str, str], str] = {}
     names: list[str] = []
-    for i, entry in enumerate(_list(document, "hosts", "hosts", problems)):
-        where = f"hosts[{i}]"
+    for i, entry in enumerate(_read_list(document, "hosts", "hosts", problems)):
+        path = f"hosts[{i}]"
         if not isinstance(entry, dict) or not isinstance(entry.get("host"), str) or not entry["host"]:
-            problems.append(format_problem(f"{where}.host", entry, "an object with a host and its paths"))
+            problems.append(format_problem(f"{path}.host", entry, "an object with a host and its paths"))
             continue
         routes: list[Route] = []
-        for j, value in enumerate(_list(entry, "paths", f"{where}.paths", problems)):
-            at = f"{where}.paths[{j}]"
-            route = read(Route, value, at, problems)
+        for j, value in enumerate(_read_list(entry, "paths", f"{path}.paths", problems)):
+            route_path = f"{path}.paths[{j}]"
+            route = read_item(Route, value, route_path, problems)
             if route is None:
                 continue
             routes.append(route)
             names.append(route.name)
-            place = (entry["host"].lower(), route.prefix)
-            if place in taken:
+            location = (entry["host"].lower(), route.prefix)
+            if location in route_names:
                 problems.append(
-                    format_problem(f"{at}.prefix", route.prefix, f"one route a prefix: {taken[place]} has it")
+                    format_problem(
+                        f"{route_path}.prefix",
+                        route.prefix,
+                        f"one route a prefix: {route_names[location]} has it",
+                    )
                 )
-            taken.setdefault(place, route.name)
-            # Without a time-out of the operator's there is nothing that the set point could exceed.
+            route_names.setdefault(location, route.name)
+            # The setpoint is compared only with a timeout that the operator gave, not with the default.
             excess = route.setpoint_ms - route.timeout_ms
-            if excess >= SETPOINT_EXCESS_MS and value.get("timeoutMs") is not None:
+            if excess >= INVALID_SETPOINT_EXCESS_MS and value.get("timeoutMs") is not None:
                 problems.append(
-                    format_problem(f"{at}.setpointMs", route.setpoint_ms, "less than timeoutMs and a minute")
+                    format_problem(
+                        f"{route_path}.setpointMs", route.setpoint_ms, "less than timeoutMs and a minute"
+                    )
                 )
-            named = [
-                (f"{at}.distribution[{k}].target", share.target) for k, share in enumerate(route.distribution)
+            references = [
+                (f"{route_path}.distribution[{k}].target", share.target)
+                for k, share in enumerate(route.distribution)
             ]
             if route.target is not None:
-                named.append((f"{at}.target", route.target))
+                references.append((f"{route_path}.target", route.target))
             problems += [
-                format_problem(spot, name, "a service of this configuration")
-                for spot, name in named
+                format_problem(reference_path, name, "a service of this configuration")
+                for reference_path, name in references
                 if services is not None and name not in services
             ]
             if not targets(route):
                 if route.distribution:
                     problems.append(
                         format_problem(
-                            f"{at}.distribution",
+                            f"{route_path}.distribution",
                             value["distribution"],
                             "a gain above 0: nobody could serve this route",
                         )
                     )
                 else:
-                    problems.append(format_problem(f"{at}.target", None, "a target or a distribution"))
+                    problems.append(
+                        format_problem(f"{route_path}.target", None, "a target or a distribution")
+                    )
         hosts.append(Host(host=entry["host"], paths=routes))
-    _twice(names, "hosts.paths.name", problems)
+    _check_unique(names, "hosts.paths.name", problems)
     return hosts
 
 
-def _tenants(document: Document, problems: list[str]) -> list[Tenant] | None:
+def _read_tenants(document: Document, problems: list[str]) -> list[Tenant] | None:
+    """Parse and validate the tenants, or return None if the document has no list of them."""
     if document.get("tenants") is None:
         return None
-    tenants = _all(Tenant, document, "tenants", problems)
-    _twice((tenant.name for tenant in tenants), "tenants.name", problems)
+    tenants = _read_items(Tenant, document, "tenants", problems)
+    _check_unique((tenant.name for tenant in tenants), "tenants.name", problems)
     holders: dict[str, str] = {}
     for tenant in tenants:
         for key in tenant.keys:
@@ -246,25 +275,28 @@
     return tenants
 
 
-def check(document: Document, above: int) -> Configuration:
-    """The typed view of a configuration that may follow version `above`. InvalidError lists what is wrong."""
+def check(document: Document, previous_version: int) -> Configuration:
+    """Validate a configuration document and return its typed view.
+
+    Its version must be above `previous_version`. Raises InvalidError with a message about each invalid value.
+    """
     if not isinstance(document, dict):
         raise InvalidError([format_problem("configuration", document, "an object")])
     problems: list[str] = []
-    services = _all(Service, document, "services", problems)
-    # A service that can't be read is the problem, and not each route that names it.
-    known = None if problems else {service.name for service in services}
-    _twice((service.name for service in services), "services.name", problems)
-    unread: list[str] = []
-    version = read_version(document, unread)
-    problems += unread
-    if not unread and version <= above:
-        problems.append(format_problem("version", version, f"above {above}"))
+    services = _read_items(Service, document, "services", problems)
+    # An invalid service is reported once, and not for each route that refers to it.
+    service_names = None if problems else {service.name for service in services}
+    _check_unique((service.name for service in services), "services.name", problems)
+    version_problems: list[str] = []
+    version = read_version(document, version_problems)
+    problems += version_problems
+    if not version_problems and version <= previous_version:
+        problems.append(format_problem("version", version, f"above {previous_version}"))
     limits: Limits | None = Limits()
     if document.get("limits") is not None:
-        limits = read(Limits, document["limits"], "limits", problems)
-    tenants = _tenants(document, problems)
-    hosts = _hosts(document, known, problems)
+        limits = read_item(Limits, document["limits"], "limits", problems)
+    tenants = _read_tenants(document, problems)
+    hosts = _read_hosts(document, service_names, problems)
     if problems or limits is None:
         raise InvalidError(problems)
     return Configuration(version=version, services=services, limits=limits, tenants=tenants, hosts=hosts)
--- a/larklb/schema/document.py
+++ b/larklb/schema/document.py
@@ -1,4 +1,4 @@
-"""A configuration as it was sent: JSON, kept whole, with every field that the operator put into it."""
+"""Configuration documents: the operator's JSON, stored unchanged with all its fields, and their digests."""
 
 import json
 import math
@@ -7,39 +7,40 @@
 from xxhash import xxh3_128_hexdigest
 
 from larklb.schema.errors import UnreadableError
-from larklb.schema.fields import SHOWN
+from larklb.schema.fields import MAX_SHOWN_CHARACTERS
 
 Document = dict[str, Any]
 
-# Levels of nesting taken. The schema has eight; walking a document recurses, and must end
-# before the stack does.
-DEPTH_MAX = 64
+# Maximum nesting depth of a document. The schema needs eight levels; the bound keeps functions that recurse
+# over a document within the stack.
+MAX_DEPTH = 64
 
 
-def _refuse(constant: str) -> NoReturn:
+def _reject_constant(constant: str) -> NoReturn:
     raise ValueError(f"{constant} is no JSON")
 
 
-def _finite(digits: str) -> float:
+def _parse_finite(digits: str) -> float:
     number = float(digits)
     if math.isinf(number):
-        raise ValueError("a number beyond what can be kept")
+        raise ValueError("a number beyond the range of a float")
     return number
 
 
 def parse(body: bytes) -> Document:
-    """The JSON object that `body` is, whole. The caller bounds its size.
+    """Parse `body` as a JSON object. The caller bounds its size.
 
-    UnreadableError: no JSON, bytes behind it, no object, over DEPTH_MAX levels, NaN or infinite numbers.
+    Raises UnreadableError if it is not valid JSON, has trailing bytes, is not an object, is nested more than
+    MAX_DEPTH levels deep, or contains NaN or infinite numbers.
     """
     try:
-        document = json.loads(body, parse_constant=_refuse, parse_float=_finite)
+        document = json.loads(body, parse_constant=_reject_constant, parse_float=_parse_finite)
     except (ValueError, RecursionError) as error:
-        raise UnreadableError(f"no JSON: {str(error)[:SHOWN]}") from error
+        raise UnreadableError(f"no JSON: {str(error)[:MAX_SHOWN_CHARACTERS]}") from error
     if not isinstance(document, dict):
         raise UnreadableError("no JSON object")
     level: list[Any] = [document]
-    for _ in range(DEPTH_MAX):
+    for _ in range(MAX_DEPTH):
         level = [
             child
             for parent in level
@@ -48,20 +49,25 @@
         ]
         if not level:
             return document
-    raise UnreadableError(f"nested more than {DEPTH_MAX} deep")
+    raise UnreadableError(f"nested more than {MAX_DEPTH} levels deep")
 
 
-def _plain(value: Any) -> Any:
-    """`value` with whole floats as integers: 63.0 and 63 are the same number to an operator."""
+def _normalize(value: Any) -> Any:
+    """Replace integral floats by integers, since 63.0 and 63 are the same number to an operator."""
     if isinstance(value, dict):
-        return {key: _plain(part) for key, part in value.items()}
+        return {key: _normalize(part) for key, part in value.items()}
     if isinstance(value, list):
-        return [_plain(part) for part in value]
+        return [_normalize(part) for part in value]
     if isinstance(value, float) and value.is_integer():
         return int(value)
     return value
 
 
 def digest(document: Document) -> str:
-    """32 hex digits over the document's meaning: the order of keys doesn't count, nor does 63.0 for 63."""
-    return xxh3_128_hexdigest(json.dumps(_plain(document), sort_keys=True, separators=(",", ":")).encode())
+    """Return a digest of the document's meaning, as 32 hex digits.
+
+    It doesn't depend on the order of keys, nor on whether a number is written as 63.0 or 63.
+    """
+    return xxh3_128_hexdigest(
+        json.dumps(_normalize(document), sort_keys=True, separators=(",", ":")).encode()
+    )
--- a/larklb/schema/errors.py
+++ b/larklb/schema/errors.py
@@ -1,23 +1,23 @@
-"""Errors of the schema."""
+"""Exceptions of the schema package."""
 
 from collections.abc import Iterable
 
-# A body of thousands of broken routes must not make an answer of megabytes; twenty are enough to mend by.
+# Bounds the size of the answer to a document with thousands of invalid routes.
 MAX_PROBLEMS = 20
 
 
 class SchemaError(Exception):
-    """Base of all errors of this package."""
+    """Base class of all exceptions of this package."""
 
 
 class UnreadableError(SchemaError):
-    """The bytes are no whole JSON object."""
+    """The bytes are not a complete, valid JSON object."""
 
 
 class InvalidError(SchemaError):
-    """The JSON object says something that can't be taken.
+    """The JSON object contains invalid values.
 
-    `problems`: 'field: value: what would do', the first MAX_PROBLEMS of them.
+    `problems` lists the first MAX_PROBLEMS of them as 'field: value: expectation'.
     """
 
     def __init__(self, problems: Iterable[str]) -> None:
--- a/larklb/schema/fields.py
+++ b/larklb/schema/fields.py
@@ -1,4 +1,4 @@
-"""Fields of what operators write: strict readers, and the problem that is reported where one is wrong."""
+"""Strict parsing of the fields in operators' documents, and the messages that report invalid values."""
 
 import json
 import math
@@ -10,24 +10,27 @@
 from mashumaro.helper import field_options
 from mashumaro.mixins.dict import DataClassDictMixin
 
-# Characters of an offending value that are shown in a problem.
-SHOWN = 60
-# Values that are shown in no problem: a client's key lets anyone in who reads the log.
+# Longer values are truncated in messages.
+MAX_SHOWN_CHARACTERS = 60
+# Fields whose values never appear in messages: whoever reads a client's key in a log could use it.
 SECRET_FIELDS = frozenset({"keys"})
 
 
-# --- readers: strict, since the library would take "7", 7.9 or True for the number 7
+# --- field parsers: strict, because mashumaro by itself converts "7", 7.9 and True to integers
 
 
-def text(value: Any) -> str:
-    """A string that isn't empty. ValueError says what would do, as in the readers below."""
+def parse_text(value: Any) -> str:
+    """Return a non-empty string.
+
+    Like all parsers below, it raises ValueError with a description of the values it accepts.
+    """
     if not isinstance(value, str) or not value:
         raise ValueError("a string that isn't empty")
     return value
 
 
-def whole(value: Any) -> int:
-    """A whole number; 2.0 is taken for 2."""
+def parse_integer(value: Any) -> int:
+    """Return an integer. Integral floats such as 2.0 are accepted."""
     if isinstance(value, float) and value.is_integer():
         return int(value)
     if isinstance(value, bool) or not isinstance(value, int):
@@ -35,8 +38,8 @@
     return value
 
 
-def amount(value: Any) -> float:
-    """A finite number of 0 or more."""
+def parse_amount(value: Any) -> float:
+    """Return a finite, non-negative number as a float."""
     if not isinstance(value, bool) and isinstance(value, int | float):
         try:
             number = float(value)
@@ -47,50 +50,53 @@
     raise ValueError("a number of 0 or more")
 
 
-def flag(value: Any) -> bool:
-    """True or False, and no number for them."""
+def parse_flag(value: Any) -> bool:
+    """Return a boolean. Numbers are rejected."""
     if not isinstance(value, bool):
         raise ValueError("true or false")
     return value
 
 
 def choice(*names: str) -> Callable[[Any], str]:
-    """A reader that takes one of `names`."""
+    """Return a parser that accepts one of `names`."""
 
-    def read(value: Any) -> str:
+    def parse(value: Any) -> str:
         if not isinstance(value, str) or value not in names:
             raise ValueError(" or ".join(f"'{name}'" for name in names))
         return value
 
-    return read
+    return parse
 
 
-def at_least(low: int) -> Callable[[Any], int]:
-    """A reader of whole numbers from `low` up."""
+def at_least(minimum: int) -> Callable[[Any], int]:
+    """Return a parser of integers greater than or equal to `minimum`."""
 
-    def read(value: Any) -> int:
+    def parse(value: Any) -> int:
         try:
-            number = whole(value)
+            number = parse_integer(value)
         except ValueError:
-            number = low - 1
-        if number < low:
-            raise ValueError(f"a whole number of {low} or more")
+            number = minimum - 1
+        if number < minimum:
+            raise ValueError(f"a whole number of {minimum} or more")
         return number
 
-    return read
+    return parse
 
 
 class Item(DataClassDictMixin):
-    """Base of what is read from the wire: camelCase names, strict types, null as if not given."""
+    """Base class of the typed parts of documents.
+
+    Types are strict, null counts as absent, and `wire` gives a field its camelCase name in the document.
+    """
 
     __slots__ = ()
 
     class Config(BaseConfig):
         serialization_strategy = {
-            str: {"deserialize": text},
-            int: {"deserialize": whole},
-            float: {"deserialize": amount},
-            bool: {"deserialize": flag},
+            str: {"deserialize": parse_text},
+            int: {"deserialize": parse_integer},
+            float: {"deserialize": parse_amount},
+            bool: {"deserialize": parse_flag},
         }
 
     @classmethod
@@ -100,69 +106,75 @@
         return {key: value for key, value in d.items() if value is not None}
 
 
-def wire(alias: str, read: Callable[[Any], Any] | None = None) -> dict[str, Any]:
-    """Metadata of a field that is called `alias` on the wire and is read by `read`."""
-    return field_options(alias=alias) if read is None else field_options(alias=alias, deserialize=read)
+def wire(alias: str, parser: Callable[[Any], Any] | None = None) -> dict[str, Any]:
+    """Return the metadata of a field that is named `alias` in the document and parsed by `parser`."""
+    return field_options(alias=alias) if parser is None else field_options(alias=alias, deserialize=parser)
 
 
-# --- problems
+# --- messages about invalid values
 
 
 def format_value(value: Any) -> str:
-    """A value for a problem, cut to SHOWN characters. Of an object or list only that: keys may be in it."""
+    """Format a value for a message, truncated to MAX_SHOWN_CHARACTERS.
+
+    The contents of objects and lists are omitted, because they may include secret keys.
+    """
     if isinstance(value, dict | list):
         return "(an object)" if isinstance(value, dict) else "(a list)"
     try:
         out = json.dumps(value)
     except (TypeError, ValueError):
         out = type(value).__name__
-    return out if len(out) <= SHOWN else out[: SHOWN - 3] + "..."
+    return out if len(out) <= MAX_SHOWN_CHARACTERS else out[: MAX_SHOWN_CHARACTERS - 3] + "..."
 
 
-def format_problem(where: str, value: Any, remedy: str) -> str:
-    """'field: value: what would do'."""
-    return f"{where}: {format_value(value)}: {remedy}"
+def format_problem(path: str, value: Any, expected: str) -> str:
+    """Format the message about an invalid value as 'field: value: expectation'."""
+    return f"{path}: {format_value(value)}: {expected}"
 
 
-def _camel(name: str) -> str:
+def _to_camel_case(name: str) -> str:
     head, *rest = name.split("_")
     return head + "".join(part.capitalize() for part in rest)
 
 
-def explain(error: BaseException, where: str, value: Any) -> str:
-    """The problem behind an error of `from_dict(value)`; the innermost field's is the one that helps."""
-    names, remedy, hidden, missing = [where] if where else [], "a value that can be read", False, False
+def explain(error: BaseException, path: str, value: Any) -> str:
+    """Format the message about an error of `Item.from_dict(value)`, for the item at `path` in the document.
+
+    Nested errors are followed to the innermost field, which is the one that is invalid.
+    """
+    names, expected, hidden, missing = [path] if path else [], "a value that can be read", False, False
     node: BaseException | None = error
     while node is not None:
         if isinstance(node, InvalidFieldValue):
-            names.append(_camel(node.field_name))
+            names.append(_to_camel_case(node.field_name))
             value, hidden = node.field_value, hidden or node.field_name in SECRET_FIELDS
         elif isinstance(node, MissingField):
-            names.append(_camel(node.field_name))
-            remedy, missing = "must be given", True
+            names.append(_to_camel_case(node.field_name))
+            expected, missing = "must be given", True
         elif isinstance(node, ValueError):
-            remedy = str(node)
+            expected = str(node)
         node = node.__context__
     name = ".".join(names)
     if missing or hidden:
-        return f"{name}: ({'missing' if missing else 'not shown'}): {remedy}"
-    return format_problem(name, value, remedy)
+        return f"{name}: ({'missing' if missing else 'not shown'}): {expected}"
+    return format_problem(name, value, expected)
 
 
 ItemT = TypeVar("ItemT", bound=Item)
 
 
-def read(kind: type[ItemT], value: Any, where: str, problems: list[str]) -> ItemT | None:
-    """`value` as `kind`, or None and one more problem."""
+def read_item(item_type: type[ItemT], value: Any, path: str, problems: list[str]) -> ItemT | None:
+    """Parse `value` as `item_type`. If it is invalid, add a message to `problems` and return None."""
     try:
-        return kind.from_dict(value)
+        return item_type.from_dict(value)
     except (ValueError, LookupError) as error:
-        problems.append(explain(error, where, value))
+        problems.append(explain(error, path, value))
         return None
 
 
 def read_version(document: Mapping[str, Any], problems: list[str]) -> int:
-    """The version that a document or a change gives itself; 0 and one more problem where it gives none."""
+    """Return the version of a document or change. If invalid, add a message to `problems` and return 0."""
     version = document.get("version")
     if isinstance(version, bool) or not isinstance(version, int):
         problems.append(format_problem("version", version, "a whole number"))
--- a/larklb/schema/routing.py
+++ b/larklb/schema/routing.py
@@ -1,37 +1,38 @@
-"""Which route a request takes, which service runs it, and whose key it carries."""
+"""Lookup of the route of a request, selection of its service, and lookup of the tenant by key."""
 
 from larklb.schema.configuration import Configuration, Route, Tenant, targets
 
 __all__ = ["Keys", "Routes", "service_of", "targets"]
 
 
-def service_of(route: Route, chance: float) -> str:
-    """The service for one request by the route's gains (above 0 only); `chance` in [0, 1).
+def service_of(route: Route, fraction: float) -> str:
+    """Select the service for one request, in proportion to the route's positive gains.
 
-    LookupError: nobody serves the route, which no checked configuration has.
+    `fraction`, uniformly distributed in [0, 1), selects a point on the sum of gains. Raises LookupError if no
+    service serves the route, which can't happen in a checked configuration.
     """
     shares = [share for share in route.distribution if share.gain > 0]
     if not shares:
         if route.target is None:
             raise LookupError(f"route {route.name} has no service")
         return route.target
-    left = chance * sum(share.gain for share in shares)
+    remaining = fraction * sum(share.gain for share in shares)
     for share in shares:
-        left -= share.gain
-        if left < 0:
+        remaining -= share.gain
+        if remaining < 0:
             return share.target
-    # Rounding may leave a rest behind the last share.
+    # Rounding errors may leave a positive remainder after the last share.
     return shares[-1].target
 
 
 def _without_port(host: str) -> str:
     name, colon, port = host.rpartition(":")
-    # The colons of an address in brackets are no port's.
+    # The colons inside a bracketed IPv6 address don't separate a port.
     return name if colon and (not port or port.isdecimal()) and not host.endswith("]") else host
 
 
 class Routes:
-    """The routes of a configuration, by host and prefix."""
+    """The routes of a configuration, indexed by host and prefix."""
 
     __slots__ = ("_hosts",)
 
@@ -46,14 +47,18 @@
             self._hosts[name] = (longest, routes)
 
     def find(self, host: str, path: str) -> Route | None:
-        """The route of `host` (without port, in any case) with the longest prefix that begins `path`."""
+        """Return the route of `host` with the longest prefix of `path`, or None if there is none.
+
+        Case and port of `host` are ignored, and so is the query of `path`.
+        """
         host = host.lower()
-        found = self._hosts.get(_without_port(host)) or self._hosts.get(host)
-        if found is None:
+        entry = self._hosts.get(_without_port(host)) or self._hosts.get(host)
+        if entry is None:
             return None
-        longest, routes = found
+        longest, routes = entry
         path = path.partition("?")[0]
-        # From the longest prefix down: a path of thousands of slashes costs no more than the routes are deep.
+        # Prefixes are tried from the longest configured length downwards, so that the cost for a path with
+        # thousands of slashes is bounded by the length of the configured prefixes.
         end = path.rfind("/", 0, longest)
         while end >= 0:
             route = routes.get(path[: end + 1])
@@ -67,15 +72,18 @@
 
 
 class Keys:
-    """Tenants by key. `needed`: whether the configuration has tenants, so that requests must carry a key."""
+    """The tenants of a configuration, indexed by key.
+
+    `needed` is True if the configuration has a list of tenants, in which case requests must carry a key.
+    """
 
-    __slots__ = ("_holders", "needed")
+    __slots__ = ("_tenants", "needed")
 
     def __init__(self, configuration: Configuration) -> None:
         self.needed = configuration.tenants is not None
-        # An empty key would let in whoever sends an empty one.
-        self._holders = {key: tenant for tenant in configuration.tenants or () for key in tenant.keys if key}
+        # An empty key would admit any client that sends an empty one.
+        self._tenants = {key: tenant for tenant in configuration.tenants or () for key in tenant.keys if key}
 
     def tenant(self, key: str) -> Tenant | None:
-        """Who holds `key`, or None."""
-        return self._holders.get(key)
+        """Return the tenant that holds `key`, or None."""
+        return self._tenants.get(key)
