--- a/tests/test_schema.py
+++ b/tests/test_schema.py
@@ -1,4 +1,8 @@
-"""The operator's configuration: what is taken, what is refused, amendments, routing, the OpenAPI file."""
+"""The operator's configuration: validation, amendments, digests, routing, and the OpenAPI file.
+
+The tests marked PLAIN are derandomized: their examples depend on the source text of the test function, so
+that edits to it change the examples.
+"""
 
 import copy
 import json
@@ -49,7 +53,7 @@
             "hosts": [{"host": host, "paths": paths} for host, paths in hosts.items()]}
 
 
-def test_the_example_is_taken_as_it_stands() -> None:
+def test_example_is_accepted_unchanged() -> None:
     document = parse(EXAMPLE)
     found = check(document, 5)
     assert document == parse(EXAMPLE)
@@ -66,7 +70,7 @@
     assert routes.find("other.example", "/list/2f") is None
 
 
-def test_what_the_page_does_not_forbid_is_taken() -> None:
+def test_everything_not_forbidden_is_accepted() -> None:
     document = config({"h": [route("r", "/", tries=2.0, distribution=None, setpointMs=95_000),
                              route("s", "/s/", timeoutMs=1, setpointMs=60_000.5, unkeyed=True)],
                        "H": [route("t", "/t/")]})
@@ -120,13 +124,13 @@
 ]
 
 
-@pytest.mark.parametrize(("named", "spoil"), INVALID)
-def test_an_invalid_one_is_refused_by_field(named: str, spoil: Callable[[dict[str, Any]], Any]) -> None:
+@pytest.mark.parametrize(("expected_field", "invalidate"), INVALID)
+def test_invalid_field_is_named(expected_field: str, invalidate: Callable[[dict[str, Any]], Any]) -> None:
     document = parse(EXAMPLE)
-    spoil(document)
+    invalidate(document)
     with pytest.raises(InvalidError) as caught:
         check(document, 6)
-    assert len(caught.value.problems) == 1 and named in caught.value.problems[0]
+    assert len(caught.value.problems) == 1 and expected_field in caught.value.problems[0]
     assert re.fullmatch(r"[^ ]+: .+: .+", caught.value.problems[0])
     assert "k3y-one" not in str(caught.value), "a key in a log lets its reader in"
 
@@ -137,18 +141,18 @@
     assert len(caught.value.problems) == MAX_PROBLEMS and len(str(caught.value)) < 4000
 
 
-def test_a_part_of_a_body_is_no_body() -> None:
+def test_incomplete_or_malformed_body_is_rejected() -> None:
     for body in (EXAMPLE, HEARTBEAT):
         for end in range(len(body)):
             with pytest.raises(UnreadableError):
                 parse(body[:end])
-    for odd in (EXAMPLE + b"}", b"[]", b'{"a":NaN}', b'{"a":-Infinity}', b'{"a":1e999}', b'{"a":"\xff"}',
+    for invalid in (EXAMPLE + b"}", b"[]", b'{"a":NaN}', b'{"a":-Infinity}', b'{"a":1e999}', b'{"a":"\xff"}',
                 b'{"a":' * 65 + b"1" + b"}" * 65, b"[" * 100_000, b'{"a":' + b"9" * 5000 + b"}"):
         with pytest.raises(UnreadableError):
-            parse(odd)
+            parse(invalid)
 
 
-# --- amendments against a plain model: rows of (host, name, route) in order
+# --- amendments, compared with a simple model: a dictionary of routes by name for each host, in order
 
 NAMES = st.sampled_from(["r0", "r1", "r2", "r3", "r4"])
 HOSTS = st.sampled_from(["h", "i", "J"])
@@ -204,7 +208,7 @@
     {"version": 8, "upsert": {"limits": 1}}, {"version": 8, "upsert": {"services": [{"name": 1}]}},
     {"version": 8, "remove": {"routes": "r"}},
     {"version": 8, "remove": {"keys": ["k"]}}, {"version": 8, "remove": {"routes": [{"name": "r"}]}}])
-def test_a_malformed_change_is_refused(change: dict[str, Any]) -> None:
+def test_malformed_change_is_rejected(change: dict[str, Any]) -> None:
     with pytest.raises(InvalidError):
         amend(parse(EXAMPLE), change)
 
@@ -250,19 +254,21 @@
     assert (found.name if found else None) == (max(fitting)[1] if fitting else None)
 
 
-def test_a_service_is_picked_by_gain() -> None:
+def test_service_is_selected_by_gain() -> None:
     shares = [{"target": "b", "gain": 0}, {"target": "a", "gain": 0.1}, {"target": "b", "gain": 0.3},
               {"target": "a", "gain": 0}]
     found = check(config({"h": [route("r", "/", distribution=shares)]}), 0).hosts[0].paths[0]
     picks = [Routes.service_of(found, i / 1000) for i in range(1000)]
     assert Routes.targets(found) == ["a", "b"] and abs(picks.count("a") - 250) <= 1 and picks[0] == "a"
-    # With these gains rounding leaves a rest behind the last; it must not go to who has no gain.
-    rest = [{"target": "a", "gain": 1.4}, {"target": "b", "gain": 4.1}, {"target": "a", "gain": 0}]
-    found = check(config({"h": [route("r", "/", distribution=rest)]}), 0).hosts[0].paths[0]
+    # With these gains, rounding leaves a remainder after the last share, which must not select a service
+    # without gain.
+    shares = [{"target": "a", "gain": 1.4}, {"target": "b", "gain": 4.1}, {"target": "a", "gain": 0}]
+    found = check(config({"h": [route("r", "/", distribution=shares)]}), 0).hosts[0].paths[0]
     assert Routes.service_of(found, 1 - 2**-53) == "b"
 
 
-def test_a_path_of_slashes_costs_no_more_than_the_routes_are_deep() -> None:
+def test_cost_of_path_with_many_slashes_is_bounded() -> None:
+    """The number of lookups depends on the configured prefixes, not on the length of the path."""
     routes, events = Routes(check(config({"h": [route("r", "/a/b/")]}), 0)), list[str]()
     sys.setprofile(lambda _frame, event, _argument: events.append(event))
     try:
@@ -272,21 +278,21 @@
     assert found is None and len(events) < 80
 
 
-def test_heartbeats() -> None:
+def test_heartbeat_parsing() -> None:
     found = calls.parse_heartbeat(HEARTBEAT)
     assert (found.address, found.target, found.capacity) == ("10.0.0.9:8080", "desk", 2)
     assert (found.state, found.sequence, found.warmup_left_ms) == ("draining", 4, 0.5)
-    for named, old, new in [
+    for expected_field, old, new in [
             ("address", b":8080", b""), ("address", b":8080", b":80800"), ("address", b"10.", b"/"),
             ("capacity", b'"capacity":2', b'"capacity":0'), ("state", b"draining", b"gone"),
             ("sequence", b":4", b":null"), ("info", b'"info"', b'"inf"'), ("target", b"desk", b""),
             ("warmupLeftMs", b"0.5", b"-1")]:
         with pytest.raises(InvalidError) as caught:
             calls.parse_heartbeat(HEARTBEAT.replace(old, new, 1))
-        assert caught.value.problems[0].startswith(named)
+        assert caught.value.problems[0].startswith(expected_field)
 
 
-def test_the_openapi_file_says_what_the_code_does() -> None:
+def test_openapi_file_agrees_with_the_code() -> None:
     api = yaml.safe_load(resources.files("larklb.schema").joinpath("openapi.yaml").read_text("utf-8"))
     heartbeat, leave, *rest = api["paths"]
     assert calls.HEARTBEAT_PATTERN.fullmatch(heartbeat.replace("{id}", "i-1")) and "{id}" in heartbeat
@@ -299,22 +305,22 @@
     assert statuses["replace"] == statuses["amend"] == {"200", "307", "400", "412", "503"}
     assert statuses["readiness"] == {"200", "503"} and "400" in statuses["heartbeat"] & statuses["leave"]
     schemas = api["components"]["schemas"]
-    beat = schemas["Heartbeat"]["properties"]
-    flat = {"required": ["address"], "properties": {"address": beat["address"]}}
+    heartbeat_properties = schemas["Heartbeat"]["properties"]
+    flat = {"required": ["address"], "properties": {"address": heartbeat_properties["address"]}}
     for part in ("info", "observed"):
-        flat["required"] += beat[part]["required"]
-        flat["properties"] |= beat[part]["properties"]
-    # A host without paths, and tenants, are read by hand.
+        flat["required"] += heartbeat_properties[part]["required"]
+        flat["properties"] |= heartbeat_properties[part]["properties"]
+    # The paths of hosts, and tenants, are validated by separate code; the class doesn't require paths.
     schemas["Host"]["required"].remove("paths")
     for name, schema in {**schemas, "Heartbeat": flat}.items():
         kind = getattr(calls if name == "Heartbeat" else configuration, name, None)
         if kind is None or kind is Configuration:
             continue
-        held = {item.metadata.get("alias", item.name): item for item in fields(kind)}
-        assert set(schema["properties"]) == set(held), name
-        needed = {key for key, item in held.items() if item.default is item.default_factory is MISSING}
-        assert set(schema.get("required", ())) == needed, name
-        defaults = {key: item.default for key, item in held.items() if item.default is not MISSING}
+        by_alias = {item.metadata.get("alias", item.name): item for item in fields(kind)}
+        assert set(schema["properties"]) == set(by_alias), name
+        required = {key for key, item in by_alias.items() if item.default is item.default_factory is MISSING}
+        assert set(schema.get("required", ())) == required, name
+        defaults = {key: item.default for key, item in by_alias.items() if item.default is not MISSING}
         assert {k: v["default"] for k, v in schema["properties"].items() if "default" in v} == defaults, name
     assert set(schemas["Configuration"]["properties"]) == {item.name for item in fields(Configuration)}
     for key in schemas["Configuration"]["properties"]:
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -1,4 +1,7 @@
-"""Durable storage: after a loss of power at any step, or with a full disk, what was saved is what is read."""
+"""Durable storage: completed saves survive a loss of power at any step of a later save, and a full disk.
+
+A save that is interrupted or fails must leave the previous values readable.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +18,7 @@
 
 import pytest
 
-from larklb.storage import store as module
+from larklb.storage import store as store_module
 from larklb.storage.errors import StorageError
 from larklb.storage.store import Store
 
@@ -23,23 +26,24 @@
 NEW = {"ballot": b"new ballot", "log": b"new log " * 300}
 
 
-class PowerError(BaseException):
-    """The power goes, here."""
+class PowerLossError(BaseException):
+    """Simulates a loss of power at the step that raises it."""
 
 
-def filled(folder: Path) -> Store:
+def store_with_old_values(folder: Path) -> Store:
+    """Return a store with two generations of each key, OLD being the newer one."""
     store = Store(folder)
     store.save({"ballot": b"first", "log": b"first"})
     store.save(OLD)
     return store
 
 
-def admissible(found: dict[str, bytes] | None) -> bool:
-    """Each value is that of the last save that returned, or of the one under way."""
-    return found is not None and all(found[key] in (OLD[key], NEW[key]) for key in OLD)
+def is_admissible(loaded: dict[str, bytes] | None) -> bool:
+    """Whether each value is that of the last completed save or of the interrupted one."""
+    return loaded is not None and all(loaded[key] in (OLD[key], NEW[key]) for key in OLD)
 
 
-def test_values_and_the_disks_id_outlive_a_restart(tmp_path: Path) -> None:
+def test_values_and_disk_id_survive_a_restart(tmp_path: Path) -> None:
     store = Store(tmp_path / "disk")
     assert store.load() is None
     identity = store.identity()
@@ -50,30 +54,31 @@
         (store.folder / "notes.txt").write_bytes(b"stray")
         assert (Store(store.folder).load() or {})["log"] == b"%d" % number
     assert store.load() == {"log": b"5", "ballot": b"\x00\xff"}
-    kept = [(part.key, part.number, part.intact) for part in store.list_generations()]
-    assert kept == [("ballot", 1, True), ("identity", 1, True), ("log", 5, True), ("log", 6, True)]
+    retained = [(each.key, each.number, each.intact) for each in store.list_generations()]
+    assert retained == [("ballot", 1, True), ("identity", 1, True), ("log", 5, True), ("log", 6, True)]
     assert Store(tmp_path / "other").identity() != identity
     with pytest.raises(StorageError):
         store.save({"../x": b""})
 
 
-def test_power_lost_with_any_part_of_the_new_files(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Each unsynced file may be missing, empty, torn or whole, in any combination."""
-    monkeypatch.setattr(os, "fsync", lambda descriptor: None)      # what is left is told by the case
-    store = filled(tmp_path)
+def test_power_loss_with_any_remains_of_new_files(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Each unsynced file may be missing, empty, truncated or complete, in any combination."""
+    # Syncing has no effect here: each case determines what remains of the new files.
+    monkeypatch.setattr(os, "fsync", lambda descriptor: None)
+    store = store_with_old_values(tmp_path)
     before = {path.name: path.read_bytes() for path in tmp_path.iterdir()}
     store.save(NEW)
     new = {path.name: path.read_bytes() for path in sorted(tmp_path.iterdir()) if path.name not in before}
     assert len(new) == 4
-    for number, parts in enumerate(itertools.product((None, 0.0, 0.6, 1.0), repeat=4)):
-        for name, part in zip(new, parts, strict=True):
-            if part is None:
+    for number, fractions in enumerate(itertools.product((None, 0.0, 0.6, 1.0), repeat=4)):
+        for name, fraction in zip(new, fractions, strict=True):
+            if fraction is None:
                 (tmp_path / name).unlink(missing_ok=True)
             else:
-                (tmp_path / name).write_bytes(new[name][:int(len(new[name]) * part)])
-        found = Store(tmp_path).load()
-        assert admissible(found), parts
-        assert found == NEW or parts != (1.0,) * 4
+                (tmp_path / name).write_bytes(new[name][:int(len(new[name]) * fraction)])
+        loaded = Store(tmp_path).load()
+        assert is_admissible(loaded), fractions
+        assert loaded == NEW or fractions != (1.0,) * 4
         if number % 16 == 0:
             Store(tmp_path).save({"log": b"next"})
             assert (Store(tmp_path).load() or {})["log"] == b"next"
@@ -84,93 +89,100 @@
 
 
 @pytest.mark.parametrize("step", range(25))
-def test_power_lost_at_each_step(tmp_path: Path, monkeypatch: pytest.MonkeyPatch, step: int) -> None:
-    """At each sync, removal and opening of a save; files not synced, or not by name, are lost whole."""
-    store = filled(tmp_path)
+def test_power_loss_at_each_step_of_save(tmp_path: Path, monkeypatch: pytest.MonkeyPatch, step: int) -> None:
+    """The steps are each sync, removal and opening of a file for the save.
+
+    Files whose contents, or whose names in the directory, have not been synced are lost completely.
+    """
+    store = store_with_old_values(tmp_path)
     count, unsynced, unnamed = 0, set[str](), set[str]()
 
-    def stepping(what: Callable[..., Any]) -> Callable[..., Any]:
-        def stepped(*args: Any, **named: Any) -> Any:
+    def interruptible(function: Callable[..., Any]) -> Callable[..., Any]:
+        def call(*args: Any, **kwargs: Any) -> Any:
             nonlocal count
             count += 1
             if count > step:
-                raise PowerError
-            return what(*args, **named)
-        return stepped
-    sync, opened = module._sync, io.open
+                raise PowerLossError
+            return function(*args, **kwargs)
+        return call
+    sync, original_open = store_module._sync, io.open
 
-    def synced(path: Path) -> None:
+    def tracking_sync(path: Path) -> None:
         sync(path)
         unsynced.discard(str(path))
         if path == tmp_path:
             unnamed.clear()
 
-    def opening(path: bytes, mode: str = "r", **named: Any) -> Any:
+    def tracking_open(path: bytes, mode: str = "r", **kwargs: Any) -> Any:
         if mode != "r" and mode != "rb":
             unsynced.add(os.fsdecode(path))
             unnamed.add(os.fsdecode(path))
-        return opened(path, mode, **named)
-    fake = SimpleNamespace(open=stepping(opening))
-    monkeypatch.setattr(module, "_sync", stepping(synced))
-    monkeypatch.setattr(dbm.dumb, "_io", fake)
-    monkeypatch.setattr(dbm.dumb._Database, "_io", fake)
-    monkeypatch.setattr(Store, "_remove", stepping(Store._remove))
+        return original_open(path, mode, **kwargs)
+    fake_io = SimpleNamespace(open=interruptible(tracking_open))
+    monkeypatch.setattr(store_module, "_sync", interruptible(tracking_sync))
+    monkeypatch.setattr(dbm.dumb, "_io", fake_io)
+    monkeypatch.setattr(dbm.dumb._Database, "_io", fake_io)
+    monkeypatch.setattr(Store, "_remove", interruptible(Store._remove))
     returned = False
     try:
         store.save(NEW)
         returned = True
-    except PowerError:
+    except PowerLossError:
         pass
     monkeypatch.undo()
     for path in unsynced | unnamed:
         Path(path).unlink(missing_ok=True)
-    found = Store(tmp_path).load()
-    assert admissible(found)
-    assert not returned or found == NEW
+    loaded = Store(tmp_path).load()
+    assert is_admissible(loaded)
+    assert not returned or loaded == NEW
 
 
 def test_a_full_disk_at_each_write(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The old values hold, nothing is left of the new, and the next save has its own number."""
-    for room in (0, 1, 10, 500, 560, 600, 2000, 3000, 3250):
-        store = filled(tmp_path / str(room))
-        left = room
+    """The previous values hold, nothing is left of the new ones, and the next save gets a new number."""
+    for free_bytes in (0, 1, 10, 500, 560, 600, 2000, 3000, 3250):
+        store = store_with_old_values(tmp_path / str(free_bytes))
+        remaining = free_bytes
 
-        class Full(io.FileIO):
+        class LimitedFile(io.FileIO):
             def write(self, data: Any) -> int:
-                nonlocal left
-                taken = min(left, len(data))
-                left -= taken
-                super().write(bytes(data)[:taken])
-                if taken < len(data):
+                nonlocal remaining
+                written = min(remaining, len(data))
+                remaining -= written
+                super().write(bytes(data)[:written])
+                if written < len(data):
                     raise OSError(errno.ENOSPC, "no space")
-                return taken
+                return written
 
-        def opening(path: bytes, mode: str = "r", full: type[io.FileIO] = Full, **named: Any) -> Any:
+        def limited_open(
+                path: bytes, mode: str = "r", file_type: type[io.FileIO] = LimitedFile, **kwargs: Any) -> Any:
             if mode in ("r", "rb"):
-                return open(path, mode, **named)
-            raw = full(path, mode.replace("b", ""))
+                return open(path, mode, **kwargs)
+            raw = file_type(path, mode.replace("b", ""))
             binary = io.BufferedRandom(raw) if "+" in mode else io.BufferedWriter(raw)
-            return binary if "b" in mode else io.TextIOWrapper(binary, **named)
-        fake = SimpleNamespace(open=opening)
+            return binary if "b" in mode else io.TextIOWrapper(binary, **kwargs)
+        fake_io = SimpleNamespace(open=limited_open)
         with monkeypatch.context() as patch:
-            patch.setattr(dbm.dumb, "_io", fake)
-            patch.setattr(dbm.dumb._Database, "_io", fake)
+            patch.setattr(dbm.dumb, "_io", fake_io)
+            patch.setattr(dbm.dumb._Database, "_io", fake_io)
             with pytest.raises(StorageError):
                 store.save(NEW)
         assert store.load() == OLD and Store(store.folder).load() == OLD
-        assert all(part.intact for part in store.list_generations())
-        numbers = {part.number for part in store.list_generations() if part.key == "ballot"}
+        assert all(each.intact for each in store.list_generations())
+        numbers = {each.number for each in store.list_generations() if each.key == "ballot"}
         store.save(NEW)
         assert Store(store.folder).load() == NEW
         assert max(
-            part.number for part in store.list_generations() if part.key == "ballot") > max(numbers) + 1
+            each.number for each in store.list_generations() if each.key == "ballot") > max(numbers) + 1
+
 
+def test_disk_errors_are_raised(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """A failed sync fails the save, and a read error fails the load.
 
-def test_what_the_disk_says_is_told(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """A failed sync fails the save; a read error isn't taken for a tear, which would go back."""
-    store = filled(tmp_path)
+    If a read error were treated as a torn generation, the load would silently return an older value.
+    """
+    store = store_with_old_values(tmp_path)
 
-    def failing(*args: Any, **named: Any) -> Any:
+    def failing(*args: Any, **kwargs: Any) -> Any:
         raise OSError(errno.EIO, "input/output error")
     with monkeypatch.context() as patch:
         patch.setattr(os, "fsync", failing)
@@ -183,22 +195,22 @@
             Store(tmp_path).load()
 
 
-def test_altered_bytes_are_passed_over(tmp_path: Path) -> None:
-    store = filled(tmp_path)
+def test_generations_with_altered_bytes_are_skipped(tmp_path: Path) -> None:
+    store = store_with_old_values(tmp_path)
     store.save(NEW)
     for suffix in ("dat", "dir"):
         path = max(tmp_path.glob(f"log-*.{suffix}"))
-        kept = path.read_bytes()
-        for place in range(0, len(kept), 37):
-            path.write_bytes(kept[:place] + bytes([kept[place] ^ 0x5A]) + kept[place + 1:])
+        content = path.read_bytes()
+        for position in range(0, len(content), 37):
+            path.write_bytes(content[:position] + bytes([content[position] ^ 0x5A]) + content[position + 1:])
             assert (Store(tmp_path).load() or {})["log"] in (OLD["log"], NEW["log"])
         path.write_bytes(b"('value', (-7, 10))\n" if suffix == "dir" else b"")
         assert (Store(tmp_path).load() or {})["log"] == OLD["log"]
-        path.write_bytes(kept)
+        path.write_bytes(content)
 
 
-def test_a_content_isnt_taken_for_another_generations(tmp_path: Path) -> None:
-    store = filled(tmp_path)
+def test_a_copy_under_another_generations_name_is_rejected(tmp_path: Path) -> None:
+    store = store_with_old_values(tmp_path)
     store.save(NEW)
     for suffix in ("dat", "dir"):
         shutil.copy(tmp_path / f"log-2.{suffix}", tmp_path / f"log-9.{suffix}")
