--- a/larklb/schema/errors.py
+++ b/larklb/schema/errors.py
@@ -2,7 +2,8 @@
 
 from collections.abc import Iterable
 
-# Bounds the size of the answer to a document with thousands of invalid routes.
+# Messages about thousands of invalid routes would make an answer of megabytes; twenty are enough to correct a
+# document step by step.
 MAX_PROBLEMS = 20
 
 
