--- a/larklb/gateway/status.py
+++ b/larklb/gateway/status.py
@@ -46,7 +46,7 @@
 
 
 def document(limiter: Limiter, path: str, query: Mapping[str, str]) -> Document | None:
-    """Returns the answer to a status call with at most MAX_STATUS_ROWS rows, or None if there is no such call.
+    """Returns the answer to a status call, of at most MAX_STATUS_ROWS rows; None if there is no such call.
 
     No answer contains the keys of tenants."""
     build = _BUILDERS.get(path)
