--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -1,4 +1,4 @@
-"""The small parts: ring, bucket, breaker, peer messages, settings."""
+"""Unit tests of the ring, the token bucket, the circuit breaker, peer messages and settings."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     assert b.fill(60000.0) == 4.0
 
 
-def test_breaker_opens_tries_once() -> None:
+def test_breaker_opens_after_failures_and_allows_a_single_trial() -> None:
     b = CircuitBreaker()
     for _ in range(3):
         assert b.allows(0.0)
@@ -48,7 +48,7 @@
     pw.Loads(((77, 4), (78, 1000))), pw.News(77, 3, 4.5, 250.0)]
 
 
-def test_peer_items_survive_the_wire() -> None:
+def test_peer_items_round_trip() -> None:
     data = bytes([pw.VERSION]) + b"".join(pw.pack_item(i) for i in ITEMS)
     assert pw.unpack(data) == ITEMS
 
@@ -63,6 +63,6 @@
                                          ("tick", 0.0), ("plans", (io.Plan("p", rate=1.0, burst=5000.0),)),
                                          ("plans", (io.Plan("p", most_open=70000),)),
                                          ("cold_share", 0.0)])
-def test_settings_that_make_no_sense_name_the_field(field: str, value: object) -> None:
+def test_invalid_settings_name_the_field(field: str, value: object) -> None:
     with pytest.raises(ValueError, match=field):
         settings(**{field: value})
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -1,4 +1,4 @@
-"""Plan versions and reservations: the models, and the module with them, without sockets."""
+"""Plan versions and reservations, by themselves and in the decision module, without sockets."""
 
 from __future__ import annotations
 
@@ -68,13 +68,13 @@
     (version(1, 0, '[version.customers]\n"12" = "rate"'), "'12': the account"),
     (version(1, 0, f'[version.customers]\n"{C}" = "gold"'), "no plan 'gold'"),
     (version(1, 0, f'[version.customers]\n"{10:016x}" = "rate"\n"{10:016X}" = "open"'), "named twice")])
-def test_a_catalogue_is_checked_as_a_whole_and_one_line_says_where(text: str, where: str) -> None:
+def test_invalid_catalogues_are_refused_with_one_line(text: str, where: str) -> None:
     with pytest.raises(CatalogueError) as error:
         catalogue(text)
     assert where in str(error.value) and "\n" not in str(error.value)
 
 
-def test_a_successor_keeps_what_counted_and_never_goes_back() -> None:
+def test_successor_keeps_accepted_versions() -> None:
     one, two = version(1, 1000, FASTER), version(2, 30000, SLOWER)
     old = successor(settings_catalogue(PLANS), catalogue(one, two), 5000.0)
     assert [v.effective_at for v in old.versions] == [-math.inf, 5000.0, 30000.0], (
@@ -95,7 +95,7 @@
 
 
 class Model:
-    """One bucket in steps of a millisecond: obviously right, and slow."""
+    """A simple reference model: one bucket filled in steps of a millisecond."""
 
     def __init__(self, steps: list[tuple[int, float, float]]) -> None:
         self.steps, self.tokens = steps, steps[0][2]
@@ -115,9 +115,9 @@
                           st.sampled_from([1.0, 3.0, 8.0])), max_size=5),
        st.lists(st.tuples(st.integers(1, 700), st.sampled_from([0.5, 1.0, 2.0])), min_size=1, max_size=8))
 @tries(max_examples=150, deadline=None)
-def test_a_bucket_through_changes_is_as_one_that_is_filled_step_by_step(
+def test_bucket_through_plan_changes_matches_stepwise_model(
         changes: list[tuple[int, float, float]], asks: list[tuple[int, float]]) -> None:
-    """Whether it is looked at between the changes, only long after them, or is made anew when it was idle."""
+    """Holds for buckets used between the changes, long after them, and for buckets made after idling."""
     changes = sorted(changes, key=lambda c: c[0])
     texts = [version(n + 1, at, f"[version.plans.rate]\nrate = {rate}\nburst = {burst}")
              for n, (at, rate, burst) in enumerate(changes)]
@@ -137,7 +137,7 @@
     assert book.new_bucket(now, 6, 0).fill(now) == pytest.approx(fresh.tokens, abs=1e-6)
 
 
-def test_switching_to_and_fro_earns_no_burst() -> None:
+def test_repeated_plan_changes_earn_no_burst() -> None:
     texts = [version(n, 1000 + n, SLOWER if n % 2 else FASTER) for n in range(1, 41)]
     book = Entitlements(PLANS, catalogue(*texts))
     bucket = book.new_bucket(0.0, 5, 0)
@@ -150,10 +150,10 @@
     assert away.tokens == 0.5, "through a plan without a rate a bucket rests"
 
 
-# The module under a catalogue ------------------------------------------------------------
+# The decision module with a catalogue -------------------------------------------------------
 
 
-def with_books(b: Bed, *books: Entitlements) -> Bed:
+def with_entitlements(b: Bed, *books: Entitlements) -> Bed:
     for gateway, book in zip(b.gateways.values(), books, strict=True):
         gateway.entitlements, gateway.fallback = book, Fallback(gateway.settings, book, b.now)
         gateway.words.alone, gateway.members.heard_at = gateway.fallback, gateway.fallback.last_heard_at
@@ -161,7 +161,7 @@
     return b
 
 
-def sides(customer: str = C) -> tuple[int, int]:
+def owner_and_other(customer: str = C) -> tuple[int, int]:
     owner = ring_owner(digest(customer), [0, 1])
     return owner, 1 - owner
 
@@ -170,8 +170,9 @@
     return {a.request: a.stamp for a in b.of(io.Send)}
 
 
-def test_without_a_catalogue_the_bytes_between_limiters_are_those_of_before() -> None:
-    b = with_books(Bed(gateways=2), Entitlements(PLANS, settle=False), Entitlements(PLANS, settle=False))
+def test_messages_without_catalogue_use_the_former_format() -> None:
+    b = with_entitlements(Bed(gateways=2), Entitlements(PLANS, settle=False),
+                          Entitlements(PLANS, settle=False))
     for i in range(6):
         b.ask(i % 2, f"r{i}")
     b.run(400)
@@ -186,17 +187,18 @@
 
 
 @pytest.mark.parametrize("knows", [(True, True), (True, False), (False, True)])
-def test_every_request_is_judged_under_the_owners_version_and_it_is_known(knows: tuple[bool, bool]) -> None:
-    """Half of the limiters have the change and half do not; one of them is of an older program."""
-    owner, other = sides()
+def test_requests_are_stamped_with_the_owners_version(knows: tuple[bool, bool]) -> None:
+    """One of the two limiters may lack the new version and run a program without plan versions."""
+    owner, other = owner_and_other()
     text = version(3, 100, FASTER)
     books = {owner: Entitlements(PLANS, catalogue(text) if knows[0] else None, settle=knows[0]),
              other: Entitlements(PLANS, catalogue(text) if knows[1] else None, settle=knows[1])}
-    b = with_books(Bed(gateways=2), books[0], books[1])
+    b = with_entitlements(Bed(gateways=2), books[0], books[1])
     b.ask(other, "r", customer=C)
     b.run(100)
     b.ask(owner, "s", customer=C)
-    # The owner's word counts; an asker of an older program is not told the version, and stamps the settings.
+    # The owner's version is decisive.  An asker of an older program does not receive it and stamps the
+    # settings' version.
     assert stamps(b)["s"].version == (3 if knows[0] else 0)
     assert stamps(b)["r"].version == (3 if knows == (True, True) else 0)
     b.cut = True
@@ -209,11 +211,11 @@
     assert bool(longer) == (knows == (True, True)), "an older program would drop the whole message"
 
 
-def test_a_newer_version_is_told_once_and_what_is_here_counts_on() -> None:
-    owner, other = sides()
+def test_newer_version_of_a_peer_is_logged_once_and_not_adopted() -> None:
+    owner, other = owner_and_other()
     books = {owner: Entitlements(PLANS, catalogue(version(1, 1), version(2, 2))),
              other: Entitlements(PLANS, catalogue(version(1, 1)))}
-    b = with_books(Bed(gateways=2), books[0], books[1])
+    b = with_entitlements(Bed(gateways=2), books[0], books[1])
     for i in range(3):
         b.ask(other, f"r{i}", customer=C)
         b.run(100)
@@ -222,13 +224,15 @@
     assert {s.version for s in stamps(b).values()} == {2} and books[other].catalogue.newest.number == 1
 
 
-def test_an_ask_under_way_and_a_try_sent_again_keep_the_version_they_were_judged_under() -> None:
-    owner, other = sides()
+def test_pending_asks_and_repeated_attempts_keep_their_version() -> None:
+    owner, other = owner_and_other()
     texts = (version(1, 100), version(2, 650 + 12, SLOWER))
-    b = with_books(Bed(gateways=2, delay=10.0), *(Entitlements(PLANS, catalogue(*texts)) for _ in range(2)))
-    b.run(45)                                  # at 645: the ask leaves under version 1, ...
+    b = with_entitlements(Bed(gateways=2, delay=10.0),
+                          *(Entitlements(PLANS, catalogue(*texts)) for _ in range(2)))
+    # The ask leaves at 645 under version 1 and arrives at 655; the verdict arrives after the change.
+    b.run(45)
     b.ask(other, "r", "write", customer=C)
-    b.run(100)                                 # ... arrives at 655 and the verdict comes after the change
+    b.run(100)
     b.end(other, "r", io.Result.FULL)
     b.ask(other, "s", customer=C)
     b.run(100)
@@ -236,26 +240,27 @@
     assert [s.version for s in again] == [1, 1] and stamps(b)["s"].version == 2
 
 
-def test_a_change_while_the_owner_restarts_and_a_restored_bucket_goes_through_it() -> None:
-    b = with_books(Bed(), Entitlements(PLANS, catalogue(version(1, 700, SLOWER))))
+def test_restored_bucket_follows_a_change_made_during_the_restart() -> None:
+    b = with_entitlements(Bed(), Entitlements(PLANS, catalogue(version(1, 700, SLOWER))))
     assert len(b.gateways) == 1
     for i in range(3):
         b.ask(0, f"r{i}")
     rows = b.gateways[0].bucket_rows()
-    b.run(400)                                 # 1000: version 1 has counted since 700
+    # At 1000: version 1 has been in effect since 700.
+    b.run(400)
     b.begin(0)
     b.gateways[0].entitlements = Entitlements(PLANS, catalogue(version(1, 700, SLOWER)))
     assert b.gateways[0].restore(b.now, rows) == 1
     b.ask(0, "after")
     assert len(b.of(io.Send)) == 3 and b.of(io.Refuse)[0].request == "after"
-    # 100 ms at one a second, then 300 ms at half of it: 0.25 tokens, and 0.75 more take 1.5 s.
+    # 100 ms at one token a second and 300 ms at half of that give 0.25 tokens; 0.75 more take 1.5 s.
     assert b.of(io.Refuse)[0].retry_after == pytest.approx(1500.0, abs=1.0)
 
 
-def test_customers_move_between_plans_and_back_to_the_one_they_name() -> None:
+def test_customers_are_assigned_to_a_plan_and_back_to_the_one_they_name() -> None:
     texts = (version(1, 1000, f'[version.customers]\n"{C}" = "free"'),
              version(2, 2000, f'[version.customers]\n"{C}" = ""'))
-    b = with_books(Bed(), Entitlements(PLANS, catalogue(*texts)))
+    b = with_entitlements(Bed(), Entitlements(PLANS, catalogue(*texts)))
     for at in (900, 1500, 2500):
         b.run(at - b.now)
         for i in range(5):
@@ -273,7 +278,7 @@
     return Wanted(name, C, "rate", units, begin, end, **{"first": 0, "spread": 1, **more})
 
 
-def test_the_table_of_states_has_no_way_out_of_an_end_and_every_state_is_reached() -> None:
+def test_final_states_have_no_transitions_and_every_state_is_reachable() -> None:
     assert set(TRANSITIONS) == set(State)
     reached = {State.HELD} | {to for moves in TRANSITIONS.values() for to in moves.values()}
     assert reached == set(State) and not TRANSITIONS[State.LAPSED] and not TRANSITIONS[State.CANCELLED]
@@ -282,9 +287,10 @@
                 and moves[Transition.CANCEL] is State.CANCELLED)
 
 
-def test_an_owner_turns_down_what_exceeds_the_shares_and_knows_an_id_again() -> None:
+def test_owner_refuses_reservations_beyond_the_limits_and_accepts_a_repeated_id() -> None:
     book = Reservations(ReservationLimits(fleet=4.0, customer=0.75), 2, 0)
-    first = book.add(wanted(units=4.0), True, 0.0, rate=1.0)                       # 0.5 a second
+    # Reserves 0.5 units a second.
+    first = book.add(wanted(units=4.0), True, 0.0, rate=1.0)
     assert book.add(wanted(units=4.0), True, 0.0, rate=1.0) is first
     for w, why in ((wanted(units=5.0), "another reservation's"),
                    (wanted("more", units=4.0, begin=8000.0, end=12000.0), "customer's share is 0.75"),
@@ -312,8 +318,8 @@
     return Entitlements(PLANS, None, held)
 
 
-def test_reserved_units_serve_what_the_bucket_refuses_within_the_window_alone() -> None:
-    b = with_books(Bed(), reserving(wanted(units=2.0)))
+def test_reserved_units_serve_refused_requests_only_within_the_window() -> None:
+    b = with_entitlements(Bed(), reserving(wanted(units=2.0)))
     book = b.gateways[0].entitlements.reservations
     assert book is not None
     for at in (700, 1500, 9500):
@@ -328,11 +334,11 @@
     assert [stamps(b)[f"1500-{i}"].reservation for i in range(2)] == [drawn[0][0]] * 2
 
 
-def test_reserved_units_are_drawn_over_all_limiters_and_what_is_not_used_comes_back() -> None:
-    owner, other = sides()
+def test_reserved_units_are_drawn_over_all_limiters() -> None:
+    owner, other = owner_and_other()
     books = {owner: reserving(wanted(units=4.0, spread=2)),
              other: Entitlements(PLANS, None, Reservations(ReservationLimits(), 2, 1))}
-    b = with_books(Bed(gateways=2), books[0], books[1])
+    b = with_entitlements(Bed(gateways=2), books[0], books[1])
     b.run(1500 - b.now)
     for i in range(10):
         b.ask((owner, other)[i % 2], f"r{i}", customer=C)
@@ -344,11 +350,11 @@
     assert drawn.stamp.reservation == held.by_name["refit"].tag
 
 
-def test_apart_from_the_owner_a_limiter_draws_its_part_and_the_owner_learns_of_it_once() -> None:
-    owner, other = sides()
+def test_limiter_cut_off_from_the_owner_draws_its_part_and_reports_it_once() -> None:
+    owner, other = owner_and_other()
     books = {owner: reserving(wanted(units=4.0, spread=2)),
              other: reserving(wanted(units=4.0, spread=2), owned=False)}
-    b = with_books(Bed(gateways=2), books[0], books[1])
+    b = with_entitlements(Bed(gateways=2), books[0], books[1])
     b.run(1200 - b.now)
     b.cut = True
     for i in range(8):
@@ -369,33 +375,34 @@
 
 @given(st.integers(0, 2**32))
 @tries(max_examples=60, deadline=None)
-def test_a_reservation_never_grants_more_than_it_holds_and_its_parts(seed: int) -> None:
-    """Random draws, returns, cuts and repeats of old words, beside a plain count."""
-    chance = random.Random(seed)
-    units, spread = chance.choice([3.0, 7.5, 12.0]), chance.choice([2, 3, 4])
+def test_reservation_grants_no_more_than_its_units_and_the_limiters_parts(seed: int) -> None:
+    """Compares random draws, returns, cuts and repeated old reports with a plain count."""
+    rng = random.Random(seed)
+    units, spread = rng.choice([3.0, 7.5, 12.0]), rng.choice([2, 3, 4])
     owner = reserving(wanted(units=units, spread=spread, begin=0.0, end=1e6))
     others = [reserving(wanted(units=units, spread=spread, begin=0.0, end=1e6), owned=False)
               for _ in range(spread - 1)]
-    key, granted, words = digest(C), 0.0, []
+    key, granted, reports = digest(C), 0.0, []
     for _ in range(60):
-        n = chance.randrange(spread)
-        amount = chance.choice([0.5, 1.0, 2.0])
+        n = rng.randrange(spread)
+        amount = rng.choice([0.5, 1.0, 2.0])
         if n == 0:
             drawn = owner.draw(10.0, key, amount)
             granted += amount if drawn else 0.0
-            if drawn and chance.random() < 0.3:
+            if drawn and rng.random() < 0.3:
                 owner.give_back(drawn.tag, amount)
                 granted -= amount
         else:
             granted += amount if others[n - 1].draw_without_owner(10.0, key, amount, n) else 0.0
-            words += [(n, told) for told in others[n - 1].unconfirmed_draws(key)]
-        if words and chance.random() < 0.4:
-            sender, told = chance.choice(words)
-            owner.on_remote_draw(sender, told)
+            reports += [(n, report) for report in others[n - 1].unconfirmed_draws(key)]
+        if reports and rng.random() < 0.4:
+            sender, report = rng.choice(reports)
+            owner.on_remote_draw(sender, report)
     assert granted <= units + (spread - 1) * units / spread + 1e-6
     assert owner.reservations is not None
-    for sender, told in [*words, *words[:len(words) // 2]]:        # at last old words again
-        owner.on_remote_draw(sender, told)
+    # Finally all reports arrive, and old ones once more.
+    for sender, report in [*reports, *reports[:len(reports) // 2]]:
+        owner.on_remote_draw(sender, report)
     r = owner.reservations.by_name["refit"]
     assert r.drawn + sum(r.remote_draws.values()) == pytest.approx(granted)
     assert owner.draw(10.0, key, max(0.5, r.remaining + 0.5)) is None
--- a/tests/test_settling.py
+++ b/tests/test_settling.py
@@ -1,4 +1,4 @@
-"""Quotas through loss, splits and restarts: counts, shares, the checker, simulated days, real processes."""
+"""Quotas under loss, splits and restarts: counts, model checking, shares, simulated days, real processes."""
 
 from __future__ import annotations
 
@@ -32,53 +32,54 @@
 
 @given(st.integers(0, 2**32))
 @tries(max_examples=100, deadline=None)
-def test_counts_agree_whatever_is_lost_repeated_or_late(seed: int) -> None:
-    """Beside a plain sum: what left the owner's bucket is what was let in, once all have spoken."""
-    chance = random.Random(seed)
-    owner, asker, flying = Settlement(1), Settlement(5), list[Count]()
-    let = taken = 0.0
+def test_counts_converge_despite_loss_repeats_and_delay(seed: int) -> None:
+    """Once all messages have arrived, the units charged to the owner's bucket equal those admitted."""
+    rng = random.Random(seed)
+    owner, asker, in_flight = Settlement(1), Settlement(5), list[Count]()
+    admitted = charged = 0.0
     for step in range(60):
         now = step * 100.0
-        if chance.random() < 0.4:
-            units = chance.choice([0.5, 1.0, 3.0])
-            let += units
+        if rng.random() < 0.4:
+            units = rng.choice([0.5, 1.0, 3.0])
+            admitted += units
             asker.record_admitted(now, 9, 2, 0, units)
-        flying += [c for c in asker.due_counts(now, 0) if chance.random() < 0.7]
-        chance.shuffle(flying)
-        while flying and chance.random() < 0.5:
-            count = flying[-1] if chance.random() < 0.3 else flying.pop()
-            taken += owner.on_count(now, 3, count)
-            word = owner.confirmation_for(3, 9)
-            if word is not None and chance.random() < 0.7:
-                asker.on_confirmed(now, 0, word)
-        assert taken <= let
-    for count in [c for c in [asker.unconfirmed_count(9)] if c is not None] + flying:
-        taken += owner.on_count(9e3, 3, count)
-        word = owner.confirmation_for(3, 9)
-        assert word is not None
-        asker.on_confirmed(9e3, 0, word)
-    assert taken == let and asker.unconfirmed_count(9) is None
-
-
-def test_a_word_from_an_earlier_incarnation_changes_nothing_and_a_fresh_owner_begins_where_it_was() -> None:
+        in_flight += [c for c in asker.due_counts(now, 0) if rng.random() < 0.7]
+        rng.shuffle(in_flight)
+        while in_flight and rng.random() < 0.5:
+            count = in_flight[-1] if rng.random() < 0.3 else in_flight.pop()
+            charged += owner.on_count(now, 3, count)
+            confirmation = owner.confirmation_for(3, 9)
+            if confirmation is not None and rng.random() < 0.7:
+                asker.on_confirmed(now, 0, confirmation)
+        assert charged <= admitted
+    for count in [c for c in [asker.unconfirmed_count(9)] if c is not None] + in_flight:
+        charged += owner.on_count(9e3, 3, count)
+        confirmation = owner.confirmation_for(3, 9)
+        assert confirmation is not None
+        asker.on_confirmed(9e3, 0, confirmation)
+    assert charged == admitted and asker.unconfirmed_count(9) is None
+
+
+def test_former_incarnations_are_ignored_and_a_new_owner_starts_from_the_confirmed_part() -> None:
     owner = Settlement(1)
     assert owner.on_count(0.0, 3, Count(9, 0, 10, 4.0, 0.0)) == 4.0
     assert owner.on_count(0.0, 3, Count(9, 0, 11, 2.0, 0.0)) == 2.0, "restarted: its counts begin anew"
     assert owner.on_count(0.0, 3, Count(9, 0, 10, 9.0, 0.0)) == 0.0, "from before its restart"
     assert owner.on_count(0.0, 3, Count(9, 0, 11, 3.0, 0.0)) == 1.0
-    fresh = Settlement(2)
-    assert fresh.on_count(0.0, 3, Count(9, 0, 11, 5.0, 3.0)) == 2.0, "what the former owner confirmed is done"
+    new_owner = Settlement(2)
+    assert new_owner.on_count(0.0, 3, Count(9, 0, 11, 5.0, 3.0)) == 2.0, (
+        "what the former owner confirmed is done")
     asker = Settlement(11)
     asker.record_admitted(0.0, 9, 0, 0, 5.0)
-    for word in (Confirmed(9, 10, 5.0), Confirmed(8, 11, 5.0)):
-        asker.on_confirmed(0.0, 0, word)
+    for confirmation in (Confirmed(9, 10, 5.0), Confirmed(8, 11, 5.0)):
+        asker.on_confirmed(0.0, 0, confirmation)
     asker.on_confirmed(0.0, 1, Confirmed(9, 11, 5.0))
     assert asker.unconfirmed_count(9) is not None, "not of this incarnation, customer or owner"
     asker.on_confirmed(0.0, 0, Confirmed(9, 11, 5.0))
     assert asker.unconfirmed_count(9) is None
 
 
-def test_state_ages_out_and_stays_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_counts_expire_and_stay_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("larklb.quota.settlement.MAX_COUNTS", 50)
     owner, asker = Settlement(1), Settlement(5)
     for key in range(200):
@@ -95,61 +96,61 @@
 # The checker ----------------------------------------------------------------------------
 
 
-class TwiceSettling(Settlement):
-    """A fault: adds what it hears instead of keeping the maximum."""
+class AddsCounts(Settlement):
+    """Fault: adds each count received instead of keeping the maximum."""
 
     def on_count(self, now: float, sender: int, c: Count) -> float:
         super().on_count(now, sender, c)
         return c.units
 
 
-class ForgetsIncarnation(Settlement):
-    """A fault: takes a former incarnation's word for the present one's."""
+class AcceptsFormerIncarnations(Settlement):
+    """Fault: accepts counts of a former incarnation."""
 
     def is_current(self, now: float, sender: int, incarnation: int) -> bool:
         return True
 
 
-class ConfirmsTooMuch(Settlement):
-    """A fault: takes a word for all that it has let in since."""
+class ConfirmsAll(Settlement):
+    """Fault: takes a confirmation to cover all units admitted since."""
 
     def on_confirmed(self, now: float, sender: int, c: Confirmed) -> None:
         mine = self.local_counts.get(c.key)
         super().on_confirmed(now, sender, c._replace(units=mine.units if mine else 0.0))
 
 
-class NoBase(Settlement):
-    """A fault: a fresh owner takes a whole count for news."""
+class IgnoresConfirmedPart(Settlement):
+    """Fault: a new owner charges whole counts, including what was confirmed before."""
 
     def on_count(self, now: float, sender: int, c: Count) -> float:
         return super().on_count(now, sender, c._replace(confirmed=0.0))
 
 
-class OfAnyIncarnation(Settlement):
-    """A fault: a confirmation of its former self's count is taken for its own."""
+class AcceptsFormerConfirmations(Settlement):
+    """Fault: accepts confirmations meant for its former incarnation."""
 
     def on_confirmed(self, now: float, sender: int, c: Confirmed) -> None:
         super().on_confirmed(now, sender, c._replace(incarnation=self.incarnation))
 
 
-def test_all_orders_of_delivery_loss_and_restart_hold_up_to_a_depth() -> None:
+def test_checker_passes_all_orders_of_delivery_loss_and_restart_up_to_a_depth() -> None:
     assert explore(7) > 1500
     assert explore(5, limiters=2) > 1000
 
 
 @pytest.mark.parametrize("fault,depth,words", [
-    (TwiceSettling, 5, "units of limiter 1 were settled|left the owner's bucket"),
-    (ForgetsIncarnation, 7, "were settled, and it let in|left the owner's bucket|its owner knows"),
-    (ConfirmsTooMuch, 7, "its owner knows of"),
-    (OfAnyIncarnation, 8, "its owner knows of|left the owner's bucket")])
+    (AddsCounts, 5, "units of limiter 1 were settled|left the owner's bucket"),
+    (AcceptsFormerIncarnations, 7, "were settled, and it let in|left the owner's bucket|its owner knows"),
+    (ConfirmsAll, 7, "its owner knows of"),
+    (AcceptsFormerConfirmations, 8, "its owner knows of|left the owner's bucket")])
 def test_the_checker_finds_seeded_faults(fault: type[Settlement], depth: int, words: str) -> None:
     with pytest.raises(FoundError, match=words):
         explore(depth, make=fault)
 
 
-def test_a_fresh_owner_that_takes_whole_counts_for_news_settles_twice() -> None:
-    """Not to be seen in one owner's bucket: what its former self confirmed leaves the fresh one again."""
-    for make, expected in ((Settlement, 1.0), (NoBase, 3.0)):
+def test_new_owner_that_ignores_the_confirmed_part_settles_twice() -> None:
+    """One owner's bucket does not show this: units that the former owner confirmed are charged again."""
+    for make, expected in ((Settlement, 1.0), (IgnoresConfirmedPart, 3.0)):
         world = World(1, make)
         for action in (("let", 1), ("let", 1), ("tell", 1), ("deliver", 0), ("deliver", 0),
                        ("owner restarts", 0), ("let", 1) if world.apart[1].left >= 3 else ("grant", 0)):
@@ -162,36 +163,36 @@
 # Shares ---------------------------------------------------------------------------------
 
 
-def test_demand_is_unbiased_from_the_start_and_forgets() -> None:
-    chance = random.Random(3)
+def test_demand_is_unbiased_from_the_start_and_decays() -> None:
+    rng = random.Random(3)
     usual = []
     for _ in range(200):
         demand, now = Demand(0.0, 0.0), 0.0
         while now < 8000.0:
-            now += chance.expovariate(5.0) * 1000.0
+            now += rng.expovariate(5.0) * 1000.0
             demand.add(now, 1.0)
         usual.append(demand.average_rate(8000.0))
     assert sum(usual) / 200 == pytest.approx(5.0, rel=0.05)
     assert demand.average_rate(8000.0 + 5 * SLOW_DECAY_MS) < 0.1
 
 
-def test_shares_of_all_sides_make_up_the_quota_and_no_more() -> None:
+def test_shares_of_all_sides_add_up_to_the_quota() -> None:
     owner = Shares(reserve=0.0)
     for step in range(100):
         owner.record_request(step * 100.0, 9, 1.0)
         for g, demand in ((1, 6.0), (2, 4.0)):
             owner.record_peer_demand(step * 100.0, 9, g, demand)
-    told = {g: owner.share_for(1e4, 9, g) for g in (1, 2)}
-    assert told[1][0] == pytest.approx(0.3, rel=0.05) and told[1][1] == pytest.approx(20.0, rel=0.05)
+    granted = {g: owner.share_for(1e4, 9, g) for g in (1, 2)}
+    assert granted[1][0] == pytest.approx(0.3, rel=0.05) and granted[1][1] == pytest.approx(20.0, rel=0.05)
     assert owner.owner_part(1e4, 9, frozenset()) == 1.0
     for apart in ({1}, {2}, {1, 2}):
         owner.separated_since.clear()
-        assert (owner.owner_part(1e4, 9, frozenset(apart)) + sum(told[g][0] for g in apart)
+        assert (owner.owner_part(1e4, 9, frozenset(apart)) + sum(granted[g][0] for g in apart)
                 == pytest.approx(1.0))
 
 
 @pytest.mark.parametrize("reserve,expected", [(0.0, 0.2), (0.3, 0.5), (1.0, 1.0)])
-def test_a_share_follows_traffic_that_moved_by_its_reserve_alone(reserve: float, expected: float) -> None:
+def test_share_follows_shifted_traffic_within_its_reserve(reserve: float, expected: float) -> None:
     side = Shares(reserve)
     for step in range(200):
         side.record_request(step * 100.0, 9, 0.2)
@@ -205,7 +206,7 @@
         "of a customer that the owner told nothing of")
 
 
-def test_the_escrow_pays_for_what_was_let_in_apart_and_returns_the_rest() -> None:
+def test_escrow_covers_units_admitted_elsewhere_and_returns_the_rest() -> None:
     bucket = TokenBucket(10.0, 20.0, 20.0, 0.0)
     bucket.set_part(0.0, 0.6)
     assert bucket.tokens == pytest.approx(12.0) and bucket.escrow == pytest.approx(8.0)
@@ -236,9 +237,9 @@
     ("calm", 0.02, 0.03), ("loss30", 0.03, 0.06), ("split", 0.06, 0.14), ("moved", 0.07, 0.16),
     ("split-restart", 0.12, 0.16), ("owner-restart", 0.04, 0.05), ("half-restart", 0.04, 0.05),
     ("one-way", 0.06, 0.14), ("flapping", 0.04, 0.12), ("repeats", 0.02, 0.05)])
-def test_a_day_stays_within_the_stated_bound_and_near_one_perfect_bucket(
+def test_simulated_day_stays_within_the_bound_and_near_a_perfect_bucket(
         name: str, most_over: float, most_refused: float) -> None:
-    """One fixed seed each: the figures over many are in docs/measurements/."""
+    """Uses one fixed seed for each scenario; docs/measurements/ has the figures over many."""
     day, s = played(name, 1), net.SCENARIOS[name]
     for c in day.customers:
         b = net.bound_of(s, c, 1.0)
@@ -248,24 +249,24 @@
 
 
 @pytest.mark.parametrize("name", ["loss30", "split", "flapping"])
-def test_without_settling_the_same_day_grants_far_too_much(name: str) -> None:
+def test_without_settlement_the_same_day_admits_too_much(name: str) -> None:
     before, after = net.totals(played(name, 1, settle=False))[0], net.totals(played(name, 1))[0]
     assert before > 0.01 and after < before / 4
 
 
-def test_the_two_settings_trade_one_error_for_the_other_when_all_traffic_moves() -> None:
+def test_reserve_trades_one_error_for_the_other_when_traffic_shifts() -> None:
     service, quota = (net.totals(played("moved", 1, reserve=r)) for r in (1.0, 0.0))
     assert quota[1] > 2 * service[1] and quota[0] <= service[0]
 
 
-def test_the_same_seed_is_the_same_day() -> None:
+def test_simulated_day_is_determined_by_its_seed() -> None:
     one, two = played("flapping", 3), played("flapping", 3)
     assert [(c.let, c.ideal) for c in one.customers] == [(c.let, c.ideal) for c in two.customers]
     assert (one.messages, one.bytes) == (two.messages, two.bytes)
     assert played("flapping", 4).messages != one.messages
 
 
-def test_two_sides_agree_soon_after_they_rejoin_and_no_count_is_left_open() -> None:
+def test_counts_are_confirmed_soon_after_two_sides_rejoin() -> None:
     s = net.SCENARIOS["split"]
     day = net.Net(4, net.customers_of(s, 4, 10, 3, 5), net.link_of(s, 4), 5)
     day.run(34000.0)
@@ -278,7 +279,7 @@
         assert all(b.part == 1.0 and b.escrow == 0.0 for _, b in g.buckets.values())
 
 
-def test_messages_stay_within_their_size_and_an_inbox() -> None:
+def test_messages_stay_within_their_size_and_the_inbox() -> None:
     day = played("flapping", 2)
     assert day.late == 0 and day.bytes / day.messages < 128
     longest = pw.pack_item(pw.Count(1 << 63, 255, 1 << 31, 1e6, 1e5))
@@ -287,8 +288,8 @@
         pw.Count(1 << 63, 255, 1 << 31, 1e6, 1e5)]
 
 
-def test_a_plan_that_changes_and_units_reserved_on_one_side_of_a_split_are_kept_to() -> None:
-    """One side has the change and the reservation, the other has not: each goes by what it has."""
+def test_plan_change_and_reservation_known_to_one_side_of_a_split() -> None:
+    """Each side applies what it has: one has the change and the reservation, the other has neither."""
     from larklb.quota.catalogue import parse
     from larklb.quota.reservations import Reservation, Reservations, Wanted
     from larklb.quota.reservations import ReservationLimits as Held
@@ -330,13 +331,14 @@
     return yard, relay
 
 
-def test_real_limiters_settle_what_a_cut_let_in_and_a_restarted_owner_learns_its_bucket(
+def test_real_limiters_settle_after_a_cut_and_restore_a_restarted_owners_bucket(
         tmp_path: Path) -> None:
     async def go() -> None:
         yard, relay = await relayed(tmp_path)
         async with yard:
             owner, other, third = owner_first(yard)
-            await asyncio.sleep(1.0)                 # in its first second an owner asks what it has forgotten
+            # During its first second an owner restores its buckets from its peers' copies.
+            await asyncio.sleep(1.0)
             used = [await granted(x, 1) for x in (other, third, other, third, owner, other, third)]
             assert sum(used) == 7
             relay.cut = lambda sender, to: owner.number in (sender, to)
@@ -346,7 +348,7 @@
             await asyncio.sleep(3.5)
             rest = await granted(owner, 10) + await granted(third, 3)
             assert 9 <= 7 + apart + rest <= 12, "all of it, and no second burst"
-            # The owner starts from nothing: its peers' copies tell it that nothing is left.
+            # The owner restarts without state; its peers' copies show that no tokens are left.
             await owner.stop()
             await owner.start()
             await asyncio.sleep(0.3)
@@ -372,7 +374,7 @@
     asyncio.run(go())
 
 
-def test_lab_and_bound_commands(tmp_path: Path) -> None:
+def test_quota_lab_and_bound_commands(tmp_path: Path) -> None:
     async def go() -> None:
         status, said = await larklb("lab", "quota", "--scenario", "calm", "--seed", "2", "--json")
         rows: list[dict[str, Any]] = [json.loads(x) for x in said.splitlines() if x.startswith("{")]
@@ -385,8 +387,8 @@
     asyncio.run(go())
 
 
-def test_what_a_full_bucket_spilt_lately_is_there_for_what_others_let_in() -> None:
-    """A perfect bucket would have given it to them: without it a full owner's bucket went into debt."""
+def test_recently_spilt_tokens_cover_units_admitted_elsewhere() -> None:
+    """Guards against debt in a full owner's bucket for units that a perfect bucket would have granted."""
     full, dry = TokenBucket(2.0, 6.0, 6.0, 0.0), TokenBucket(2.0, 6.0, 0.0, 0.0)
     for now in range(0, 2001, 100):
         full.fill(float(now))
