--- a/benchmarks/fleet_limits.py
+++ b/benchmarks/fleet_limits.py
@@ -21,7 +21,7 @@
 from benchmarks.load import machine
 from larklb import interface as io
 from larklb.fleet import bound
-from larklb.fleet.pace import Pace
+from larklb.fleet.pace import PeerPacer
 from larklb.fleet.reach import Reach
 from larklb.fleet.verdicts import Verdicts
 from larklb.lab import net, spread
@@ -32,18 +32,18 @@
 SECONDS = 12.0             # of the module's day
 
 
-class Spaced(Pace):
+class Spaced(PeerPacer):
     """As words were paced before: one gap for all, asks go again after a part of the aim."""
 
-    def free(self, now: float, peer: int, heard: int) -> float:
-        way = self.ways.get(peer)
-        return max(now, way.sent + self.fair(heard)) if way is not None else now
+    def next_send_at(self, now: float, peer: int, heard: int) -> float:
+        way = self.peers.get(peer)
+        return max(now, way.last_sent_at + self.fair_interval(heard)) if way is not None else now
 
-    def deaf(self, now: float) -> bool:
+    def is_cut_off(self, now: float) -> bool:
         return False
 
-    def _again(self, peer: int, tries: int) -> float:
-        return min(max(self.first, 2 * self.fair(max(1, len(self.flows)))), 175.0)
+    def _retry_timeout(self, peer: int, tries: int) -> float:
+        return min(max(self.initial_timeout, 2 * self.fair_interval(max(1, len(self.inbox_by_peer)))), 175.0)
 
 
 class Waits(net.Net):
@@ -60,7 +60,7 @@
         super().begin(i)
         if self.spaced:
             g = self.gateways[i]
-            g.pace = g.words.pace = Spaced(g.settings.inbox_per_s, g.settings.tick, g.min_aim)
+            g.pace = g.outbox.pace = Spaced(g.settings.inbox_per_s, g.settings.tick, g.min_aim)
 
     def feed(self, i: int, event: io.Event) -> None:
         if isinstance(event, io.Request):
@@ -128,7 +128,7 @@
     digests = [digest(f"s{i}") & 0xFFFF for i in range(servers)]
     count = [0] * servers
     for i in range(limiters):
-        for place in Reach(i, limiters).of(digests):
+        for place in Reach(i, limiters).select(digests):
             count[place] += 1
     return min(count), sum(count) / servers, max(count)
 
@@ -153,8 +153,8 @@
             median, most = max(a.median for a in all_of), max(a.most for a in all_of)
             stated = bound.age(n, loss)
             print(f"{n:4} limiters, {loss:5.1%} lost  {median:6.0f}  {stated.median:6.0f}  {most:6.0f}  "
-                  f"{stated.most:6.0f}  {statistics.mean(a.bytes for a in all_of):5.0f}")
-            if median > stated.median or most > stated.most:
+                  f"{stated.tail:6.0f}  {statistics.mean(a.bytes for a in all_of):5.0f}")
+            if median > stated.median or most > stated.tail:
                 off.append(f"the age of verdicts for {n} limiters and {loss:.1%} lost")
         was = pool.map(ages, [(n, 0.02, 1, True) for n in sizes])
         print("bytes a message as before: "
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -176,12 +176,14 @@
         holder = next(i for i in range(limiters) if i not in self.group)
         self.of = {i: cu.Custodian(i, -1e9, 1e9, 1 << 30) for i in self.group}
         content = cu.Content("r", b"POST", b"/", (), b"", "s", "p", "c", 1.0, 0, 1)
-        record = cu.Record(key, 1, 1, 1, holder, 1, cu.State.SENT, 1e9, content=content)
-        last = -self.chance.uniform(0.0, cu.BEAT_MS)             # the holder's last word before it died
+        record = cu.Record(key, 1, 1, 1, holder, 1, cu.JobState.SENT, 1e9, content=content)
+        last = -self.chance.uniform(0.0, cu.HEARTBEAT_MS)             # the holder's last word before it died
         for custodian in self.of.values():
-            custodian.ask(last, cu.Claim(key, 1, 1, holder, 1, True))
-            custodian.ask(last + self.delay(), cu.Keep(record))
-            self.at(self.chance.uniform(0.0, cu.LOOK_MS), functools.partial(self.look, custodian.number))
+            custodian.handle(last, cu.Claim(key, 1, 1, holder, 1, True))
+            custodian.handle(last + self.delay(), cu.Keep(record))
+            self.at(
+                self.chance.uniform(0.0, cu.ORPHAN_SCAN_MS), functools.partial(self.look, custodian.number)
+            )
 
     def delay(self) -> float:
         """The brief's: 1 to 39 ms."""
@@ -192,59 +194,61 @@
         heapq.heappush(self.queue, (when, self.count, act))
 
     def look(self, number: int) -> None:
-        self.at(self.now + cu.LOOK_MS, functools.partial(self.look, number))
+        self.at(self.now + cu.ORPHAN_SCAN_MS, functools.partial(self.look, number))
         for record, term in list(self.of[number].orphans(self.now, self.limiters)):
             if number in self.busy:
                 continue
-            hand = cu.Hand(number, 1, record.key, record.body, self.group)
+            hand = cu.HolderSession(number, 1, record.key, record.body, self.group)
             hand.term = term
             self.busy[number] = 1
             self.claim(hand)
 
-    def round(self, hand: cu.Hand, ask: cu.Ask, judge: Callable[[int, cu.Word | None], object]) -> None:
+    def round(
+        self, hand: cu.HolderSession, ask: cu.CustodyMessage, judge: Callable[[int, cu.Reply | None], object]
+    ) -> None:
         """As the keeper does it: each custodian's word, or none after WORD_MS."""
         for i in self.group:
             if i == hand.number:
-                judge(i, self.of[i].ask(self.now, ask))
+                judge(i, self.of[i].handle(self.now, ask))
             elif self.chance.random() < self.loss:
-                self.at(self.now + cu.WORD_MS, functools.partial(judge, i, None))
+                self.at(self.now + cu.REPLY_TIMEOUT_MS, functools.partial(judge, i, None))
             else:
                 self.at(self.now + self.delay(), functools.partial(self.arrive, i, ask, judge))
 
-    def arrive(self, i: int, ask: cu.Ask, judge: Callable[[int, cu.Word | None], object]) -> None:
-        word = self.of[i].ask(self.now, ask)
+    def arrive(self, i: int, ask: cu.CustodyMessage, judge: Callable[[int, cu.Reply | None], object]) -> None:
+        word = self.of[i].handle(self.now, ask)
         if self.chance.random() < self.loss:
-            self.at(self.now + cu.WORD_MS, functools.partial(judge, i, None))
+            self.at(self.now + cu.REPLY_TIMEOUT_MS, functools.partial(judge, i, None))
         else:
             self.at(self.now + self.delay(), functools.partial(judge, i, word))
 
-    def voted(self, hand: cu.Hand, claim: int, i: int, word: cu.Word | None) -> None:
-        if hand.step or claim != hand.term or (turn := hand.voted(i, word)) is None:
+    def voted(self, hand: cu.HolderSession, claim: int, i: int, word: cu.Reply | None) -> None:
+        if hand.step or claim != hand.term or (turn := hand.count_vote(i, word)) is None:
             return
-        if turn is cu.Turn.MINE and hand.record is not None:
+        if turn is cu.ClaimOutcome.ACQUIRED and hand.record is not None:
             keep = hand.keep(self.now, hand.record)
             self.round(hand, keep, functools.partial(self.kept, hand))
-        elif turn is cu.Turn.RETRY and self.busy[hand.number] < ROUNDS:
+        elif turn is cu.ClaimOutcome.RETRY and self.busy[hand.number] < ROUNDS:
             self.busy[hand.number] += 1
             self.withdraw(hand)
             self.at(self.now + self.chance.uniform(0.2, 1.0) * DUEL_MS, functools.partial(self.claim, hand))
-        elif turn is not cu.Turn.MINE:
+        elif turn is not cu.ClaimOutcome.ACQUIRED:
             self.withdraw(hand)
             hand.step = -1
             self.busy.pop(hand.number, None)
 
-    def claim(self, hand: cu.Hand) -> None:
+    def claim(self, hand: cu.HolderSession) -> None:
         claim = hand.claim(self.now)
         self.round(hand, claim, functools.partial(self.voted, hand, claim.term))
 
-    def withdraw(self, hand: cu.Hand) -> None:
+    def withdraw(self, hand: cu.HolderSession) -> None:
         word = hand.withdraw()
         for custodian in self.of.values():
             if self.chance.random() >= self.loss:
-                self.at(self.now + self.delay(), functools.partial(custodian.ask, self.now, word))
+                self.at(self.now + self.delay(), functools.partial(custodian.handle, self.now, word))
 
-    def kept(self, hand: cu.Hand, i: int, word: cu.Word | None) -> None:
-        good = hand.kept(i, word) if hand.number in self.busy else None
+    def kept(self, hand: cu.HolderSession, i: int, word: cu.Reply | None) -> None:
+        good = hand.count_kept(i, word) if hand.number in self.busy else None
         if good and self.taken < 0:
             self.taken = self.now
         elif good is False:
@@ -261,7 +265,7 @@
 def simulated(limiters: int, loss: float, jobs: int) -> tuple[list[float], float]:
     """Times of so many takeovers, sorted, and the part of them within the stated bound."""
     took = sorted(Simulated(limiters, loss, seed).play() for seed in range(jobs))
-    return took, sum(t <= bound.takeover() for t in took) / jobs
+    return took, sum(t <= bound.takeover_time() for t in took) / jobs
 
 
 def part(sorted_values: list[float], of: float) -> float:
@@ -292,7 +296,8 @@
     print("of custody: " + ", ".join(f"{k[8:]} {n}" for k, n in sorted(on.counts.items())
                                      if k.startswith("custody.") and k != "custody.bytes"))
     wrong = []
-    print(f"\nsimulated, messages 1 to 39 ms: ms until another has the job (stated: {bound.takeover():.0f})")
+    print("\nsimulated, messages 1 to 39 ms: ms until another has the job "
+          f"(stated: {bound.takeover_time():.0f})")
     for limiters in (6, 200):
         for loss in (0.0, 0.065):
             times, within = simulated(limiters, loss, 200 if args.quick else 2000)
--- a/benchmarks/zone_leave.py
+++ b/benchmarks/zone_leave.py
@@ -75,12 +75,12 @@
             found.append(f"{name}, seed {r['seed']}: {r['alarms']} limiters left a zone that was there")
         if name in LOST:
             bound = zone_times(day.limiters, day.loss, PATIENCE, day.rate / len(day.zones))
-            if r["left"] < day.limiters or r["last_ms"] > bound.left:
+            if r["left"] < day.limiters or r["last_ms"] > bound.leave:
                 found.append(f"{name}: {r['left']} of {day.limiters} left, the last after {r['last_ms']} ms, "
-                             f"stated {bound.left:.0f}")
-            if r["home"] < day.limiters or r["home_ms"] > bound.back_most:
+                             f"stated {bound.leave:.0f}")
+            if r["home"] < day.limiters or r["home_ms"] > bound.return_max:
                 found.append(f"{name}: {r['home']} of {day.limiters} came home, the last after "
-                             f"{r['home_ms']} ms, stated {bound.back_most:.0f}")
+                             f"{r['home_ms']} ms, stated {bound.return_max:.0f}")
         if name in THERE and r["left"] > day.limiters // 8:
             found.append(f"{name}: {r['left']} left a zone that was there")
     return found
--- a/larklb/cli/fleet.py
+++ b/larklb/cli/fleet.py
@@ -43,16 +43,16 @@
         settings = instance_of(operator, loaded.instance[0]).settings
     n = limiters or settings.gateways
     aim = min(c.aim for c in settings.classes)
-    age, seen = stated.age(n, loss), stated.noticed(n, loss, aim, ASK_TIMEOUT_AIMS)
-    words = stated.words(settings.inbox_per_s, n - 1)
+    age, seen = stated.age(n, loss), stated.detection_times(n, loss, aim, ASK_TIMEOUT_AIMS)
+    words = stated.message_rates(settings.inbox_per_s, n - 1)
     rows: list[dict[str, Any]] = [
         {"what": "verdict on a node, half of the limiters", "unit": "ms", "linked": round(age.median)},
-        {"what": "verdict on a node, 99.9% of them", "unit": "ms", "linked": round(age.most)},
+        {"what": "verdict on a node, 99.9% of them", "unit": "ms", "linked": round(age.tail)},
         {"what": "a limiter not heard: quotas keep its share aside", "unit": "ms",
          "noticed": round(seen.quiet)},
         {"what": "a limiter not heard: nobody asks it", "unit": "ms", "noticed": round(seen.silent)},
         {"what": "messages to an inbox, a second", "unit": "", "linked": round(words.planned, 1),
-         "over": round(words.first, 1)}]
+         "over": round(words.first_second, 1)}]
     longest, limits = max(c.deadline for c in settings.classes), loaded.limits
     if limits.node_attempts:
         s = stated.slots(n, limits.node_attempts, longest)
@@ -63,16 +63,22 @@
         rows.append({"what": "attempts at a node: a lost limiter's share is lent anew", "unit": "ms",
                      "noticed": round(s.lent_anew)})
     if limits.further_attempts:
-        rows.append({"what": f"further attempts, {limits.further_attempts:g} for each first one",
-                     "unit": "attempts", "over": stated.further(n, limits.further_attempts), "under": 0})
+        rows.append(
+            {
+                "what": f"further attempts, {limits.further_attempts:g} for each first one",
+                "unit": "attempts",
+                "over": stated.max_extra_attempts(n, limits.further_attempts),
+                "under": 0,
+            }
+        )
     if loaded.zones.leave:
         times = stated.zone_times(n, loss, PATIENCE_PART * aim, INTO_PER_S)
         rows += [{"what": what, "unit": "ms", "noticed": round(ms)} for what, ms in (
-            (f"a zone that is lost, {INTO_PER_S:g} attempts a second into it: all have left it", times.left),
-            ("a zone that is well again: all use it wholly", times.back),
-            ("... after many losses in a row", times.back_most))]
+            (f"a zone that is lost, {INTO_PER_S:g} attempts a second into it: all have left it", times.leave),
+            ("a zone that is well again: all use it wholly", times.return_once),
+            ("... after many losses in a row", times.return_max))]
     if loaded.custody is not None:
-        takeover = stated.takeover()
+        takeover = stated.takeover_time()
         rows.append({"what": "an order whose limiter is lost: another has it", "unit": "ms",
                      "noticed": round(takeover)})
     for plan in settings.plans if n > 1 else ():
--- a/larklb/core.py
+++ b/larklb/core.py
@@ -15,7 +15,7 @@
 from larklb import interface as io
 from larklb.counters import Counters
 from larklb.decide import Gateway
-from larklb.fleet.leases import Limits
+from larklb.fleet.leases import FleetLimits
 from larklb.quota.catalogue import settings_catalogue
 from larklb.quota.entitlements import Entitlements
 from larklb.told import in_service
@@ -62,7 +62,7 @@
     """One Gateway and the jobs it decides on."""
 
     def __init__(self, settings: io.Settings, seed: int, wheel: Wheel, counters: Counters,
-                 book: Entitlements | None = None, limits: Limits | None = None) -> None:
+                 book: Entitlements | None = None, limits: FleetLimits | None = None) -> None:
         self.settings = settings
         self.wheel = wheel
         self.counters = counters
--- a/larklb/decide.py
+++ b/larklb/decide.py
@@ -19,12 +19,12 @@
 from larklb import decision_constants as const
 from larklb import interface as io
 from larklb import peerwire as pw
-from larklb.fleet.leases import HASTE_MS, Limits, Share, Want
+from larklb.fleet.leases import URGENT_RENEW_MS, FleetLimits, LeaseReply, LeaseRequest
 from larklb.fleet.members import Members
-from larklb.fleet.pace import INBOX_SHARE, Pace
-from larklb.fleet.verdicts import LIMITER, SPREAD_MS, ZONE, Finding, Verdicts
-from larklb.fleet.words import Words
-from larklb.fleet.zones import STEADY_MS
+from larklb.fleet.outbox import Outbox
+from larklb.fleet.pace import INBOX_FRACTION, PeerPacer
+from larklb.fleet.verdicts import GOSSIP_INTERVAL_MS, LIMITER, ZONE, Finding, Verdicts
+from larklb.fleet.zones import REEVALUATION_MS
 from larklb.health import ALL_WORK, MAX_SLOWNESS, Attempt, Server
 from larklb.peer_messaging import PeerMessaging
 from larklb.quota.breaker import CircuitBreaker
@@ -46,7 +46,7 @@
     """
 
     def __init__(self, settings: io.Settings, seed: int, now: float, entitlements: Entitlements | None = None,
-                 limits: Limits | None = None) -> None:
+                 limits: FleetLimits | None = None) -> None:
         self.entitlements = entitlements or Entitlements(settings.plans)
         # Decides on quotas whose owner cannot be asked.
         self.fallback = Fallback(settings, self.entitlements, now)
@@ -81,10 +81,10 @@
         self.timers: dict[int, Callable[[float], object]] = {}
         self.timer_ids = itertools.count(1)
         self.ask_numbers = itertools.count(self.random.randrange(1 << 31))
-        self.pace = Pace(settings.inbox_per_s, settings.tick, self.min_aim)
+        self.pace = PeerPacer(settings.inbox_per_s, settings.tick, self.min_aim)
         self.members = Members(settings.number, settings.gateways, self.fallback.last_heard_at, self.verdicts)
-        self.words = Words(settings.number, self.min_aim, self.pace, self.fallback, self.verdicts)
-        self.limits = limits or Limits(settings.number, settings.gateways, now, self.max_deadline)
+        self.outbox = Outbox(settings.number, self.min_aim, self.pace, self.fallback, self.verdicts)
+        self.limits = limits or FleetLimits(settings.number, settings.gateways, now, self.max_deadline)
         self.actions: list[io.Action] = []
 
     def start(self, now: float) -> list[io.Action]:
@@ -92,14 +92,14 @@
         self.actions = [io.Subscribe()] if self.settings.must_ask_list else []
         self._set_timer(self.max_deadline / 2, self._expire)
         if self.settings.can_tell and self.settings.gateways > 1:
-            self._set_timer(SPREAD_MS, self._spread_findings)
+            self._set_timer(GOSSIP_INTERVAL_MS, self._spread_findings)
         if self.limits.node_attempts:
-            self._set_timer(HASTE_MS, self._renew_slots)
+            self._set_timer(URGENT_RENEW_MS, self._renew_slots)
         if self.fallback.enabled:
             # Unsolicited messages must leave most of an inbox to those that a request waits for.
             self.report_interval = max(
                 REPORT_MS, const.MIN_REPORT_INTERVAL_MESSAGES * 1000.0
-                / max(1e-3, self.settings.inbox_per_s * INBOX_SHARE))
+                / max(1e-3, self.settings.inbox_per_s * INBOX_FRACTION))
             self._set_timer(REPORT_MS, self._report_to_owners)
             self._announce_start(now)
         return self.actions
@@ -123,7 +123,7 @@
         their class; a lower limit of attempts applies to them at once.
         """
         self._take_settings(settings)
-        self.limits.renew(self.max_deadline)
+        self.limits.extend_deadline(self.max_deadline)
         for key, (named_plan, bucket) in self.buckets.items():
             self.entitlements.update_bucket(now, key, named_plan, bucket)
 
@@ -150,7 +150,7 @@
                 self._on_stream_started(now, self.pending[event.request])
             case io.BodyConsumed() if event.request in self.pending:
                 self.pending[event.request].not_repeatable = True
-        for peer in self.words.due(now):
+        for peer in self.outbox.due(now):
             self._flush_messages(now, peer)
         return self.actions
 
@@ -159,7 +159,7 @@
         self.actions = []
         for peer in range(self.settings.gateways if self.settings.can_tell else 0):
             if peer != self.settings.number:
-                self.words.call(now, peer, self.server_pool.own_in_flight())
+                self.outbox.probe(now, peer, self.server_pool.own_in_flight())
                 self._flush_messages(now, peer)
         return self.actions
 
@@ -182,13 +182,13 @@
             if b.open <= 0 and now - b.at > self.max_deadline and b.part == 1.0 and b.fill(now) >= b.burst:
                 del self.buckets[key]
         self.fallback.expire(now, self.max_deadline)
-        self.words.clean(now, self.max_deadline)
+        self.outbox.clean(now, self.max_deadline)
         for name, lease in list(self.leases.items()):
             if now >= lease.until:
                 self._end_lease(now, name, 0.0)
                 del self.leases[name]
         self.verdicts.clean(now)
-        for short_id in self.server_pool.clean(now, self.verdicts.by):
+        for short_id in self.server_pool.clean(now, self.verdicts.current):
             self.verdicts.forget(short_id)
         self.pace.clean(now)
         self.limits.clean(now)
@@ -232,10 +232,10 @@
         elif request.owner == self.settings.number:
             self._decide_as_owner(now, request)
         elif (wait := self.fallback.refusal_wait(
-                now, request, self.settings.inbox_per_s * INBOX_SHARE,
+                now, request, self.settings.inbox_per_s * INBOX_FRACTION,
                 self.usual_latency[request.service_class.name])) is not None:
             self._over_quota(now, request, wait)
-        elif (not self.settings.can_tell or self.members.silent(now, request.owner)
+        elif (not self.settings.can_tell or self.members.is_silent(now, request.owner)
               or not self.breakers[request.owner].allows(now)):
             self._request_reply(now, request.owner)
             self._decide_without_owner(now, request)
@@ -270,12 +270,12 @@
                 self._queue_message(request.owner, item)
         self._queue_message(request.owner, ask)
         timeout = min(request.service_class.aim * const.ASK_TIMEOUT_AIMS, (request.due - now) / 3)
-        retry_after = self.pace.asked(now, number, request.owner, timeout)
+        retry_after = self.pace.start_request(now, number, request.owner, timeout)
 
         def on_no_verdict(t: float) -> None:
             if request.pending_ask != number or request.ended:
-                return self.pace.dropped(number)
-            if (retry_after := self.pace.unheard(t, number)) is not None:
+                return self.pace.drop_request(number)
+            if (retry_after := self.pace.next_retry(t, number)) is not None:
                 self._queue_message(request.owner, ask)
                 self._set_timer(retry_after, on_no_verdict)
             else:
@@ -283,9 +283,9 @@
                 # A grant that still arrives is void, because the fallback counts the units anew.
                 if self.fallback.enabled:
                     request.grant_released = True
-                    self.words.ride(request.owner, pw.Release(number, request.units))
+                    self.outbox.piggyback(request.owner, pw.Release(number, request.units))
                 self.breakers[request.owner].record_failure(t, self.random.random())
-                self.members.unheard(t, request.owner, now)
+                self.members.record_no_answer(t, request.owner, now)
                 self._decide_without_owner(t, request)
 
         self._set_timer(retry_after, on_no_verdict)
@@ -309,7 +309,9 @@
     def _report_to_owners(self, now: float) -> None:
         """Periodically asks silent peers for a message, and reports unconfirmed counts to their owners."""
         self._set_timer(REPORT_MS, self._report_to_owners)
-        self.fallback.can_detect_silence = self.pace.fair(self.server_pool.active_peers(now)) <= REPORT_MS / 2
+        self.fallback.can_detect_silence = (
+            self.pace.fair_interval(self.server_pool.active_peers(now)) <= REPORT_MS / 2
+        )
         for peer in self.fallback.quiet_peers(now):
             self._request_reply(now, peer)
         for peer in self.fallback.owners_to_report_to(now, self.report_interval):
@@ -332,48 +334,50 @@
 
     def _renew_slots(self, now: float) -> None:
         """Periodically asks for slots at servers and renews those held."""
-        self._set_timer(HASTE_MS, self._renew_slots)
-        for lender, want in self.limits.due(now, self.server_pool.own_attempts_at):
+        self._set_timer(URGENT_RENEW_MS, self._renew_slots)
+        for lender, want in self.limits.due_requests(now, self.server_pool.own_attempts_at):
             if lender != self.settings.number:
                 self._queue_message(lender, want)
-            elif (share := self.limits.lender.asked(now, lender, want, self.limits.pool())) is not None:
+            elif (
+                share := self.limits.lender.handle_request(now, lender, want, self.limits.pool())
+            ) is not None:
                 self._on_share(now, share)
 
-    def _on_share(self, now: float, share: Share) -> None:
-        self.limits.heard(now, share)
+    def _on_share(self, now: float, share: LeaseReply) -> None:
+        self.limits.receive_reply(now, share)
         if self.waiting and share.slots:
             self._drain_queue(now)
 
     def _on_finding(self, now: float, sender: int, finding: Finding) -> None:
-        name = self.verdicts.heard(now, sender, finding)
+        name = self.verdicts.receive(now, sender, finding)
         if name is not None and name[1] == ZONE:
             self._check_zones(now)
         elif name is not None and name[1] != LIMITER:
-            self.server_pool.set_fleet_verdict(*name, self.verdicts.by.get(name))
+            self.server_pool.set_fleet_verdict(*name, self.verdicts.current.get(name))
 
     def _check_zones(self, now: float) -> None:
         """Re-evaluates the state of all zones, and keeps doing so while time alone may change it."""
-        if self.zones.look(now):
+        if self.zones.evaluate(now):
             self._on_zones_changed(now)
         if not self.zone_timer_set:
             self._zone_timer(now)
 
     def _on_zones_changed(self, now: float) -> None:
         """Moves attempts out of zones that are now avoided, as far as their classes allow."""
-        self.actions += [io.Log(text) for text in self.zones.news]
-        self.zones.news.clear()
+        self.actions += [io.Log(text) for text in self.zones.messages]
+        self.zones.messages.clear()
         self.server_pool.zones_changed(now)
         for request in list(self.pending.values()):
             if (request.attempts and request.attempts[-1].in_flight
-                    and not self.zones.part(request.attempts[-1].server.entry.zone)):
+                    and not self.zones.capacity_fraction(request.attempts[-1].server.entry.zone)):
                 self._review_attempt(now, request, len(request.attempts) - 1, again=False)
         self._drain_queue(now)
 
     def _zone_timer(self, now: float) -> None:
         """Re-evaluates the zones periodically while time alone may change the state of one."""
-        self.zone_timer_set = self.zones.uneasy(now)
+        self.zone_timer_set = self.zones.needs_timer(now)
         if self.zone_timer_set:
-            self._set_timer(STEADY_MS, self._zone_timer)
+            self._set_timer(REEVALUATION_MS, self._zone_timer)
             self._check_zones(now)
 
     def _on_peer_message(self, now: float, event: io.PeerMessage) -> None:
@@ -383,18 +387,18 @@
         # Any message shows that the peer is reachable and closes its breaker.
         self.breakers.pop(event.sender, None)
         self.fallback.on_message(now, event.sender)
-        self.members.heard(now, event.sender)
+        self.members.record_message(now, event.sender)
         self.server_pool.peer_reported(
             now, event.sender, next((item.out for item in items if isinstance(item, pw.Loads)), None)
         )
-        self.pace.arrived(now, event.sender)
-        if all(isinstance(item, pw.Loads) for item in items) or not self.pace.speaks(event.sender):
+        self.pace.record_arrival(now, event.sender)
+        if all(isinstance(item, pw.Loads) for item in items) or not self.pace.reports_allowance(event.sender):
             # The sender wants to know that this gateway is reachable, or which extensions it supports.
             self._request_reply(now, event.sender)
         for item in items:
             match item:
                 case pw.Loads(((pw.INBOX, allowed), *_)):
-                    self.pace.told(now, event.sender, allowed / pw.SIXTEENTHS)
+                    self.pace.record_allowance(now, event.sender, allowed / pw.SIXTEENTHS)
                 case pw.Ask():
                     self._on_ask(now, event.sender, item)
                 case pw.Verdict():
@@ -414,7 +418,9 @@
                 case pw.Confirmed():
                     self.fallback.settlement.on_confirmed(now, event.sender, item)
                 case pw.Fresh():
-                    for want in self.limits.fresh(now, event.sender, self.server_pool.own_attempts_at):
+                    for want in self.limits.report_holdings(
+                        now, event.sender, self.server_pool.own_attempts_at
+                    ):
                         self._queue_message(event.sender, want)
                     if self.fallback.on_peer_started(now, event.sender, item.incarnation):
                         self._queue_wakeup(event.sender)
@@ -426,11 +432,11 @@
                         item.server, item.topic, item.slow, item.age, event.sender, stamp))
                 case Finding():
                     self._on_finding(now, event.sender, item)
-                case Want() if self.limits.node_attempts:
-                    share = self.limits.lender.asked(now, event.sender, item, self.limits.pool())
+                case LeaseRequest() if self.limits.node_attempts:
+                    share = self.limits.lender.handle_request(now, event.sender, item, self.limits.pool())
                     if share is not None:
                         self._queue_message(event.sender, share)
-                case Share():
+                case LeaseReply():
                     self._on_share(now, item)
 
     def _on_ask(self, now: float, sender: int, ask: pw.Ask) -> None:
@@ -461,7 +467,7 @@
         if verdict.number not in self.unanswered_asks or self.unanswered_asks[verdict.number].owner != sender:
             return
         request = self.unanswered_asks.pop(verdict.number)
-        self.pace.answered(now, verdict.number)
+        self.pace.record_answer(now, verdict.number)
         late = request.pending_ask != verdict.number or request.ended
         self.fallback.on_verdict(now, request, verdict)
         if verdict.share is not None or verdict.plan is not None:
@@ -564,7 +570,7 @@
         request.attempts.append(Attempt(server, now))
         server.attempts.append(request.attempts[-1])
         self.server_pool.attempt_sent(now, server)
-        self.limits.began(now, server.short_id, len(server.attempts), index == 0)
+        self.limits.record_attempt(now, server.short_id, len(server.attempts), index == 0)
         no_timeout = (self.settings.can_cancel or self.settings.can_copy
                       or request.service_class.repeat is io.RepeatPolicy.NEVER)
         timeout = 0.0 if no_timeout else max(request.service_class.aim * 2 * const.REVIEW_AFTER_AIMS,
@@ -587,14 +593,14 @@
             or request.not_repeatable
             or not attempt.in_flight
             or not index + 1 == len(request.attempts) < self.settings.max_attempts
-            or not self.limits.further()
+            or not self.limits.may_send_further()
             or now + usual > request.arrived_at + request.service_class.aim
         ):
             return
         topics = self._topics(request)
         median = self.server_pool.median_slowness(now, topics, usual, request.service_class.aim)
         slow = attempt.server.slowness(now, usual, topics) >= const.SUSPECT_SLOWNESS * median
-        suspect = slow or not self.zones.part(attempt.server.entry.zone)
+        suspect = slow or not self.zones.capacity_fraction(attempt.server.entry.zone)
         server = self._choose_server(now, request) if suspect else None
         if server is not None and server is not attempt.server:
             if self.settings.can_copy:
@@ -674,10 +680,10 @@
     def _report_to_zones(self, now: float, server: Server, reachable: bool | None) -> None:
         """Reports to the server's zone how an attempt ended; None if it was given up without an answer."""
         zone, short_id = server.entry.zone, server.short_id
-        if (self.zones.silent(now, zone, short_id) if reachable is None else
-                self.zones.ended(now, zone, short_id, reachable)):
+        if (self.zones.record_timeout(now, zone, short_id) if reachable is None else
+                self.zones.record_outcome(now, zone, short_id, reachable)):
             self._on_zones_changed(now)
-        if not reachable and not self.zone_timer_set and self.zones.on:
+        if not reachable and not self.zone_timer_set and self.zones.active:
             self._zone_timer(now)
 
     def _retry_or_answer(self, now: float, request: PendingRequest) -> None:
@@ -694,7 +700,7 @@
             or now >= min(last_start, request.due - 2 * self.settings.tick)
             or len(request.attempts) >= self.settings.max_attempts
             or request.attempts
-            and not self.limits.further()
+            and not self.limits.may_send_further()
             or ran
             and not any(self._may_retry_on(request, ran, s, now) for s in self.server_pool.available)
         ):
--- a/larklb/desk.py
+++ b/larklb/desk.py
@@ -27,7 +27,7 @@
 from larklb.export.ledger import Ledger
 from larklb.fields import MalformedError, account
 from larklb.fleet.verdicts import LIMITER, ZONE
-from larklb.fleet.zones import Asked, Override, Zones, rehearsed
+from larklb.fleet.zones import Demand, Override, Zones, simulate_capacity
 from larklb.health import ALL_WORK
 from larklb.quota import catalogue as cat
 from larklb.quota.entitlements import Entitlements
@@ -367,13 +367,15 @@
             subject, topic = int(row.pop("subject")), row.pop("topic")
             node = f"n{subject}" if topic == LIMITER else name_of(subject)
             if topic == ZONE:
-                node = g.zones.by_short[subject].name if subject in g.zones.by_short else f"{subject:04x}"
+                node = (
+                    g.zones.by_short_id[subject].name if subject in g.zones.by_short_id else f"{subject:04x}"
+                )
             verdicts.append({"node": node, "topic": topics.get(topic, str(topic)), **row})
         return {"name": self.config.name, "number": g.settings.number, "members": g.members.rows(now),
                 "ages_ms": {peer: round(now - at) for peer, at in g.fallback.last_heard_at.items()},
                 "nodes": len(g.server_pool.up), "reach": [s.entry.server for s in g.server_pool.in_reach],
                 "list": g.server_pool.version,
-                "inbox": round(g.pace.inbox.now(now), 1), "verdicts": verdicts,
+                "inbox": round(g.pace.inbox.rate_at(now), 1), "verdicts": verdicts,
                 "slots": g.limits.rows(now, name_of)}
 
     def _zones(self) -> Zones:
@@ -384,7 +386,7 @@
     async def fleet_zones(self, q: dict[str, Any]) -> dict[str, Any]:
         """What is held here of each zone."""
         zones, now = self._zones(), self._wheel().now()
-        return {"name": self.config.name, "on": zones.on, "zones": zones.rows(now)}
+        return {"name": self.config.name, "on": zones.active, "zones": zones.rows(now)}
 
     def _wheel(self) -> Wheel:
         assert self.core is not None
@@ -402,29 +404,29 @@
         assert self.core is not None
         self.core.zones_moved()
         log.info("an operator's word on zone %s: %s", name, "taken back" if word is None else
-                 f"{'away' if word.away else 'home'} for {for_s:g} s, as {word.why!r}")
+                 f"{'away' if word.away else 'home'} for {for_s:g} s, as {word.reason!r}")
         return await self.fleet_zones(q)
 
     async def zones_rehearse(self, q: dict[str, Any]) -> dict[str, Any]:
         """Whether the rest would bear it, were a zone left now, from what is out in the next second."""
         zones, g = self._zones(), self.core.gateway if self.core is not None else None
         name = str(q.get("without", ""))
-        if g is None or name not in zones.of:
+        if g is None or name not in zones.by_name:
             raise AdminError(f"no node of a zone {name!r} was ever listed")
         out: Counter[tuple[str, str]] = Counter()
         for _ in range(SAMPLES):
             for held in g.pending.values():
                 out[held.service_class.name, held.plan.name] += 1
             await asyncio.sleep(1.0 / SAMPLES)
-        asked = [Asked(c, p, n / SAMPLES, g.classes[c].worth * g.plans[p][1].price / g.usual_latency[c])
+        asked = [Demand(c, p, n / SAMPLES, g.classes[c].worth * g.plans[p][1].price / g.usual_latency[c])
                  for (c, p), n in out.items() if c in g.classes and p in g.plans]
         whole = (
             g.server_limit * len(g.server_pool.available) * g.server_pool.visible_share(self._wheel().now())
         )
-        rest = sum(z.weight for z in zones.of.values() if z.name != name and z.state != "away")
-        weight = sum(z.weight for z in zones.of.values() if z.state != "away") or 1.0
+        rest = sum(z.weight for z in zones.by_name.values() if z.name != name and z.state != "away")
+        weight = sum(z.weight for z in zones.by_name.values() if z.state != "away") or 1.0
         return {"name": self.config.name, "room": round(whole, 1), "rest": round(whole * rest / weight, 1),
-                "rows": rehearsed(asked, whole * rest / weight)}
+                "rows": simulate_capacity(asked, whole * rest / weight)}
 
     async def fleet_jobs(self, q: dict[str, Any]) -> dict[str, Any]:
         """What this instance keeps of jobs that must not run twice, all or one by its key."""
@@ -433,7 +435,7 @@
         key = q.get("key")
         rows = self.keeper.rows(int(str(key), 16) if key else None)
         return {"name": self.config.name, "jobs": rows[:SHOWN],
-                "bytes": self.keeper.custodian.size, "most_bytes": self.keeper.custodian.most_bytes,
+                "bytes": self.keeper.custodian.size, "most_bytes": self.keeper.custodian.max_bytes,
                 "turned_down": self.keeper.custodian.refused}
 
     def _ledger(self) -> Ledger:
--- a/larklb/fleet/reach.py
+++ b/larklb/fleet/reach.py
@@ -24,13 +24,14 @@
 from collections.abc import Sequence
 from itertools import accumulate, islice
 
-GOLDEN = 0.6180339887498949                # spreads numbers evenly over a turn
-COVER = 8                  # limiters that send to a server at the least: with fewer its load would be chance
-LEAST = 8                  # servers in reach: below that a median of their slowness says little
-DEVIATIONS = 3.0           # standard deviations of the attempts out, for which there is a free server
-LEARN = 0.05               # weight of one look at the attempts out
-SHRINK_AT = 0.7            # of the present size: a smaller need than this shrinks it ...
-SHRINK_MS = 10_000.0       # ... once in so long: connections that rest are cheaper than new ones
+GOLDEN_FRACTION = 0.6180339887498949                # spreads numbers evenly over a turn
+# limiters that send to a server at the least: with fewer its load would be chance
+MIN_LIMITERS_PER_SERVER = 8
+MIN_SERVERS = 8                  # servers in reach: below that a median of their slowness says little
+TRAFFIC_DEVIATIONS = 3.0           # standard deviations of the attempts out, for which there is a free server
+IN_FLIGHT_GAIN = 0.05               # weight of one look at the attempts out
+SHRINK_FRACTION = 0.7            # of the present size: a smaller need than this shrinks it ...
+SHRINK_INTERVAL_MS = 10_000.0       # ... once in so long: connections that rest are cheaper than new ones
 
 
 class Reach:
@@ -39,58 +40,58 @@
     def __init__(self, number: int, gateways: int) -> None:
         """``number`` of ``gateways`` limiters, counted from 0."""
         self.number, self.gateways = number, gateways
-        self.out = 0.0                     # mean attempts out from here
-        self.size = LEAST
-        self.sized = -math.inf
+        self.mean_in_flight = 0.0                     # mean attempts out from here
+        self.size = MIN_SERVERS
+        self.resized_at = -math.inf
 
-    def least(self, servers: int) -> int:
+    def min_size(self, servers: int) -> int:
         """Servers that any limiter has in reach, of so many."""
-        return min(servers, max(LEAST, math.ceil(COVER * servers / self.gateways)))
+        return min(servers, max(MIN_SERVERS, math.ceil(MIN_LIMITERS_PER_SERVER * servers / self.gateways)))
 
-    def need(self, servers: int) -> int:
+    def needed_size(self, servers: int) -> int:
         """Servers that the traffic of late needs, of so many."""
-        traffic = math.ceil(self.out + DEVIATIONS * math.sqrt(self.out))
-        return min(servers, max(self.least(servers), traffic))
+        traffic = math.ceil(self.mean_in_flight + TRAFFIC_DEVIATIONS * math.sqrt(self.mean_in_flight))
+        return min(servers, max(self.min_size(servers), traffic))
 
-    def sent(self, now: float, out: int, servers: int) -> bool:
+    def record_request(self, now: float, out: int, servers: int) -> bool:
         """A request goes out while ``out`` attempts are; whether the reach has another size now."""
-        self.out += LEARN * (out - self.out)
-        need, was = self.need(servers), self.size
-        if need > was or (need < was * SHRINK_AT and now - self.sized >= SHRINK_MS):
-            self.size, self.sized = need, now
+        self.mean_in_flight += IN_FLIGHT_GAIN * (out - self.mean_in_flight)
+        need, was = self.needed_size(servers), self.size
+        if need > was or (need < was * SHRINK_FRACTION and now - self.resized_at >= SHRINK_INTERVAL_MS):
+            self.size, self.resized_at = need, now
         return self.size != was
 
-    def of(self, digests: Sequence[int], left: Sequence[bool] = ()) -> list[int]:
+    def select(self, digests: Sequence[int], left: Sequence[bool] = ()) -> list[int]:
         """Places in ``digests`` of the servers in reach, the nearest first; the walk passes over those that
         are ``left`` and goes on, so that all others stay."""
         count = len(digests)
-        size = min(count, max(self.size, self.need(count)))
+        size = min(count, max(self.size, self.needed_size(count)))
         if size >= count:
             return [i for i in range(count) if not left or not left[i]]
         turn = sorted(range(count), key=digests.__getitem__)
-        entry = self._entry(self.number, count)
+        entry = self._start_index(self.number, count)
         walk = (turn[(entry + i) % count] for i in range(count))
         return list(islice((i for i in walk if not left or not left[i]), size))
 
     @staticmethod
-    def _entry(number: int, servers: int) -> int:
+    def _start_index(number: int, servers: int) -> int:
         """Where a limiter enters the walk."""
-        return int(number * GOLDEN % 1.0 * servers)
+        return int(number * GOLDEN_FRACTION % 1.0 * servers)
 
-    def parts(self, digests: Sequence[int]) -> list[float]:
+    def cold_capacity_shares(self, digests: Sequence[int]) -> list[float]:
         """This limiter's part of what each of the servers stands while it is cold, 0 to 1: 0 where others
         have it.  The parts of all limiters make up the whole of each server."""
         count = len(digests)
-        size = self.least(count)
+        size = self.min_size(count)
         if size >= count:
             return [1.0 / self.gateways] * count
         ends = [0] * (2 * count + 1)             # of the walks of all, laid out over two turns
         for number in range(self.gateways):
-            entry = self._entry(number, count)
+            entry = self._start_index(number, count)
             ends[entry] += 1
             ends[entry + size] -= 1
         covered = list(accumulate(ends))
-        turn, mine = sorted(range(count), key=digests.__getitem__), self._entry(self.number, count)
+        turn, mine = sorted(range(count), key=digests.__getitem__), self._start_index(self.number, count)
         found = [0.0] * count
         for place, server in enumerate(turn):
             holders = covered[place] + covered[place + count]
--- a/larklb/fleet/verdicts.py
+++ b/larklb/fleet/verdicts.py
@@ -27,26 +27,32 @@
 ALL_WORK = 0               # judgements and findings are of all work at a server, and by class and plan
 LIMITER = 255              # topic of findings on a limiter; others are those of the judgements ...
 ZONE = 254                 # ... and of findings on a zone, whose digest is the subject
-BAD = 2.0                  # times slower than usual from which on a finding is told
-GRAVE = 3.5                # ... and from which on it is worth messages of its own
-SPREAD_MS = 250.0          # between messages of its own for grave findings, to a limiter drawn from all
+BAD_SLOWNESS = 2.0                  # times slower than usual from which on a finding is told
+SEVERE_SLOWNESS = 3.5                # ... and from which on it is worth messages of its own
+# between messages of its own for grave findings, to a limiter drawn from all
+GOSSIP_INTERVAL_MS = 250.0
 QUORUM = 2                 # distinct observers, others than oneself, that make a verdict ...
-SMALL = 3                  # ... where there are more limiters than this: of two others each is half of all
-MANY = 8                   # of a larger fleet one observer more is asked for to call a limiter silent: words
+# ... where there are more limiters than this: of two others each is half of all
+MAX_SMALL_FLEET = 3
+# of a larger fleet one observer more is asked for to call a limiter silent: words
+MAX_MEDIUM_FLEET = 8
                            # get lost more often than nodes fail
-MOST_OBSERVERS = 6         # findings kept for a subject and topic, the newest ...
-MOST_OF_ZONE = 16          # ... and for a zone: who finds it well counts against who finds it lost
-FEWER = 2                  # than the binary logarithm of the limiters must find a zone lost: of hundreds two
+MAX_OBSERVERS = 6         # findings kept for a subject and topic, the newest ...
+MAX_ZONE_OBSERVERS = 16          # ... and for a zone: who finds it well counts against who finds it lost
+# than the binary logarithm of the limiters must find a zone lost: of hundreds two
+ZONE_QUORUM_MARGIN = 2
                            # are wrong now and then
-ZONE_PART = 0.6            # of those that have a fresh finding on a zone make a verdict
-MOST = 600                 # subjects and topics kept, the longest unheard of go first
-TELLS = 2.0                # times the binary logarithm of the limiters: messages that a version rides on
-AGAIN_PART = 0.25          # of the half-life: a finding that stays bad is told anew so often
-DOUBT_PART = 0.6           # of the subjects looked at lately found bad: an observer doubts itself ...
-DOUBT_LEAST = 4            # ... if there are so many of them
+ZONE_QUORUM_FRACTION = 0.6            # of those that have a fresh finding on a zone make a verdict
+MAX_SUBJECTS = 600                 # subjects and topics kept, the longest unheard of go first
+# times the binary logarithm of the limiters: messages that a version rides on
+SENDS_FACTOR = 2.0
+REFRESH_FRACTION = 0.25          # of the half-life: a finding that stays bad is told anew so often
+# of the subjects looked at lately found bad: an observer doubts itself ...
+SELF_SUSPICION_FRACTION = 0.6
+SELF_SUSPICION_MIN_SUBJECTS = 4            # ... if there are so many of them
 STAMP_MS = 100.0           # a stamp's step; it has 16 bits and is compared as a serial number (RFC 1982)
-SHOWN = 1.5                # ... and below this it is not shown to operators
-FADED = 1.05               # a finding that has faded below this is nothing any more
+MIN_REPORTED_SLOWNESS = 1.5                # ... and below this it is not shown to operators
+NEGLIGIBLE_SLOWNESS = 1.05               # a finding that has faded below this is nothing any more
 
 
 class Finding(NamedTuple):
@@ -55,40 +61,40 @@
 
     subject: int
     topic: int
-    slow: float
+    slowness: float
     age: float
     observer: int
     stamp: int
 
 
-class Mark(NamedTuple):
+class DecayingSlowness(NamedTuple):
     """How bad, and since when; it fades from then on."""
 
-    slow: float
+    slowness: float
     at: float
 
 
 @dataclass(slots=True)
-class Known:
+class StoredFinding:
     """A finding as it is kept here."""
 
-    slow: float
+    slowness: float
     at: float
     stamp: int
-    tells: int                             # messages that it may still ride on
-    came_from: int                         # who told it: told back to nobody
-    told: set[int] = field(default_factory=set)
+    remaining_sends: int                             # messages that it may still ride on
+    source: int                         # who told it: told back to nobody
+    sent_to: set[int] = field(default_factory=set)
 
 
-Name = tuple[int, int]
+SubjectTopic = tuple[int, int]
 
 
-def newer(stamp: int, than: int) -> bool:
+def is_newer_stamp(stamp: int, than: int) -> bool:
     """Whether a stamp comes after another, as serial numbers of 16 bits do."""
     return 0 < (stamp - than) & 0xFFFF < 0x8000
 
 
-def _kind(topic: int) -> int:
+def _subject_kind(topic: int) -> int:
     """Limiters and zones are apart from servers, whatever is found of these."""
     return topic if topic in (LIMITER, ZONE) else 0
 
@@ -99,18 +105,21 @@
     def __init__(self, number: int, gateways: int, half_life: float) -> None:
         """``number`` of ``gateways`` limiters; ``half_life`` in ms of everything that is found."""
         self.number, self.half_life = number, half_life
-        self.quorum = QUORUM if gateways > SMALL else 1
-        self.of_limiters = QUORUM + 1 if gateways > MANY else self.quorum
-        self.of_zones = max(self.quorum, math.ceil(math.log2(gateways + 1)) - FEWER)
-        self.tells = math.ceil(TELLS * math.log2(gateways + 1))
-        self.others = gateways - 1
-        self.of: OrderedDict[Name, dict[int, Known]] = OrderedDict()
-        self.by: dict[Name, Mark] = {}                     # the fleet's verdicts, of others' findings alone
-        self.looked: dict[Name, Mark] = {}                 # evidence of one's own of late
-        self.fresh: OrderedDict[tuple[Name, int], None] = OrderedDict()      # to be told on, the newest last
-
-    def faded(self, now: float, mark: Mark | Known) -> float:
-        return 1.0 + (mark.slow - 1.0) * math.exp2(-max(0.0, now - mark.at) / self.half_life)
+        self.quorum = QUORUM if gateways > MAX_SMALL_FLEET else 1
+        self.limiter_quorum = QUORUM + 1 if gateways > MAX_MEDIUM_FLEET else self.quorum
+        self.zone_quorum = max(self.quorum, math.ceil(math.log2(gateways + 1)) - ZONE_QUORUM_MARGIN)
+        self.sends_per_finding = math.ceil(SENDS_FACTOR * math.log2(gateways + 1))
+        self.other_limiters = gateways - 1
+        self.findings: OrderedDict[SubjectTopic, dict[int, StoredFinding]] = OrderedDict()
+        # the fleet's verdicts, of others' findings alone
+        self.current: dict[SubjectTopic, DecayingSlowness] = {}
+        # evidence of one's own of late
+        self.own_evidence: dict[SubjectTopic, DecayingSlowness] = {}
+        # to be told on, the newest last
+        self.unsent: OrderedDict[tuple[SubjectTopic, int], None] = OrderedDict()
+
+    def decayed(self, now: float, mark: DecayingSlowness | StoredFinding) -> float:
+        return 1.0 + (mark.slowness - 1.0) * math.exp2(-max(0.0, now - mark.at) / self.half_life)
 
     @staticmethod
     def stamp(at: float) -> int:
@@ -119,160 +128,192 @@
 
     # One's own ----------------------------------------------------------------------------
 
-    def found(self, now: float, subject: int, topic: int, slow: float) -> None:
+    def record_evidence(self, now: float, subject: int, topic: int, slow: float) -> None:
         """Evidence of one's own.  A finding is told once it is bad, anew while it stays so, and when it is
         not bad any more; not while one doubts oneself."""
         name = subject, topic
-        self.looked[name] = Mark(slow, now)
-        if slow >= BAD and self.doubts(now, topic):
-            self.take_back(now, topic)
+        self.own_evidence[name] = DecayingSlowness(slow, now)
+        if slow >= BAD_SLOWNESS and self.suspects_itself(now, topic):
+            self.retract_findings(now, topic)
             return
-        mine = self.of.get(name, {}).get(self.number)
-        bad, was = slow >= BAD, mine is not None and mine.slow >= BAD
+        mine = self.findings.get(name, {}).get(self.number)
+        bad, was = slow >= BAD_SLOWNESS, mine is not None and mine.slowness >= BAD_SLOWNESS
         # A zone that somebody finds lost and who is served there does not: each is to count.
-        contested = topic == ZONE and name in self.of
-        if not bad and not was and not contested and self.verdict(now, *name) < BAD:
+        contested = topic == ZONE and name in self.findings
+        if not bad and not was and not contested and self.verdict(now, *name) < BAD_SLOWNESS:
             return
-        if mine is not None and bad == was and now - mine.at < self.half_life * AGAIN_PART:
-            mine.slow = slow if bad else 1.0
+        if mine is not None and bad == was and now - mine.at < self.half_life * REFRESH_FRACTION:
+            mine.slowness = slow if bad else 1.0
             return
-        self._mine(now, name, slow if bad else 1.0)
+        self._record_own_finding(now, name, slow if bad else 1.0)
 
-    def _mine(self, now: float, name: Name, slow: float) -> None:
-        self._take(now, name, self.number, slow, now, self.stamp(now), self.number)
+    def _record_own_finding(self, now: float, name: SubjectTopic, slow: float) -> None:
+        self._store(now, name, self.number, slow, now, self.stamp(now), self.number)
 
-    def take_back(self, now: float, topic: int) -> None:
+    def retract_findings(self, now: float, topic: int) -> None:
         """What was told of servers, limiters or zones is void: it was one's own fault."""
-        for name, here in list(self.of.items()):
+        for name, here in list(self.findings.items()):
             mine = here.get(self.number)
-            if mine is not None and mine.slow >= BAD and _kind(name[1]) == _kind(topic):
-                self._mine(now, name, 1.0)
-
-    def doubts(self, now: float, topic: int) -> bool:
+            if (
+                mine is not None
+                and mine.slowness >= BAD_SLOWNESS
+                and _subject_kind(name[1]) == _subject_kind(topic)
+            ):
+                self._record_own_finding(now, name, 1.0)
+
+    def suspects_itself(self, now: float, topic: int) -> bool:
         """Whether most of what was looked at lately is bad here: then it is not the subjects' fault."""
-        late = [m for (_, t), m in self.looked.items()
-                if _kind(t) == _kind(topic) and now - m.at <= self.half_life * AGAIN_PART]
-        return len(late) >= DOUBT_LEAST and sum(m.slow >= BAD for m in late) > DOUBT_PART * len(late)
+        late = [
+            m
+            for (_, t), m in self.own_evidence.items()
+            if _subject_kind(t) == _subject_kind(topic) and now - m.at <= self.half_life * REFRESH_FRACTION
+        ]
+        return len(late) >= SELF_SUSPICION_MIN_SUBJECTS and sum(
+            m.slowness >= BAD_SLOWNESS for m in late
+        ) > SELF_SUSPICION_FRACTION * len(late)
 
     # Others' ------------------------------------------------------------------------------
 
-    def heard(self, now: float, sender: int, f: Finding) -> Name | None:
+    def receive(self, now: float, sender: int, f: Finding) -> SubjectTopic | None:
         """A finding that came from ``sender``; its name where it was news, else None."""
         if f.observer == self.number:                     # of a former self: what it saw is not known here
             return None
         name = f.subject, f.topic
-        known = self.of.get(name, {}).get(f.observer)
-        if known is not None and not newer(f.stamp, known.stamp):
-            known.told.add(sender)
+        known = self.findings.get(name, {}).get(f.observer)
+        if known is not None and not is_newer_stamp(f.stamp, known.stamp):
+            known.sent_to.add(sender)
             return None
-        self._take(now, name, f.observer, f.slow, now - f.age, f.stamp, sender)
+        self._store(now, name, f.observer, f.slowness, now - f.age, f.stamp, sender)
         return name
 
-    def _take(self, now: float, name: Name, observer: int, slow: float, at: float, stamp: int,
+    def _store(self, now: float, name: SubjectTopic, observer: int, slow: float, at: float, stamp: int,
               sender: int) -> None:
-        here = self.of.setdefault(name, {})
+        here = self.findings.setdefault(name, {})
         known = here.get(observer)
         if known is not None and known.stamp == stamp:
             stamp = stamp + 1 & 0xFFFF                     # twice within a step: one's own only
-        here[observer] = Known(slow, at, stamp, self.tells, sender)
-        if len(here) > (MOST_OF_ZONE if name[1] == ZONE else MOST_OBSERVERS):
+        here[observer] = StoredFinding(slow, at, stamp, self.sends_per_finding, sender)
+        if len(here) > (MAX_ZONE_OBSERVERS if name[1] == ZONE else MAX_OBSERVERS):
             oldest = min((o for o in here if o != self.number), key=lambda o: (here[o].at, o))
             del here[oldest]
-            self.fresh.pop((name, oldest), None)
-        self.of.move_to_end(name)
-        while len(self.of) > MOST:
-            self._forget(next(iter(self.of)))
-        if name in self.of and observer in here:
-            self.fresh.pop((name, observer), None)
-            self.fresh[name, observer] = None
-        self._judge(now, name)
-
-    def _judge(self, now: float, name: Name) -> None:
+            self.unsent.pop((name, oldest), None)
+        self.findings.move_to_end(name)
+        while len(self.findings) > MAX_SUBJECTS:
+            self._forget(next(iter(self.findings)))
+        if name in self.findings and observer in here:
+            self.unsent.pop((name, observer), None)
+            self.unsent[name, observer] = None
+        self._update_verdict(now, name)
+
+    def _update_verdict(self, now: float, name: SubjectTopic) -> None:
         """The verdict: at least ``quorum`` others find it as bad as that, and not as many good since then."""
-        others = [k for o, k in self.of.get(name, {}).items() if o != self.number]
-        quorum = self.quorum if name[1] != LIMITER else self.of_limiters
-        good = sorted((k.at for k in others if k.slow < BAD), reverse=True)
+        others = [k for o, k in self.findings.get(name, {}).items() if o != self.number]
+        quorum = self.quorum if name[1] != LIMITER else self.limiter_quorum
+        good = sorted((k.at for k in others if k.slowness < BAD_SLOWNESS), reverse=True)
         since = good[self.quorum - 1] if len(good) >= self.quorum else -math.inf
-        bad = sorted((k for k in others if k.slow >= BAD and k.at > since), key=lambda k: -self.faded(now, k))
+        bad = sorted(
+            (k for k in others if k.slowness >= BAD_SLOWNESS and k.at > since),
+            key=lambda k: -self.decayed(now, k),
+        )
         if name[1] == ZONE:
-            well = sum(now - k.at <= self.half_life / 2 for k in others if k.slow < BAD)
-            quorum = max(self.of_zones, math.ceil(ZONE_PART / (1.0 - ZONE_PART) * well))
+            well = sum(now - k.at <= self.half_life / 2 for k in others if k.slowness < BAD_SLOWNESS)
+            quorum = max(
+                self.zone_quorum, math.ceil(ZONE_QUORUM_FRACTION / (1.0 - ZONE_QUORUM_FRACTION) * well)
+            )
         if len(bad) >= quorum:
-            self.by[name] = Mark(bad[quorum - 1].slow, bad[quorum - 1].at)
+            self.current[name] = DecayingSlowness(bad[quorum - 1].slowness, bad[quorum - 1].at)
         else:
-            self.by.pop(name, None)
+            self.current.pop(name, None)
 
     def verdict(self, now: float, subject: int, topic: int) -> float:
         """How bad the fleet finds it: 1 for good, or where nothing is known."""
-        mark = self.by.get((subject, topic))
-        return self.faded(now, mark) if mark is not None else 1.0
+        mark = self.current.get((subject, topic))
+        return self.decayed(now, mark) if mark is not None else 1.0
 
-    def observers(self, subject: int, topic: int) -> dict[int, Mark]:
+    def observers(self, subject: int, topic: int) -> dict[int, DecayingSlowness]:
         """Who finds it bad, and since when."""
-        return {o: Mark(k.slow, k.at) for o, k in self.of.get((subject, topic), {}).items() if k.slow >= BAD}
+        return {
+            o: DecayingSlowness(k.slowness, k.at)
+            for o, k in self.findings.get((subject, topic), {}).items()
+            if k.slowness >= BAD_SLOWNESS
+        }
 
     # Telling ------------------------------------------------------------------------------
 
-    def grave(self, now: float) -> bool:
+    def has_severe_unsent(self, now: float) -> bool:
         """Whether something is to be told that is worth a message of its own."""
-        return any((k := self.of[name][observer]).slow >= GRAVE or k.slow <= 1.0
-                   for name, observer in self.fresh)
+        return any((k := self.findings[name][observer]).slowness >= SEVERE_SLOWNESS or k.slowness <= 1.0
+                   for name, observer in self.unsent)
 
-    def riders(self, now: float, peer: int, most: int) -> Iterator[Finding]:
+    def findings_for(self, now: float, peer: int, most: int) -> Iterator[Finding]:
         """Up to ``most`` findings for a message to a peer, the newest first; they count as told to it."""
         count, done = 0, []
-        for name, observer in reversed(self.fresh):
+        for name, observer in reversed(self.unsent):
             if count >= most:
                 break
-            known = self.of[name][observer]
-            if len(known.told | {observer, known.came_from} - {self.number}) >= self.others:
+            known = self.findings[name][observer]
+            if len(known.sent_to | {observer, known.source} - {self.number}) >= self.other_limiters:
                 done.append((name, observer))              # a small fleet knows it before so many messages
                 continue
-            if peer in (observer, known.came_from) or peer in known.told:
+            if peer in (observer, known.source) or peer in known.sent_to:
                 continue
-            if observer == self.number and known.slow >= BAD and self.doubts(now, name[1]):
+            if (
+                observer == self.number
+                and known.slowness >= BAD_SLOWNESS
+                and self.suspects_itself(now, name[1])
+            ):
                 continue
-            known.told.add(peer)
-            known.tells -= 1
-            if known.tells <= 0:
+            known.sent_to.add(peer)
+            known.remaining_sends -= 1
+            if known.remaining_sends <= 0:
                 done.append((name, observer))
             count += 1
-            yield Finding(*name, known.slow, now - known.at, observer, known.stamp)
+            yield Finding(*name, known.slowness, now - known.at, observer, known.stamp)
         for gone in done:
-            self.fresh.pop(gone, None)
+            self.unsent.pop(gone, None)
 
     # Upkeep -------------------------------------------------------------------------------
 
     def forget(self, subject: int) -> None:
         """A server is another process now, or gone: what was found of it is void."""
-        for name in [n for n in self.of if n[0] == subject and not _kind(n[1])]:
+        for name in [n for n in self.findings if n[0] == subject and not _subject_kind(n[1])]:
             self._forget(name)
-        self.looked = {n: m for n, m in self.looked.items() if n[0] != subject or _kind(n[1])}
+        self.own_evidence = {
+            n: m for n, m in self.own_evidence.items() if n[0] != subject or _subject_kind(n[1])
+        }
 
-    def _forget(self, name: Name) -> None:
-        for observer in self.of.pop(name, {}):
-            self.fresh.pop((name, observer), None)
-        self.by.pop(name, None)
+    def _forget(self, name: SubjectTopic) -> None:
+        for observer in self.findings.pop(name, {}):
+            self.unsent.pop((name, observer), None)
+        self.current.pop(name, None)
 
     def clean(self, now: float) -> None:
         """What has faded away is forgotten."""
-        for name, here in list(self.of.items()):
-            for observer in [o for o, k in here.items() if now - k.at > 2 * self.half_life
-                             and self.faded(now, k) < FADED or now - k.at > 8 * self.half_life]:
+        for name, here in list(self.findings.items()):
+            for observer in [
+                o
+                for o, k in here.items()
+                if now - k.at > 2 * self.half_life
+                and self.decayed(now, k) < NEGLIGIBLE_SLOWNESS
+                or now - k.at > 8 * self.half_life
+            ]:
                 del here[observer]
-                self.fresh.pop((name, observer), None)
+                self.unsent.pop((name, observer), None)
             if not here:
                 self._forget(name)
             else:
-                self._judge(now, name)
-        self.looked = {n: m for n, m in self.looked.items() if now - m.at <= 2 * self.half_life}
+                self._update_verdict(now, name)
+        self.own_evidence = {n: m for n, m in self.own_evidence.items() if now - m.at <= 2 * self.half_life}
 
     def rows(self, now: float) -> list[dict[str, Any]]:
         """For an operator: each subject and topic that somebody finds bad."""
         rows = []
-        for name, here in self.of.items():
-            bad = {o: {"slow": round(k.slow, 2), "age_ms": round(now - k.at)}
-                   for o, k in here.items() if k.slow >= BAD and self.faded(now, k) >= SHOWN}
+        for name, here in self.findings.items():
+            bad = {
+                o: {"slow": round(k.slowness, 2), "age_ms": round(now - k.at)}
+                for o, k in here.items()
+                if k.slowness >= BAD_SLOWNESS and self.decayed(now, k) >= MIN_REPORTED_SLOWNESS
+            }
             if bad:
                 rows.append({"subject": name[0], "topic": name[1], "observers": bad,
                              "verdict": round(self.verdict(now, *name), 2)})
--- a/larklb/health.py
+++ b/larklb/health.py
@@ -11,7 +11,7 @@
 
 from larklb import interface as io
 from larklb.fleet.verdicts import ALL_WORK as ALL_WORK
-from larklb.fleet.verdicts import Mark
+from larklb.fleet.verdicts import DecayingSlowness
 from larklb.quota.ring import digest
 
 # Slowness that an error, a timeout or a refused connection counts as.
@@ -49,7 +49,7 @@
         # This gateway's own judgements: slowness, and the time of the last judgement.
         self.judgements: dict[int, tuple[float, float]] = {}
         # Verdicts of the fleet, without this gateway's own judgements.
-        self.fleet_verdicts: dict[int, Mark] = {}
+        self.fleet_verdicts: dict[int, DecayingSlowness] = {}
         self.last_answer_at = -math.inf
         self.last_sent_at = -math.inf
         # Part of the interval between sends that applies while the server is cold.
@@ -86,7 +86,7 @@
             return own
         return max(
             own,
-            1.0 + (verdict.slow - 1.0) * math.exp2(-max(0.0, now - verdict.at) / self.half_life),
+            1.0 + (verdict.slowness - 1.0) * math.exp2(-max(0.0, now - verdict.at) / self.half_life),
         )
 
     def last_judged_at(self, topics: Sequence[int]) -> float:
--- a/larklb/lab/check_custody.py
+++ b/larklb/lab/check_custody.py
@@ -20,17 +20,17 @@
 
 from larklb.fleet.custody import (
     LEASE_MS,
-    Ask,
-    Beat,
+    ClaimOutcome,
     Custodian,
-    Hand,
-    Kept,
+    CustodyMessage,
+    Heartbeat,
+    HolderSession,
+    JobState,
     Record,
-    Sent,
-    State,
-    Turn,
-    Word,
-    again,
+    Reply,
+    SentAttempt,
+    StoredAnswer,
+    may_send_again,
 )
 from larklb.lab.check import Action
 
@@ -42,7 +42,7 @@
 REACHED = ((0, 1, 2), (0, 1), (1, 2), (0, 2), (0,), (2,), ())
 MOST_LATE = 2              # messages that may arrive later
 
-KEPT_AS = {"keep sent": State.SENT, "keep answer": State.ANSWERED, "keep unknown": State.UNKNOWN}
+KEPT_AS = {"keep sent": JobState.SENT, "keep answer": JobState.ANSWERED, "keep unknown": JobState.UNKNOWN}
 
 Steps = tuple[tuple[str, int], ...]
 #: Deeds of the first try (0) and of the second (10), by what they reach (an index of REACHED), before the
@@ -67,7 +67,7 @@
 class Try:
     """One try at its limiter; ``at`` is the next thing that it does."""
 
-    hand: Hand
+    hand: HolderSession
     at: str = "claim"
     record: Record | None = None
     end: str = ""
@@ -78,7 +78,7 @@
     leaves out a step of whoever holds the job."""
 
     def __init__(self, start: str = "empty", make: Callable[[int, float], Custodian] | None = None,
-                 hand: type[Hand] = Hand, careless: str = "") -> None:
+                 hand: type[HolderSession] = HolderSession, careless: str = "") -> None:
         self.make = make or (lambda number, now: Custodian(number, now, KEEP_MS, 1 << 20))
         self.kind, self.careless = hand, careless
         self.now = 1000.0
@@ -86,7 +86,7 @@
         self.now += KEEP_MS + 1.0
         self.restarted = 0
         self.tries = [self._try(0)]
-        self.late: list[tuple[int, Ask]] = []
+        self.late: list[tuple[int, CustodyMessage]] = []
         self.ran: list[float] = []                      # when the job ran, in its rack
         self.holders: dict[int, int] = {}               # by term
         self.fault = ""
@@ -124,13 +124,13 @@
                 self.tries[n].end = "killed"
             case "beat":
                 for c in self.of:
-                    c.ask(self.now, Beat(self.tries[n].hand.number, 1))
+                    c.handle(self.now, Heartbeat(self.tries[n].hand.number, 1))
             case "restart":
                 self.restarted += 1
                 self.of[n] = self.make(n, self.now)
             case "late":
                 custodian, ask = self.late.pop(n)
-                self.of[custodian].ask(self.now, ask)
+                self.of[custodian].handle(self.now, ask)
             case "step":
                 self._step(self.tries[n // 10], REACHED[n % 10], True)
             case "deaf":
@@ -147,10 +147,10 @@
         if t.at == "claim":
             turn = None
             for i, word in self._words(t.hand.claim(self.now), reached, words):
-                turn = t.hand.voted(i, word) if turn is None else turn
-            if turn is Turn.MINE:
+                turn = t.hand.count_vote(i, word) if turn is None else turn
+            if turn is ClaimOutcome.ACQUIRED:
                 self._mine(t)
-            elif turn is Turn.ENDED:
+            elif turn is ClaimOutcome.ENDED:
                 record = t.hand.record
                 t.end = "answered" if record is not None and record.answer is not None else "failed"
             else:
@@ -166,15 +166,17 @@
             else:
                 t.at = "send" if good else "keep sent"
 
-    def _words(self, ask: Ask, reached: tuple[int, ...], words: bool) -> list[tuple[int, Word | None]]:
-        found: list[tuple[int, Word | None]] = []
+    def _words(
+        self, ask: CustodyMessage, reached: tuple[int, ...], words: bool
+    ) -> list[tuple[int, Reply | None]]:
+        found: list[tuple[int, Reply | None]] = []
         for i in GROUP:
             if i in reached:
-                word = self.of[i].ask(self.now, ask)
+                word = self.of[i].handle(self.now, ask)
                 found.append((i, word if words else None))
             else:
                 found.append((i, None))
-                if len(self.late) < MOST_LATE and not isinstance(ask, Beat):
+                if len(self.late) < MOST_LATE and not isinstance(ask, Heartbeat):
                     self.late.append((i, ask))
         return found
 
@@ -183,21 +185,21 @@
             self.fault = f"term {t.hand.term} has two holders"
         told = t.hand.record
         sent = told.sent if told is not None and self.careless != "forgets" else ()
-        t.record = Record(KEY, BODY, 0, 0, 0, 1, State.SENT, 1e6, sent)
-        t.at = "keep sent" if again(WINDOW, sent) else "keep unknown"
+        t.record = Record(KEY, BODY, 0, 0, 0, 1, JobState.SENT, 1e6, sent)
+        t.at = "keep sent" if may_send_again(WINDOW, sent) else "keep unknown"
         if self.careless == "sends first" and t.at == "keep sent":
             t.at = "send"
 
-    def _keep(self, t: Try, state: State, reached: tuple[int, ...], words: bool) -> bool:
+    def _keep(self, t: Try, state: JobState, reached: tuple[int, ...], words: bool) -> bool:
         assert t.record is not None
         record = msgspec.structs.replace(t.record, state=state)
-        if state is State.SENT:
-            record = msgspec.structs.replace(record, sent=(*record.sent, Sent("s", "a", 0, 0.0)))
-        if state is State.ANSWERED:
-            record = msgspec.structs.replace(record, answer=Kept(200, b"", b"done"))
+        if state is JobState.SENT:
+            record = msgspec.structs.replace(record, sent=(*record.sent, SentAttempt("s", "a", 0, 0.0)))
+        if state is JobState.ANSWERED:
+            record = msgspec.structs.replace(record, answer=StoredAnswer(200, b"", b"done"))
         good = None
         for i, word in self._words(t.hand.keep(self.now, record), reached, words):
-            good = t.hand.kept(i, word) if good is None else good
+            good = t.hand.count_kept(i, word) if good is None else good
         if good:
             t.record = record
         return bool(good)
@@ -266,11 +268,25 @@
 
         custodians = []
         for c in self.of:
-            slot = c.of.get(KEY)
-            beats = tuple(sorted((w, age(b[1])) for w, b in c.beats.items()))
-            custodians.append((age(c.born), beats, None if slot is None else (
-                slot.term, slot.who, slot.start, age(slot.at), age(slot.got), of(slot.record))))
-        tries = tuple((t.at, t.end, t.hand.term, t.hand.step, age(t.hand.until), of(t.record))
+            slot = c.keys.get(KEY)
+            beats = tuple(sorted((w, age(b[1])) for w, b in c.heartbeats.items()))
+            custodians.append(
+                (
+                    age(c.started_at),
+                    beats,
+                    None
+                    if slot is None
+                    else (
+                        slot.term,
+                        slot.holder,
+                        slot.start,
+                        age(slot.last_heard_at),
+                        age(slot.received_at),
+                        of(slot.record),
+                    ),
+                )
+            )
+        tries = tuple((t.at, t.end, t.hand.term, t.hand.step, age(t.hand.lease_until), of(t.record))
                       for t in self.tries)
         late = tuple((i, type(a).__name__, getattr(a, "term", 0), of(getattr(a, "record", None)))
                      for i, a in self.late)
--- a/larklb/lab/check_leases.py
+++ b/larklb/lab/check_leases.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from larklb.fleet.leases import LEASE_MS, Limits, Share, Want
+from larklb.fleet.leases import LEASE_MS, FleetLimits, LeaseReply, LeaseRequest
 from larklb.lab.check import Action
 
 LIMITERS, MOST = 3, 6      # limiters, and attempts at once at the node: a base of 1 for each, 3 are lent
@@ -35,15 +35,15 @@
 }
 
 
-def plain(number: int, now: float) -> Limits:
-    return Limits(number, LIMITERS, now, LONGEST, MOST)
+def plain(number: int, now: float) -> FleetLimits:
+    return FleetLimits(number, LIMITERS, now, LONGEST, MOST)
 
 
 @dataclass
 class One:
     """A limiter and the times at which its attempts began."""
 
-    limits: Limits
+    limits: FleetLimits
     out: list[float] = field(default_factory=list)
     starts: int = 1
 
@@ -51,12 +51,12 @@
 class World:
     """Three limiters; ``make`` gives one's limits, so that tests can put faults into them."""
 
-    def __init__(self, start: str = "empty", make: Callable[[int, float], Limits] = plain) -> None:
+    def __init__(self, start: str = "empty", make: Callable[[int, float], FleetLimits] = plain) -> None:
         self.make = make
         self.now = 1000.0
         self.of = [One(make(i, self.now)) for i in range(LIMITERS)]
         self.lender = self.of[0].limits.lender_of(SUBJECT)
-        self.flying: list[tuple[int, int, Want | Share]] = []
+        self.flying: list[tuple[int, int, LeaseRequest | LeaseReply]] = []
         self.now += 2 * LEASE_MS + LONGEST               # the start is over: the lender lends
         others = [i for i in range(LIMITERS) if i != self.lender]
         who = {"l": self.lender, "a": others[0], "b": others[1], "": 0}
@@ -91,16 +91,16 @@
             case "fill":
                 one = self.of[n]
                 one.out.clear()
-                while len(one.out) < WANTED and one.limits.room(self.now, SUBJECT, len(one.out)):
+                while len(one.out) < WANTED and one.limits.has_slot(self.now, SUBJECT, len(one.out)):
                     one.out.append(self.now)
-                    one.limits.began(self.now, SUBJECT, len(one.out), True)
+                    one.limits.record_attempt(self.now, SUBJECT, len(one.out), True)
             case "restart":
                 self.of[n] = One(self.make(n, self.now), starts=self.of[n].starts + 1)
             case "greet":                                # it has started, and hears what another has of it
                 one = self.of[n]
-                for want in one.limits.fresh(self.now, self.lender, lambda subject: len(one.out)):
+                for want in one.limits.report_holdings(self.now, self.lender, lambda subject: len(one.out)):
                     self._arrive(n, self.lender, want)
-                self.of[self.lender].limits.lender.spoke |= {
+                self.of[self.lender].limits.lender.reported |= {
                     i for i, one in enumerate(self.of) if one.starts > 1} - {self.lender}
             case "lose":
                 self.flying.pop(n)
@@ -109,20 +109,22 @@
                 answers = self._arrive(sender, to, message)
                 self.flying += answers[:MOST_MESSAGES - len(self.flying)]
 
-    def _asks(self, i: int) -> list[tuple[int, int, Want | Share]]:
+    def _asks(self, i: int) -> list[tuple[int, int, LeaseRequest | LeaseReply]]:
         one = self.of[i]
         for _ in range(WANTED - 1):                      # it is short: it asks in haste
-            one.limits.room(self.now, SUBJECT, WANTED)
-        if SUBJECT in one.limits.of:
-            one.limits.of[SUBJECT].asked = -1e9
-        return [(i, to, want) for to, want in one.limits.due(self.now, lambda subject: len(one.out))]
-
-    def _arrive(self, sender: int, to: int, message: Want | Share) -> list[tuple[int, int, Want | Share]]:
+            one.limits.has_slot(self.now, SUBJECT, WANTED)
+        if SUBJECT in one.limits.held:
+            one.limits.held[SUBJECT].requested_at = -1e9
+        return [(i, to, want) for to, want in one.limits.due_requests(self.now, lambda subject: len(one.out))]
+
+    def _arrive(
+        self, sender: int, to: int, message: LeaseRequest | LeaseReply
+    ) -> list[tuple[int, int, LeaseRequest | LeaseReply]]:
         limits = self.of[to].limits
-        if isinstance(message, Share):
-            limits.heard(self.now, message)
+        if isinstance(message, LeaseReply):
+            limits.receive_reply(self.now, message)
             return []
-        share = limits.lender.asked(self.now, sender, message, limits.pool())
+        share = limits.lender.handle_request(self.now, sender, message, limits.pool())
         return [(to, sender, share)] if share is not None else []
 
     def holds(self) -> str:
@@ -156,20 +158,38 @@
 
         numbers = {m.number for _, _, m in self.flying}
         for one in self.of:
-            for held in one.limits.of.values():
+            for held in one.limits.held.values():
                 numbers |= {held.adopted}
-            for grants in one.limits.lender.of.values():
-                numbers |= {n for g in grants.values() for n in (g.number, *(n for n, _ in g.told))}
+            for grants in one.limits.lender.grants.values():
+                numbers |= {n for g in grants.values() for n in (g.number, *(n for n, _ in g.offers))}
         rank = {n: r for r, n in enumerate(sorted(numbers))}
         seen = []
         for one in self.of:
-            mine = one.limits.of.get(SUBJECT)
-            grants = one.limits.lender.of.get(SUBJECT, {})
-            seen.append((tuple(age(at) for at in one.out), one.starts,
-                         (rank[mine.adopted], mine.slots, age(mine.until)) if mine else None,
-                         age(one.limits.lender.quiet_until),
-                         tuple(sorted((h, rank[g.number], age(g.until), g.used, g.wanted,
-                                       tuple((rank[n], s) for n, s in g.told)) for h, g in grants.items()))))
-        flying = tuple((s, t, rank[m.number], m[2:] if isinstance(m, Share) else (rank.get(m.adopted), m[3:]))
-                       for s, t, m in self.flying)
+            mine = one.limits.held.get(SUBJECT)
+            grants = one.limits.lender.grants.get(SUBJECT, {})
+            seen.append(
+                (
+                    tuple(age(at) for at in one.out),
+                    one.starts,
+                    (rank[mine.adopted], mine.slots, age(mine.expires_at)) if mine else None,
+                    age(one.limits.lender.recovering_until),
+                    tuple(
+                        sorted(
+                            (
+                                h,
+                                rank[g.number],
+                                age(g.expires_at),
+                                g.used,
+                                g.wanted,
+                                tuple((rank[n], s) for n, s in g.offers),
+                            )
+                            for h, g in grants.items()
+                        )
+                    ),
+                )
+            )
+        flying = tuple(
+            (s, t, rank[m.number], m[2:] if isinstance(m, LeaseReply) else (rank.get(m.adopted), m[3:]))
+            for s, t, m in self.flying
+        )
         return tuple(seen), flying
--- a/larklb/lab/check_verdicts.py
+++ b/larklb/lab/check_verdicts.py
@@ -10,7 +10,7 @@
 
 from collections.abc import Callable
 
-from larklb.fleet.verdicts import BAD, QUORUM, Finding, Verdicts
+from larklb.fleet.verdicts import BAD_SLOWNESS, QUORUM, Finding, Verdicts
 from larklb.lab.check import Action
 
 LIMITERS = 3
@@ -43,7 +43,7 @@
             found += [("bad", i), ("good", i)]
             if self.starts[i] < 2:
                 found.append(("restart", i))
-            if len(self.flying) < MOST_MESSAGES and v.fresh:
+            if len(self.flying) < MOST_MESSAGES and v.unsent:
                 found += [("tell", i * LIMITERS + j) for j in range(LIMITERS) if j != i]
         for n in range(len(self.flying)):
             found += [("deliver", n), ("repeat", n), ("lose", n)]
@@ -54,7 +54,7 @@
         match name:
             case "bad" | "good":
                 self.now += STEP
-                self.of[n].found(self.now, SUBJECT, TOPIC, 8.0 if name == "bad" else 1.0)
+                self.of[n].record_evidence(self.now, SUBJECT, TOPIC, 8.0 if name == "bad" else 1.0)
                 self.found |= {n} if name == "bad" else set()
             case "restart":
                 self.starts[n] += 1
@@ -67,22 +67,22 @@
                 self.flying.pop(n)
             case _:
                 sender, to, finding = self.flying[n] if name == "repeat" else self.flying.pop(n)
-                self.of[to].heard(self.now, sender, finding)
+                self.of[to].receive(self.now, sender, finding)
 
     def _tell(self, sender: int, to: int) -> None:
-        for finding in self.of[sender].riders(self.now, to, 1):
+        for finding in self.of[sender].findings_for(self.now, to, 1):
             if self.cut is None or self.cut not in (sender, to):
                 self.flying.append((sender, to, finding))
 
     def holds(self) -> str:
         """What does not hold here, if anything."""
         for i, v in enumerate(self.of):
-            bad = {o for o, k in v.of.get(NAME, {}).items() if k.slow >= BAD and o != i}
-            if v.verdict(self.now, *NAME) >= BAD and len(bad) < QUORUM:
+            bad = {o for o, k in v.findings.get(NAME, {}).items() if k.slowness >= BAD_SLOWNESS and o != i}
+            if v.verdict(self.now, *NAME) >= BAD_SLOWNESS and len(bad) < QUORUM:
                 return f"limiter {i} condemns on the word of {sorted(bad)}"
             if bad - self.found:
                 return f"limiter {i} believes that {sorted(bad - self.found)} found it bad, and they did not"
-            if i in {o for o, k in v.of.get(NAME, {}).items() if k.came_from != i}:
+            if i in {o for o, k in v.findings.get(NAME, {}).items() if k.source != i}:
                 return f"limiter {i} took its own former word for news"
         return ""
 
@@ -92,12 +92,12 @@
         for _ in range(3):
             for sender in range(LIMITERS):
                 for to in range(LIMITERS):
-                    for name, here in self.of[sender].of.items() if sender != to else ():
+                    for name, here in self.of[sender].findings.items() if sender != to else ():
                         for o, k in here.items():
-                            told = Finding(*name, k.slow, self.now - k.at, o, k.stamp)
-                            self.of[to].heard(self.now, sender, told)
+                            told = Finding(*name, k.slowness, self.now - k.at, o, k.stamp)
+                            self.of[to].receive(self.now, sender, told)
             for sender, to, finding in old:
-                self.of[to].heard(self.now, sender, finding)
+                self.of[to].receive(self.now, sender, finding)
         for i in range(LIMITERS):
             for j in range(i):
                 # What each says of itself after a restart it has forgotten; of third ones all know the same.
@@ -108,16 +108,26 @@
         return self.holds()
 
     def _known(self, limiter: int, observer: int) -> tuple[float, int] | None:
-        known = self.of[limiter].of.get(NAME, {}).get(observer)
-        return (known.slow, known.stamp) if known is not None else None
+        known = self.of[limiter].findings.get(NAME, {}).get(observer)
+        return (known.slowness, known.stamp) if known is not None else None
 
     def looks(self) -> object:
         """Worlds that look alike go on alike; stamps are told apart by their order alone."""
-        stamps = sorted({k.stamp for v in self.of for k in v.of.get(NAME, {}).values()}
+        stamps = sorted({k.stamp for v in self.of for k in v.findings.get(NAME, {}).values()}
                         | {f.stamp for _, _, f in self.flying})
         rank = {stamp: n for n, stamp in enumerate(stamps)}
-        known = tuple((tuple(sorted((o, k.slow, rank[k.stamp], k.tells, k.came_from, tuple(sorted(k.told)))
-                                    for o, k in v.of.get(NAME, {}).items())),
-                       tuple(v.fresh), v.looked.get(NAME, (0.0, 0.0))[0] >= BAD) for v in self.of)
-        flying = tuple((s, t, f.observer, f.slow, rank[f.stamp]) for s, t, f in self.flying)
+        known = tuple(
+            (
+                tuple(
+                    sorted(
+                        (o, k.slowness, rank[k.stamp], k.remaining_sends, k.source, tuple(sorted(k.sent_to)))
+                        for o, k in v.findings.get(NAME, {}).items()
+                    )
+                ),
+                tuple(v.unsent),
+                v.own_evidence.get(NAME, (0.0, 0.0))[0] >= BAD_SLOWNESS,
+            )
+            for v in self.of
+        )
+        flying = tuple((s, t, f.observer, f.slowness, rank[f.stamp]) for s, t, f in self.flying)
         return known, tuple(self.starts), flying, self.cut, tuple(self.found)
--- a/larklb/lab/spread.py
+++ b/larklb/lab/spread.py
@@ -1,7 +1,7 @@
 """How findings go round in fleets of any size: the words of many limiters alone, in simulated time.
 
 Each limiter asks its neighbours as in service, so that inboxes are used; what rides along is the program's
-own (``fleet/words.py``).  The network loses and delays, and an inbox takes so many messages a second.
+own (``fleet/outbox.py``).  The network loses and delays, and an inbox takes so many messages a second.
 """
 
 from __future__ import annotations
@@ -14,9 +14,9 @@
 
 from larklb import interface as io
 from larklb import peerwire as pw
-from larklb.fleet.pace import Pace
-from larklb.fleet.verdicts import BAD, SPREAD_MS, Finding, Verdicts
-from larklb.fleet.words import Words
+from larklb.fleet.outbox import Outbox
+from larklb.fleet.pace import PeerPacer
+from larklb.fleet.verdicts import BAD_SLOWNESS, GOSSIP_INTERVAL_MS, Finding, Verdicts
 from larklb.quota.entitlements import Entitlements
 from larklb.quota.fallback import Fallback
 
@@ -34,9 +34,9 @@
 @dataclass
 class Limiter:
     number: int
-    pace: Pace
+    pace: PeerPacer
     verdicts: Verdicts
-    words: Words
+    outbox: Outbox
     heard: dict[int, float] = field(default_factory=dict)
     inbox: deque[float] = field(default_factory=deque)
 
@@ -47,15 +47,15 @@
 
     def __init__(self, number: int, gateways: int, half_life: float) -> None:
         super().__init__(number, gateways, half_life)
-        self.quorum, self.tells = 1, 1 << 30
+        self.quorum, self.sends_per_finding = 1, 1 << 30
 
-    def grave(self, now: float) -> bool:
+    def has_severe_unsent(self, now: float) -> bool:
         return False
 
-    def riders(self, now: float, peer: int, most: int) -> Iterator[Finding]:
-        for name, observer in list(reversed(self.fresh))[:most]:
-            k = self.of[name][observer]
-            yield Finding(*name, k.slow, now - k.at, observer, k.stamp)
+    def findings_for(self, now: float, peer: int, most: int) -> Iterator[Finding]:
+        for name, observer in list(reversed(self.unsent))[:most]:
+            k = self.findings[name][observer]
+            yield Finding(*name, k.slowness, now - k.at, observer, k.stamp)
 
 
 class Fleet:
@@ -73,15 +73,15 @@
         self.wrongly: set[tuple[int, int]] = set()     # (limiter, subject) condemned, and nothing was wrong
         self.of = [self._limiter(i, make) for i in range(limiters)]
         for x in self.of:
-            self.at(self.chance.uniform(0.0, SPREAD_MS), lambda x=x: self._spread(x))       # type: ignore[misc]
+            self.at(self.chance.uniform(0.0, GOSSIP_INTERVAL_MS), lambda x=x: self._spread(x))       # type: ignore[misc]
             self.at(self.chance.uniform(0.0, 1000.0 / ASKS), lambda x=x: self._ask(x))      # type: ignore[misc]
 
     def _limiter(self, number: int, make: Make) -> Limiter:
         settings = io.Settings(number=number, gateways=self.count, inbox_per_s=INBOX, tick=TICK,
                                classes=(io.ServiceClass("c", AIM, 4000.0),), plans=(io.Plan("p"),))
-        pace, verdicts = Pace(INBOX, TICK, AIM), make(number, self.count, HALF)
+        pace, verdicts = PeerPacer(INBOX, TICK, AIM), make(number, self.count, HALF)
         alone = Fallback(settings, Entitlements(settings.plans), -1e6)
-        return Limiter(number, pace, verdicts, Words(number, AIM, pace, alone, verdicts))
+        return Limiter(number, pace, verdicts, Outbox(number, AIM, pace, alone, verdicts))
 
     def at(self, when: float, act: Callable[[], object]) -> None:
         self.order += 1
@@ -113,17 +113,17 @@
 
     def _finds(self, number: int, subject: int) -> None:
         x = self.of[number]
-        x.verdicts.looked.clear()          # many other things are in order: it does not doubt itself
-        x.verdicts.found(self.now, subject, TOPIC, 12.0)
+        x.verdicts.own_evidence.clear()          # many other things are in order: it does not doubt itself
+        x.verdicts.record_evidence(self.now, subject, TOPIC, 12.0)
 
     # Words --------------------------------------------------------------------------------
 
     def _spread(self, x: Limiter) -> None:
-        self.at(self.now + SPREAD_MS, lambda: self._spread(x))
-        if x.verdicts.grave(self.now):
+        self.at(self.now + GOSSIP_INTERVAL_MS, lambda: self._spread(x))
+        if x.verdicts.has_severe_unsent(self.now):
             peer = self.chance.randrange(self.count)
             if peer != x.number:
-                x.words.wake(peer)
+                x.outbox.request_message(peer)
                 self._flush(x, peer)
 
     def _ask(self, x: Limiter) -> None:
@@ -133,14 +133,14 @@
         if peers:
             peer = self.chance.choice(peers)
             self.asks += 1
-            x.words.tell(peer, pw.Ask(1, x.number, 0, 1.0, 4000.0, 1.0))
+            x.outbox.send(peer, pw.Ask(1, x.number, 0, 1.0, 4000.0, 1.0))
             self._flush(x, peer)
 
     def _flush(self, x: Limiter, peer: int) -> None:
-        if peer not in x.words.dirty:
+        if peer not in x.outbox.send_at:
             return
         heard = sum(self.now - at <= 1000.0 for at in x.heard.values())
-        for found in x.words.flush(self.now, peer, heard, lambda: ()):
+        for found in x.outbox.flush(self.now, peer, heard, lambda: ()):
             if isinstance(found, bytes):
                 self._tell(x.number, peer, found)
             else:
@@ -161,20 +161,20 @@
             return
         x.inbox.append(self.now)
         x.heard[sender] = self.now
-        x.pace.arrived(self.now, sender)
+        x.pace.record_arrival(self.now, sender)
         for item in pw.unpack(data):
             match item:
                 case pw.Loads(((pw.INBOX, allowed), *_)):
-                    x.pace.told(self.now, sender, allowed / pw.SIXTEENTHS)
+                    x.pace.record_allowance(self.now, sender, allowed / pw.SIXTEENTHS)
                 case pw.Ask():
-                    x.words.tell(sender, pw.Verdict(item.number, True, 1.0, 0))
+                    x.outbox.send(sender, pw.Verdict(item.number, True, 1.0, 0))
                     self._flush(x, sender)
                 case Finding():
-                    x.verdicts.heard(self.now, sender, item)
+                    x.verdicts.receive(self.now, sender, item)
                     self._look(x, item.subject)
 
     def _look(self, x: Limiter, subject: int) -> None:
-        if x.verdicts.verdict(self.now, subject, TOPIC) >= BAD:
+        if x.verdicts.verdict(self.now, subject, TOPIC) >= BAD_SLOWNESS:
             if subject not in self.since:
                 self.wrongly.add((x.number, subject))
             elif x.number not in self.ages[subject]:
--- a/larklb/lab/zones.py
+++ b/larklb/lab/zones.py
@@ -109,7 +109,7 @@
     def begin(self, i: int) -> None:
         super().begin(i)
         zones = self.gateways[i].zones
-        zones.allowed = zones.on = self.day.on
+        zones.leaving_enabled = zones.active = self.day.on
         self._told(i, [n for n in self.nodes.values() if n.started >= 0])
 
     # The network --------------------------------------------------------------------------
@@ -227,15 +227,15 @@
         gateway = self.gateways.get(i)
         if gateway is None:
             return
-        for name in gateway.zones.parts:
-            if gateway.zones.of[name].state == "away":
+        for name in gateway.zones.reduced_fractions:
+            if gateway.zones.by_name[name].state == "away":
                 here = self.left.setdefault(name, {})
                 if i not in here:
                     here[i] = self.now
                     self.alarms += not any(f.at <= self.now and (f.zone == name or f.what == "cut")
                                            for f in self.day.faults)
         for name in self.left:
-            if name in gateway.zones.parts:
+            if name in gateway.zones.reduced_fractions:
                 self.home.get(name, {}).pop(i, None)
             elif i in self.left[name]:
                 self.home.setdefault(name, {}).setdefault(i, self.now)
--- a/larklb/net/execute.py
+++ b/larklb/net/execute.py
@@ -81,7 +81,7 @@
         self.pools: defaultdict[Place, list[Link]] = defaultdict(list)
         self.links: Counter[str] = Counter()     # connections by node, those coming up with them
         self.limits = core.gateway.limits        # of the whole fleet
-        self.limits.links = self._links
+        self.limits.open_connections = self._links
         self._sweep()
 
     def renew(self, config: Config) -> None:
--- a/larklb/net/front.py
+++ b/larklb/net/front.py
@@ -17,7 +17,7 @@
 from larklb import interface as io
 from larklb.core import Core, Job
 from larklb.fields import MalformedError, account, decimal, quota_info
-from larklb.fleet.custody import LEASE_MS, Kept
+from larklb.fleet.custody import LEASE_MS, StoredAnswer
 from larklb.net.bulk import STALL, BrokenOffError, Upload
 from larklb.net.console import MOST_AT_ONCE
 from larklb.net.execute import Content, Ended, ExecuteNodes
@@ -511,7 +511,7 @@
             self.core.counters.add("custody.without")        # what flows cannot be kept
             return None
         taken = await self.keeper.take(request, content, key, repeat, link.reader.ended)
-        if not isinstance(taken, Kept):
+        if not isinstance(taken, StoredAnswer):
             return taken
         later = min(self.core.settings.max_retry_after, LEASE_MS) if taken.status == 503 else 0.0
         return Answer(taken.status, taken.body, taken.kind or b"text/plain", later)
--- a/larklb/net/keeper.py
+++ b/larklb/net/keeper.py
@@ -22,7 +22,17 @@
 from larklb.core import Core, Job
 from larklb.counters import Counters
 from larklb.fleet import custody as cu
-from larklb.fleet.custody import Ask, Custodian, Hand, Kept, Record, Sent, State, Turn, Word
+from larklb.fleet.custody import (
+    ClaimOutcome,
+    Custodian,
+    CustodyMessage,
+    HolderSession,
+    JobState,
+    Record,
+    Reply,
+    SentAttempt,
+    StoredAnswer,
+)
 from larklb.net.execute import Content, ExecuteNodes
 from larklb.net.http import MOST_BODY
 from larklb.net.link import Links
@@ -46,7 +56,7 @@
 class Hold:
     """A job in this limiter's hand."""
 
-    def __init__(self, keeper: Keeper, hand: Hand, record: Record) -> None:
+    def __init__(self, keeper: Keeper, hand: HolderSession, record: Record) -> None:
         self.keeper, self.hand, self.record = keeper, hand, record
         now = keeper.now()
         self.sent = [(s, now - s.age) for s in record.sent]      # attempts, and when they left
@@ -54,17 +64,17 @@
         self.over = False
         self.began = False                         # an attempt of this very try may have left
 
-    def told_sent(self) -> tuple[Sent, ...]:
+    def told_sent(self) -> tuple[SentAttempt, ...]:
         """What was sent, with its ages now."""
         now = self.keeper.now()
         return tuple(msgspec.structs.replace(s, age=now - at) for s, at in self.sent)
 
-    def _record(self, state: State, answer: Kept | None = None, why: str = "") -> Record:
+    def _record(self, state: JobState, answer: StoredAnswer | None = None, why: str = "") -> Record:
         now, sent = self.keeper.now(), self.told_sent()
-        if len(sent) > cu.SENT_MOST:               # the first decides what may follow
-            sent = (sent[0], *sent[1 - cu.SENT_MOST:])
+        if len(sent) > cu.MAX_RECORDED_ATTEMPTS:               # the first decides what may follow
+            sent = (sent[0], *sent[1 - cu.MAX_RECORDED_ATTEMPTS:])
         return msgspec.structs.replace(self.record, state=state, left=self.due - now, sent=sent,
-                                       paid=self.record.paid or bool(sent), answer=answer, why=why)
+                                       paid=self.record.paid or bool(sent), answer=answer, reason=why)
 
     def before(self) -> tuple[io.EarlierAttempt, ...]:
         """What an earlier holder may have sent, for the module."""
@@ -79,9 +89,9 @@
         """An attempt is about to leave: False where it must not, since this limiter cannot be sure any more
         that the job is its own."""
         entry = self.keeper.core.gateway.servers[server].entry
-        self.sent.append((Sent(server, entry.zone, entry.cell, 0.0), self.keeper.now()))
+        self.sent.append((SentAttempt(server, entry.zone, entry.cell, 0.0), self.keeper.now()))
         self.keeper.step("before send")
-        if not await self.keep(State.SENT) or not self.hand.may_send(self.keeper.now()):
+        if not await self.keep(JobState.SENT) or not self.hand.may_send(self.keeper.now()):
             self.sent.pop()
             return False
         self.began = True
@@ -94,21 +104,21 @@
         same, and the submitter's one answer to this try."""
         self.keeper.step("answer read")
         self.over = True
-        good = await self.keep(State.ANSWERED, Kept(status, kind, body))
+        good = await self.keep(JobState.ANSWERED, StoredAnswer(status, kind, body))
         self.keeper.drop(self)
         self.keeper.step("answer kept")
-        word = "kept" if good else "fenced" if self.hand.fenced() else "unkept"
+        word = "kept" if good else "fenced" if self.hand.is_fenced() else "unkept"
         self.keeper.counters.add(f"custody.{word}")
 
-    async def keep(self, state: State, answer: Kept | None = None, why: str = "") -> bool:
+    async def keep(self, state: JobState, answer: StoredAnswer | None = None, why: str = "") -> bool:
         """Whether two custodians have it now; without its contents, where there is no room for them."""
         record = self._record(state, answer, why)
         if await self.keeper.keep(self.hand, record):
             return True
-        if any(w.say is cu.Say.FULL for w in self.hand.words.values()):
+        if any(w.kind is cu.ReplyKind.FULL for w in self.hand.replies.values()):
             self.keeper.counters.add("custody.full")
             if answer is not None:                   # what is not kept cannot be given again
-                record = msgspec.structs.replace(record, state=State.RELEASED, answer=None)
+                record = msgspec.structs.replace(record, state=JobState.RELEASED, answer=None)
             return await self.keeper.keep(self.hand, msgspec.structs.replace(record, content=None))
         return False
 
@@ -134,7 +144,7 @@
         self.custodian = Custodian(self.number, core.wheel.now(), entry.keep_s * 1000.0,
                                    int(entry.most_mb * 1e6))
         self.links = Links(self.number, config.peers, counters,
-                           lambda ask: self.custodian.ask(core.wheel.now(), ask))
+                           lambda ask: self.custodian.handle(core.wheel.now(), ask))
         self.leaving = False
         self.hands: dict[int, Hold | None] = {}                  # by key; None while it is claimed
         self.tasks: set[asyncio.Task[None]] = set()
@@ -158,7 +168,7 @@
         self.leaving = True
         until = self.now() + max(c.deadline for c in self.core.settings.classes)
         while self.tasks and self.now() < until:
-            await asyncio.wait(self.tasks, timeout=cu.LOOK_MS / 1000.0)
+            await asyncio.wait(self.tasks, timeout=cu.ORPHAN_SCAN_MS / 1000.0)
         for task in (*self.upkeep, *self.tasks):
             task.cancel()
         await asyncio.gather(*self.upkeep, *self.tasks, return_exceptions=True)
@@ -173,7 +183,7 @@
     # A submitter's try --------------------------------------------------------------------
 
     async def take(self, request: io.Request, content: Content, key: bytes, repeat: bool,
-                   gone: Callable[[], bool]) -> Hold | Kept | None:
+                   gone: Callable[[], bool]) -> Hold | StoredAnswer | None:
         """The job in this limiter's hand, or what its submitter is to be told at once: an answer that was
         kept, 502 where nobody may send it again, 409 where the key came with another body, 503 where
         somebody has it until this try's time is up, or nobody can say.  None: it goes on without custody."""
@@ -182,34 +192,40 @@
         body = digest(content.body.hex()) & 0xFFFFFFFF
         while k in self.hands:                       # another try of it came here, too
             if gone() or self.now() >= request.due - SPARE_MS:
-                return Kept(503, b"", b"")
+                return StoredAnswer(503, b"", b"")
             await asyncio.sleep(POLL_MS / 1000.0)
         self.hands[k] = None
         try:
-            hand = Hand(self.number, self.start_number, k, body, cu.group_of(k, self.limiters, self.zones),
-                        first=self.entry.marked and not repeat)
+            hand = HolderSession(
+                self.number,
+                self.start_number,
+                k,
+                body,
+                cu.group_of(k, self.limiters, self.zones),
+                first=self.entry.marked and not repeat,
+            )
             turn = await self._claim(hand, lambda: gone() or self.now() >= request.due - SPARE_MS)
-            if turn is Turn.ENDED:
+            if turn is ClaimOutcome.ENDED:
                 self.counters.add("custody.given")
                 record = hand.record
-                return record.answer if record is not None and record.answer else Kept(502, b"", b"")
-            if turn is Turn.OTHER:
-                return Kept(409, b"text/plain", b"this key came with another body")
-            if turn is not Turn.MINE:
-                self.counters.add("custody.unsure" if turn is Turn.UNSURE else "custody.elsewhere")
-                without = turn is Turn.UNSURE and not repeat and self.entry.lost == "serve"
+                return record.answer if record is not None and record.answer else StoredAnswer(502, b"", b"")
+            if turn is ClaimOutcome.BODY_MISMATCH:
+                return StoredAnswer(409, b"text/plain", b"this key came with another body")
+            if turn is not ClaimOutcome.ACQUIRED:
+                self.counters.add("custody.unsure" if turn is ClaimOutcome.UNSURE else "custody.elsewhere")
+                without = turn is ClaimOutcome.UNSURE and not repeat and self.entry.lost == "serve"
                 if without:
                     self.counters.add("custody.without")
-                return None if without else Kept(503, b"", b"")
+                return None if without else StoredAnswer(503, b"", b"")
             hold = self._hold(hand, request, content)
             self.step("before copy")
-            if hold.sent and not cu.again(window, hold.record.sent):
+            if hold.sent and not cu.may_send_again(window, hold.record.sent):
                 return await self._unknown(hold)
             if hold.sent:
                 self.counters.add("custody.joined")
-                if not await hold.keep(State.SENT):
+                if not await hold.keep(JobState.SENT):
                     hold.close()
-                    return Kept(503, b"", b"")
+                    return StoredAnswer(503, b"", b"")
             self.hands[k] = hold
             if not hold.sent:
                 self.core.wheel.after(HELD_MS, self._held, hold)
@@ -218,11 +234,11 @@
             if self.hands.get(k) is None:
                 self.hands.pop(k, None)
 
-    def _hold(self, hand: Hand, request: io.Request, content: Content) -> Hold:
+    def _hold(self, hand: HolderSession, request: io.Request, content: Content) -> Hold:
         """What was told with the term, and this try's own request in place of an earlier one."""
         told = hand.record
         record = Record(
-            hand.key, hand.body, hand.term, 0, self.number, self.start_number, State.HELD,
+            hand.key, hand.body, hand.term, 0, self.number, self.start_number, JobState.HELD,
             request.due - self.now(), told.sent if told is not None else (), told is not None and told.paid,
             content=cu.Content(request.request, content.method, content.target, content.headers, content.body,
                                request.service, request.plan, request.customer, request.units, request.first,
@@ -233,43 +249,43 @@
         """A job that still waits for its send is told with its contents, so that it can be sent without its
         holder; nobody waits for the words."""
         if not hold.sent and not hold.over:
-            record = msgspec.structs.replace(hold.record, state=State.HELD, left=hold.due - self.now(),
+            record = msgspec.structs.replace(hold.record, state=JobState.HELD, left=hold.due - self.now(),
                                              term=hold.hand.term, step=0)
             self.links.ask(hold.hand.group, cu.Keep(record), _unheard)
 
-    async def _unknown(self, hold: Hold) -> Kept:
+    async def _unknown(self, hold: Hold) -> StoredAnswer:
         hold.over = True
         why = f"it was sent to {hold.sent[0][0].node}, and its class allows no other send now"
-        await hold.keep(State.UNKNOWN, why=why)
+        await hold.keep(JobState.UNKNOWN, why=why)
         self.counters.add("custody.unknown")
-        return Kept(502, b"", b"")
+        return StoredAnswer(502, b"", b"")
 
-    async def _claim(self, hand: Hand, enough: Callable[[], bool]) -> Turn:
+    async def _claim(self, hand: HolderSession, enough: Callable[[], bool]) -> ClaimOutcome:
         """Until the job is in this hand, or it is sure that it will not be."""
         while True:
-            turn = await self._round(hand.group, hand.claim(self.now()), hand.voted)
-            if turn in (Turn.MINE, Turn.ENDED, Turn.OTHER):
-                return turn or Turn.UNSURE
+            turn = await self._round(hand.group, hand.claim(self.now()), hand.count_vote)
+            if turn in (ClaimOutcome.ACQUIRED, ClaimOutcome.ENDED, ClaimOutcome.BODY_MISMATCH):
+                return turn or ClaimOutcome.UNSURE
             self.links.ask(hand.group, hand.withdraw(), _unheard)
-            if turn in (None, Turn.UNSURE):
-                return Turn.UNSURE
+            if turn in (None, ClaimOutcome.UNSURE):
+                return ClaimOutcome.UNSURE
             if enough():
-                return Turn.WAIT
-            pause = POLL_MS if turn is Turn.WAIT else self.random.uniform(0.2, 1.0) * DUEL_MS
+                return ClaimOutcome.WAIT
+            pause = POLL_MS if turn is ClaimOutcome.WAIT else self.random.uniform(0.2, 1.0) * DUEL_MS
             await asyncio.sleep(pause / 1000.0)
 
-    async def keep(self, hand: Hand, record: Record) -> bool:
+    async def keep(self, hand: HolderSession, record: Record) -> bool:
         """Whether two custodians have the record under the hand's term now."""
-        return bool(await self._round(hand.group, hand.keep(self.now(), record), hand.kept))
+        return bool(await self._round(hand.group, hand.keep(self.now(), record), hand.count_kept))
 
-    async def _round(self, group: tuple[int, ...], ask: Ask,
-                     judge: Callable[[int, Word | None], T | None]) -> T | None:
+    async def _round(self, group: tuple[int, ...], ask: CustodyMessage,
+                     judge: Callable[[int, Reply | None], T | None]) -> T | None:
         """Asks a group; what ``judge`` makes of its words as soon as that is sure."""
         loop = asyncio.get_running_loop()
         done: asyncio.Future[T | None] = loop.create_future()
         missing = set(group)
 
-        def heard(custodian: int, word: Word | None) -> None:
+        def heard(custodian: int, word: Reply | None) -> None:
             missing.discard(custodian)
             if not done.done() and ((found := judge(custodian, word)) is not None or not missing):
                 done.set_result(found)
@@ -279,7 +295,7 @@
                 self.links.give_up(custodian)
                 heard(custodian, None)
 
-        timer = loop.call_later(cu.WORD_MS / 1000.0, late)
+        timer = loop.call_later(cu.REPLY_TIMEOUT_MS / 1000.0, late)
         self.links.ask(group, ask, heard)
         try:
             return await done
@@ -306,7 +322,7 @@
     async def _release(self, hold: Hold) -> None:
         try:
             for _ in range(RELEASES):
-                if await hold.keep(State.RELEASED) or hold.hand.fenced():
+                if await hold.keep(JobState.RELEASED) or hold.hand.is_fenced():
                     return
                 await asyncio.sleep(RELEASE_S)
         finally:
@@ -317,8 +333,8 @@
     async def _beat(self) -> None:
         """Custodians of what is in hand here hear that this limiter is there."""
         while True:
-            await asyncio.sleep(cu.BEAT_MS / 1000.0)
-            beat = cu.Beat(self.number, self.start_number)
+            await asyncio.sleep(cu.HEARTBEAT_MS / 1000.0)
+            beat = cu.Heartbeat(self.number, self.start_number)
             for i in {i for hold in self.hands.values() if hold is not None for i in hold.hand.group}:
                 if not self.links.busy(i):           # what waits there tells as much
                     self.links.ask((i,), beat, _unheard)
@@ -327,7 +343,7 @@
     async def _orphans(self) -> None:
         """Jobs whose holder is lost are finished here, where it is this custodian's turn."""
         while True:
-            await asyncio.sleep(cu.LOOK_MS / 1000.0)
+            await asyncio.sleep(cu.ORPHAN_SCAN_MS / 1000.0)
             orphans = () if self.leaving or self.phase.leaving else self.custodian.orphans(
                 self.now(), self.limiters, self.zones)
             for record, term in list(orphans):
@@ -339,18 +355,18 @@
     async def _inherit(self, record: Record, term: int) -> None:
         """Finishes a job that lost its holder, as its class allows."""
         try:
-            hand = Hand(self.number, self.start_number, record.key, record.body,
+            hand = HolderSession(self.number, self.start_number, record.key, record.body,
                         cu.group_of(record.key, self.limiters, self.zones))
             hand.term, rounds = term, itertools.count(1)
             turn = await self._claim(hand, lambda: next(rounds) >= ROUNDS)
             told = hand.record
-            if turn is not Turn.MINE or told is None or told.content is None or told.left <= 0:
+            if turn is not ClaimOutcome.ACQUIRED or told is None or told.content is None or told.left <= 0:
                 return
             hold, cls = Hold(self, hand, told), self.core.classes.get(told.content.service)
-            if hold.sent and (cls is None or not cu.again(cls.window, told.sent)):
+            if hold.sent and (cls is None or not cu.may_send_again(cls.window, told.sent)):
                 await self._unknown(hold)
                 return
-            if not await hold.keep(told.state if told.state is not State.RELEASED else State.HELD):
+            if not await hold.keep(told.state if told.state is not JobState.RELEASED else JobState.HELD):
                 return
             self.hands[record.key] = hold
             self.counters.add("custody.inherited")
@@ -379,7 +395,7 @@
                         await hold.answered(200, ended.kind, ended.body)
                     return
             # Its attempts came to nothing: while its class allows another, its submitter may come for it.
-            if hold.sent and not cu.again(window, hold.told_sent()):
+            if hold.sent and not cu.may_send_again(window, hold.told_sent()):
                 await self._unknown(hold)
         finally:
             hold.close()
@@ -405,7 +421,7 @@
         return rows
 
 
-def _unheard(custodian: int, word: Word | None) -> None:
+def _unheard(custodian: int, word: Reply | None) -> None:
     """Nobody waits for a word."""
 
 
--- a/larklb/net/link.py
+++ b/larklb/net/link.py
@@ -17,7 +17,7 @@
 import msgspec
 
 from larklb.counters import Counters
-from larklb.fleet.custody import Ask, Word
+from larklb.fleet.custody import CustodyMessage, Reply
 
 log = logging.getLogger(__name__)
 
@@ -31,7 +31,7 @@
 
 class _Question(msgspec.Struct, array_like=True):
     number: int
-    ask: Ask
+    ask: CustodyMessage
 
 
 class _Packed(msgspec.Struct, array_like=True):
@@ -43,10 +43,10 @@
 
 class _Answer(msgspec.Struct, array_like=True):
     number: int
-    word: Word
+    word: Reply
 
 
-Heard = Callable[[Word | None], object]
+Heard = Callable[[Reply | None], object]
 
 _ENCODE = msgspec.msgpack.Encoder()
 _QUESTION, _ANSWER = msgspec.msgpack.Decoder(_Question), msgspec.msgpack.Decoder(_Answer)
@@ -89,7 +89,7 @@
     """To the other limiters, and from them."""
 
     def __init__(self, number: int, addresses: tuple[tuple[str, int], ...], counters: Counters,
-                 answer: Callable[[Ask], Word]) -> None:
+                 answer: Callable[[CustodyMessage], Reply]) -> None:
         """``addresses`` of all limiters by number; ``answer`` to a question of another."""
         self.number, self.counters, self.answer = number, counters, answer
         self.to = {i: _To(address) for i, address in enumerate(addresses) if i != number}
@@ -101,7 +101,9 @@
         """OSError where the address cannot be had."""
         self.server = await asyncio.start_server(self._serve, host, port, limit=MOST_FRAME)
 
-    def ask(self, limiters: Iterable[int], ask: Ask, heard: Callable[[int, Word | None], object]) -> None:
+    def ask(
+        self, limiters: Iterable[int], ask: CustodyMessage, heard: Callable[[int, Reply | None], object]
+    ) -> None:
         """To some limiters; ``heard`` is called once for each with its word, or with None where its
         connection is lost before.  Who waits for it no longer calls ``give_up``."""
         packed = None
--- a/larklb/peer_messaging.py
+++ b/larklb/peer_messaging.py
@@ -12,8 +12,8 @@
 from larklb import decision_constants as const
 from larklb import interface as io
 from larklb import peerwire as pw
-from larklb.fleet.verdicts import SPREAD_MS, Verdicts
-from larklb.fleet.words import Words
+from larklb.fleet.outbox import Outbox
+from larklb.fleet.verdicts import GOSSIP_INTERVAL_MS, Verdicts
 from larklb.quota.fallback import REPORT_MS, Fallback
 from larklb.servers import Servers
 
@@ -26,7 +26,7 @@
     verdicts: Verdicts
     server_pool: Servers
     fallback: Fallback
-    words: Words
+    outbox: Outbox
     timers: dict[int, Callable[[float], object]]
     timer_ids: Iterator[int]
     actions: list[io.Action]
@@ -40,7 +40,7 @@
     def _queue_message(self, peer: int, item: pw.Item) -> None:
         """Queues an item for a peer; it is sent as soon as the pace allows."""
         if self.settings.can_tell:
-            self.words.tell(peer, item)
+            self.outbox.send(peer, item)
 
     def _announce_start(self, now: float) -> None:
         """Announces the start repeatedly during start-up.
@@ -56,19 +56,19 @@
     def _queue_wakeup(self, peer: int) -> None:
         """Queues a message to a peer that carries whatever is pending for it."""
         if self.settings.can_tell:
-            self.words.wake(peer)
+            self.outbox.request_message(peer)
 
     def _request_reply(self, now: float, peer: int) -> None:
         """Sends a peer a message that it answers; its reply closes its circuit breaker early."""
         if self.settings.can_tell:
-            self.words.knock(now, peer, self.server_pool.own_in_flight())
+            self.outbox.probe_if_due(now, peer, self.server_pool.own_in_flight())
 
     def _flush_messages(self, now: float, peer: int) -> None:
         """Sends what the pace allows now.
 
         The timer for the rest has no effect of its own: every event flushes the messages that are due.
         """
-        for message_or_delay in self.words.flush(
+        for message_or_delay in self.outbox.flush(
                 now, peer, self.server_pool.active_peers(now), self.server_pool.own_in_flight):
             if isinstance(message_or_delay, bytes):
                 self.actions.append(io.SendToPeer(peer, message_or_delay))
@@ -80,8 +80,8 @@
 
         Asks alone would spread them only among gateways that share customers.
         """
-        self._set_timer(SPREAD_MS, self._spread_findings)
-        if self.verdicts.grave(now):
+        self._set_timer(GOSSIP_INTERVAL_MS, self._spread_findings)
+        if self.verdicts.has_severe_unsent(now):
             peer = self.random.randrange(self.settings.gateways)
             if peer != self.settings.number:
                 self._queue_wakeup(peer)
--- a/larklb/peerwire.py
+++ b/larklb/peerwire.py
@@ -9,8 +9,8 @@
 import struct
 from typing import NamedTuple
 
-from larklb.fleet.leases import Share as Share
-from larklb.fleet.leases import Want as Want
+from larklb.fleet.leases import LeaseReply as LeaseReply
+from larklb.fleet.leases import LeaseRequest as LeaseRequest
 from larklb.fleet.verdicts import Finding as Finding
 from larklb.quota.settlement import Confirmed as Confirmed
 from larklb.quota.settlement import Count as Count
@@ -113,7 +113,7 @@
 
 
 Item = (Ask | Verdict | Release | Loads | News | Drawn | Told | Count | Confirmed | Fresh | CopyOf | Finding
-        | Want | Share)
+        | LeaseRequest | LeaseReply)
 
 _FORMATS: dict[int, struct.Struct] = {
     1: struct.Struct("!IQBHHh"), 2: struct.Struct("!IBhH"), 3: struct.Struct("!Ih"),
@@ -177,10 +177,10 @@
     elif isinstance(item, Release):
         tag, values = 3, (item.number, _units(item.back))
     elif isinstance(item, Finding):
-        tag, values = 15, (item.subject, item.topic, min(255, round(item.slow * SIXTEENTHS)),
+        tag, values = 15, (item.subject, item.topic, min(255, round(item.slowness * SIXTEENTHS)),
                            max(0, min(255, math.ceil(item.age / _AGE_STEP))), item.observer, item.stamp)
-    elif isinstance(item, Want | Share):
-        tag, values = 16 if isinstance(item, Want) else 17, item
+    elif isinstance(item, LeaseRequest | LeaseReply):
+        tag, values = 16 if isinstance(item, LeaseRequest) else 17, item
     elif isinstance(item, News):
         tag, values = 4, (item.server, item.topic, min(255, round(item.slow * SIXTEENTHS)),
                           max(0, min(255, math.ceil(item.age / _AGE_STEP))))
@@ -240,9 +240,9 @@
             case 15:
                 items.append(Finding(v[0], v[1], v[2] / SIXTEENTHS, v[3] * _AGE_STEP, v[4], v[5]))
             case 16:
-                items.append(Want(*v))
+                items.append(LeaseRequest(*v))
             case 17:
-                items.append(Share(*v))
+                items.append(LeaseReply(*v))
             case 7:
                 items.append(Drawn(v[0], v[1] / _COUNT_STEPS))
             case 9:
--- a/larklb/serve.py
+++ b/larklb/serve.py
@@ -20,7 +20,7 @@
 
 from larklb.core import Core
 from larklb.counters import Counters
-from larklb.fleet.leases import Limits
+from larklb.fleet.leases import FleetLimits
 from larklb.handed import Handed, HandedError, unpack
 from larklb.interface import RepeatPolicy
 from larklb.net import peers
@@ -69,7 +69,7 @@
     core = Core(config.settings, config.seed, wheel, counters, book, limits)
     core.ledger = desk.ledger if desk is not None else None
     if operator is not None:
-        core.gateway.zones.rule(operator.zones.leave, operator.zones.of_zones())
+        core.gateway.zones.configure(operator.zones.leave, operator.zones.of_zones())
     phase = Phase(wheel.now())
     machines = Machines(config, core)
     nodes = ExecuteNodes(config, core, machines)
@@ -201,10 +201,10 @@
     return renewed
 
 
-def _limits(config: Config, operator: Operator, wheel: Wheel) -> Limits:
+def _limits(config: Config, operator: Operator, wheel: Wheel) -> FleetLimits:
     """The fleet's limits as the operator's file gives them."""
     s, e = config.settings, operator.limits
-    return Limits(s.number, s.gateways, wheel.now(), max(c.deadline for c in s.classes), e.node_attempts,
+    return FleetLimits(s.number, s.gateways, wheel.now(), max(c.deadline for c in s.classes), e.node_attempts,
                   e.further_attempts)
 
 
--- a/larklb/server_selection.py
+++ b/larklb/server_selection.py
@@ -11,7 +11,7 @@
 
 from larklb import decision_constants as const
 from larklb import interface as io
-from larklb.fleet.leases import Limits
+from larklb.fleet.leases import FleetLimits
 from larklb.fleet.verdicts import Verdicts
 from larklb.fleet.zones import Zones
 from larklb.health import MAX_SLOWNESS, TRIAL_INTERVAL_HALF_LIVES, Attempt, Server
@@ -31,7 +31,7 @@
     verdicts: Verdicts
     server_pool: Servers
     zones: Zones
-    limits: Limits
+    limits: FleetLimits
     usual_latency: dict[str, float]
     topics: dict[str, int]
     server_limit: float
@@ -42,7 +42,7 @@
         The size of the samples that are compared grows with the share of all load that is visible here: where
         little is visible, the least loaded of all servers would be the same one each time.
         """
-        if self.zones.parts and (probe := self._choose_probe(now, request)) is not None:
+        if self.zones.reduced_fractions and (probe := self._choose_probe(now, request)) is not None:
             return probe
         # Where little load is visible no server looks full.  The sum of the visible load is therefore limited
         # to the visible share of the total limit.
@@ -74,15 +74,15 @@
     def _choose_probe(self, now: float, request: PendingRequest) -> Server | None:
         """A server of an avoided zone, if it is this gateway's turn to test whether the zone recovered."""
         zone = (
-            self.zones.probe(now)
+            self.zones.zone_to_probe(now)
             if request.service_class.repeat is io.RepeatPolicy.SAFE and not request.attempts
             else None
         )
         candidates = [s for s in self.server_pool.up if s.entry.zone == zone and not s.attempts
-                      and self.limits.room(now, s.short_id, 0)] if zone else []
+                      and self.limits.has_slot(now, s.short_id, 0)] if zone else []
         if not candidates or zone is None:
             return None
-        self.zones.probes(now, zone)
+        self.zones.record_probe(now, zone)
         return self.random.choice(candidates)
 
     def _best_server(self, now: float, request: PendingRequest, candidates: list[Server]) -> Server | None:
@@ -113,7 +113,7 @@
                 or now - server.last_judged_at(topics) < server.half_life * TRIAL_INTERVAL_HALF_LIVES
             ):
                 continue
-            if not self.limits.room(now, server.short_id, len(server.attempts)):
+            if not self.limits.has_slot(now, server.short_id, len(server.attempts)):
                 continue
             # A random sample was drawn by weight, so that the size must not count twice.
             sampled = candidates is not up and candidates is not self.server_pool.in_reach
@@ -151,4 +151,4 @@
             decayed = server.decayed_slowness(now, topic)
             slowness = decayed + const.JUDGEMENT_WEIGHT * (min(MAX_SLOWNESS, sample) - decayed)
             server.judgements[topic] = (slowness, now)
-            self.verdicts.found(now, server.short_id, topic, slowness)
+            self.verdicts.record_evidence(now, server.short_id, topic, slowness)
--- a/larklb/servers.py
+++ b/larklb/servers.py
@@ -14,7 +14,7 @@
 
 from larklb import interface as io
 from larklb.fleet.reach import Reach
-from larklb.fleet.verdicts import Mark, Verdicts
+from larklb.fleet.verdicts import DecayingSlowness, Verdicts
 from larklb.fleet.zones import Zones
 from larklb.health import Server
 
@@ -85,7 +85,7 @@
                 # A new process: earlier judgements no longer hold.
                 server.judgements, server.fleet_verdicts = {}, {}
                 on_restart(server.short_id)
-                self.zones.renewed(entry.zone, server.short_id)
+                self.zones.reset_node(entry.zone, server.short_id)
                 # The first interval is a random part of the full one: first attempts from all gateways at
                 # once would overload the server.
                 server.wait_factor, server.last_sent_at = self.random.random(), now
@@ -93,17 +93,17 @@
         self.up = [s for s in self.by_name.values() if s.entry.state is io.ServerState.UP]
         self.cumulative_weights = list(itertools.accumulate(max(1e-3, s.entry.weight) for s in self.up))
         short_ids = [s.short_id for s in self.up]
-        for server, share in zip(self.up, self.reach.parts(short_ids), strict=True):
+        for server, share in zip(self.up, self.reach.cold_capacity_shares(short_ids), strict=True):
             server.gateway_share = share
-        self.zones.listed((s.entry.zone, s.short_id, s.entry.weight) for s in self.up)
+        self.zones.update_nodes((s.entry.zone, s.short_id, s.entry.weight) for s in self.up)
         self._update_reach()
 
     def _update_reach(self) -> None:
         """Recomputes the servers in reach from the list, the traffic and the zones that are avoided."""
-        avoided = {name for name, part in self.zones.parts.items() if part <= 0.0}
+        avoided = {name for name, part in self.zones.reduced_fractions.items() if part <= 0.0}
         self.available = [s for s in self.up if s.entry.zone not in avoided] if avoided else self.up
         skipped = [s.entry.zone in avoided for s in self.up] if avoided else ()
-        self.in_reach = [self.up[i] for i in self.reach.of([s.short_id for s in self.up], skipped)]
+        self.in_reach = [self.up[i] for i in self.reach.select([s.short_id for s in self.up], skipped)]
         self.in_reach_cumulative_weights = list(
             itertools.accumulate(max(1e-3, s.entry.weight) for s in self.in_reach)
         )
@@ -114,13 +114,13 @@
         Where traffic has just begun to return to a zone, judgements from before that no longer hold.
         """
         for server in self.up:
-            zone = self.zones.of[server.entry.zone]
+            zone = self.zones.by_name[server.entry.zone]
             if zone.state == "returning" and not zone.step and server.judgements:
-                server.judgements = {t: m for t, m in server.judgements.items() if m[1] >= zone.since}
+                server.judgements = {t: m for t, m in server.judgements.items() if m[1] >= zone.state_since}
                 server.fleet_verdicts = {}
         self._update_reach()
 
-    def clean(self, now: float, verdicts: dict[tuple[int, int], Mark]) -> Iterable[int]:
+    def clean(self, now: float, verdicts: dict[tuple[int, int], DecayingSlowness]) -> Iterable[int]:
         """Removes servers that are gone, and expired judgements; returns the short ids of those removed.
 
         ``verdicts`` are the fleet's current ones, by short id and topic.
@@ -144,7 +144,7 @@
             }
         return gone
 
-    def set_fleet_verdict(self, short_id: int, topic: int, mark: Mark | None) -> None:
+    def set_fleet_verdict(self, short_id: int, topic: int, mark: DecayingSlowness | None) -> None:
         """Sets the fleet's verdict on a server for a topic, or removes it with None."""
         if short_id in self.by_short_id:
             verdicts = self.by_short_id[short_id].fleet_verdicts
@@ -202,7 +202,7 @@
 
         Attempts that hang in an avoided zone must not count against the capacity of the others.
         """
-        parts = self.zones.parts
+        parts = self.zones.reduced_fractions
         return [s for s in self.busy() if parts.get(s.entry.zone, 1.0)] if parts else self.busy()
 
     def own_in_flight(self) -> tuple[tuple[int, int], ...]:
@@ -221,7 +221,7 @@
         self.mean_in_flight += EWMA_WEIGHT * (
             sum(s.in_flight() for s in busy) / self.visible_share(now) / len(self.up) - self.mean_in_flight
         )
-        if self.reach.sent(now, sum(len(s.attempts) for s in busy), len(self.up)):
+        if self.reach.record_request(now, sum(len(s.attempts) for s in busy), len(self.up)):
             self._update_reach()
 
     # Capacity -----------------------------------------------------------------------------
@@ -229,8 +229,12 @@
     def warm_share(self, server: Server, now: float) -> float:
         """The share of its capacity that a server is sure to have by now; 0 where its zone is avoided."""
         started = server.entry.started
-        part = self.zones.parts.get(server.entry.zone, 1.0) if self.zones.parts else 1.0
-        if part < 1.0 and (not part or started is None or started < self.zones.left_at(server.entry.zone)):
+        part = (
+            self.zones.reduced_fractions.get(server.entry.zone, 1.0) if self.zones.reduced_fractions else 1.0
+        )
+        if part < 1.0 and (
+            not part or started is None or started < self.zones.last_left_at(server.entry.zone)
+        ):
             return part
         if started is None or now - started >= self.settings.warm_within:
             return 1.0
--- a/tests/test_custody.py
+++ b/tests/test_custody.py
@@ -15,7 +15,18 @@
 
 from larklb.export.audit import read
 from larklb.fleet import custody as cu
-from larklb.fleet.custody import LEASE_MS, Claim, Custodian, Hand, Keep, Record, Say, Sent, State, Word
+from larklb.fleet.custody import (
+    LEASE_MS,
+    Claim,
+    Custodian,
+    HolderSession,
+    JobState,
+    Keep,
+    Record,
+    Reply,
+    ReplyKind,
+    SentAttempt,
+)
 from larklb.lab import script
 from larklb.lab.check import FoundError, explored
 from larklb.lab.check_custody import KEEP_MS, STARTS, World
@@ -35,32 +46,36 @@
     assert explored(3, lambda: World(start)) > 300
 
 
-class NoFence(Hand):
+class NoFence(HolderSession):
     def may_send(self, now: float) -> bool:
         return True
 
 
-class LongLease(Hand):
-    def kept(self, custodian: int, word: Word | None) -> bool | None:
-        good = super().kept(custodian, word)
+class LongLease(HolderSession):
+    def count_kept(self, custodian: int, word: Reply | None) -> bool | None:
+        good = super().count_kept(custodian, word)
         if good:
-            self.until = self.asked + 3 * LEASE_MS
+            self.lease_until = self.asked_at + 3 * LEASE_MS
         return good
 
 
 class VotesTwice(Custodian):
-    def _claim(self, now: float, c: Claim) -> Word:
-        word, slot = super()._claim(now, c), self.of[c.key]
-        if word.say in (Say.OLD, Say.BUSY):
-            slot.term, slot.who, slot.start, slot.at = c.term, c.who, c.start, now
-            return Word(Say.GIVEN, c.term, 0.0, self.told(now, slot))
+    def _claim(self, now: float, c: Claim) -> Reply:
+        word, slot = super()._claim(now, c), self.keys[c.key]
+        if word.kind in (ReplyKind.SUPERSEDED, ReplyKind.BUSY):
+            slot.term, slot.holder, slot.start, slot.last_heard_at = c.term, c.claimant, c.start, now
+            return Reply(ReplyKind.GIVEN, c.term, 0.0, self.current_record(now, slot))
         return word
 
 
 class AnyTerm(Custodian):
-    def _keep(self, now: float, r: Record) -> Word:
-        slot = self.of.get(r.key)
-        return Word(Say.KEPT, r.term) if slot is not None and r.term < slot.term else super()._keep(now, r)
+    def _keep(self, now: float, r: Record) -> Reply:
+        slot = self.keys.get(r.key)
+        return (
+            Reply(ReplyKind.KEPT, r.term)
+            if slot is not None and r.term < slot.term
+            else super()._keep(now, r)
+        )
 
 
 class NeverNew(Custodian):
@@ -86,54 +101,56 @@
 # A custodian ------------------------------------------------------------------------------
 
 
-def record(term: int, step: int, state: State = State.SENT, **more: Any) -> Record:
-    values: dict[str, Any] = {"sent": (Sent("s", "a", 1, 0.0),), "left": 4000.0}
+def record(term: int, step: int, state: JobState = JobState.SENT, **more: Any) -> Record:
+    values: dict[str, Any] = {"sent": (SentAttempt("s", "a", 1, 0.0),), "left": 4000.0}
     return Record(5, 1, term, step, 7, 1, state, **(values | more))
 
 
 def test_a_custodian_gives_a_higher_term_only_once_the_holder_is_lost() -> None:
     c, now = Custodian(0, -1e6, KEEP_MS, 1 << 20), 0.0
-    assert c.ask(now, Claim(5, 1, 1, 7, 1, False)).say is Say.GIVEN
-    assert c.ask(now, Keep(record(1, 1))).say is Say.KEPT
-    assert c.ask(now + 800.0, Claim(5, 1, 2, 8, 1, False)).say is Say.BUSY
-    c.ask(now + 800.0, cu.Beat(7, 1))
-    assert c.ask(now + 1600.0, Claim(5, 1, 2, 8, 1, False)).say is Say.BUSY, "it was heard"
-    given = c.ask(now + 1701.0, Claim(5, 1, 2, 8, 1, False))
-    assert given.say is Say.GIVEN and given.record is not None
+    assert c.handle(now, Claim(5, 1, 1, 7, 1, False)).kind is ReplyKind.GIVEN
+    assert c.handle(now, Keep(record(1, 1))).kind is ReplyKind.KEPT
+    assert c.handle(now + 800.0, Claim(5, 1, 2, 8, 1, False)).kind is ReplyKind.BUSY
+    c.handle(now + 800.0, cu.Heartbeat(7, 1))
+    assert c.handle(now + 1600.0, Claim(5, 1, 2, 8, 1, False)).kind is ReplyKind.BUSY, "it was heard"
+    given = c.handle(now + 1701.0, Claim(5, 1, 2, 8, 1, False))
+    assert given.kind is ReplyKind.GIVEN and given.record is not None
     assert given.record.sent[0].age == 1701.0 and given.record.left == 4000.0 - 1701.0
-    assert c.ask(now + 1702.0, Claim(5, 1, 2, 9, 1, False)).say is not Say.GIVEN, "one vote a term"
-    assert c.ask(now + 1703.0, Keep(record(1, 2))).say is Say.OLD, "the former holder is fenced"
-    assert c.ask(now + 1704.0, Claim(5, 2, 3, 9, 1, False)).say is Say.OTHER, "another body"
+    assert c.handle(now + 1702.0, Claim(5, 1, 2, 9, 1, False)).kind is not ReplyKind.GIVEN, "one vote a term"
+    assert c.handle(now + 1703.0, Keep(record(1, 2))).kind is ReplyKind.SUPERSEDED, (
+        "the former holder is fenced"
+    )
+    assert c.handle(now + 1704.0, Claim(5, 2, 3, 9, 1, False)).kind is ReplyKind.BODY_MISMATCH, "another body"
 
 
 def test_a_later_start_of_the_holder_ends_its_lease_at_once() -> None:
     c = Custodian(0, -1e6, KEEP_MS, 1 << 20)
-    c.ask(0.0, Claim(5, 1, 1, 7, 100, False))
-    c.ask(0.0, Keep(Record(5, 1, 1, 1, 7, 100, State.SENT, 4000.0)))
-    c.ask(1.0, Claim(6, 1, 1, 7, 200, False))                 # it asks for another job, as another process
-    assert c.ask(2.0, Claim(5, 1, 2, 8, 1, False)).say is Say.GIVEN
+    c.handle(0.0, Claim(5, 1, 1, 7, 100, False))
+    c.handle(0.0, Keep(Record(5, 1, 1, 1, 7, 100, JobState.SENT, 4000.0)))
+    c.handle(1.0, Claim(6, 1, 1, 7, 200, False))                 # it asks for another job, as another process
+    assert c.handle(2.0, Claim(5, 1, 2, 8, 1, False)).kind is ReplyKind.GIVEN
 
 
 def test_a_new_custodian_votes_on_first_tries_alone_until_nothing_older_can_be() -> None:
     c = Custodian(0, 0.0, KEEP_MS, 1 << 20)
-    assert c.ask(1.0, Claim(5, 1, 1, 7, 1, False)).say is Say.UNSURE
-    assert c.ask(1.0, Claim(6, 1, 1, 7, 1, True)).say is Say.GIVEN
-    assert c.ask(KEEP_MS, Claim(5, 1, 1, 7, 1, False)).say is Say.GIVEN
+    assert c.handle(1.0, Claim(5, 1, 1, 7, 1, False)).kind is ReplyKind.UNSURE
+    assert c.handle(1.0, Claim(6, 1, 1, 7, 1, True)).kind is ReplyKind.GIVEN
+    assert c.handle(KEEP_MS, Claim(5, 1, 1, 7, 1, False)).kind is ReplyKind.GIVEN
 
 
 def test_what_there_is_no_room_for_is_told_and_what_is_over_is_forgotten() -> None:
-    c = Custodian(0, -1e6, KEEP_MS, 4 * cu.RECORD_BYTES)
+    c = Custodian(0, -1e6, KEEP_MS, 4 * cu.RECORD_OVERHEAD_BYTES)
     body = cu.Content("r", b"POST", b"/", (), b"x" * 2000, "s", "p", "c", 1.0, 0, 1)
-    assert c.ask(0.0, Claim(5, 1, 1, 7, 1, False)).say is Say.GIVEN
-    assert c.ask(0.0, Keep(record(1, 1, content=body))).say is Say.FULL and c.refused == 1
-    assert c.ask(0.0, Keep(record(1, 2))).say is Say.KEPT, "without its contents"
+    assert c.handle(0.0, Claim(5, 1, 1, 7, 1, False)).kind is ReplyKind.GIVEN
+    assert c.handle(0.0, Keep(record(1, 1, content=body))).kind is ReplyKind.FULL and c.refused == 1
+    assert c.handle(0.0, Keep(record(1, 2))).kind is ReplyKind.KEPT, "without its contents"
     for key in (11, 12, 13):
-        assert c.ask(0.0, Claim(key, 1, 1, 7, 1, False)).say is Say.GIVEN
-    assert c.ask(0.0, Claim(14, 1, 1, 7, 1, False)).say is Say.FULL
+        assert c.handle(0.0, Claim(key, 1, 1, 7, 1, False)).kind is ReplyKind.GIVEN
+    assert c.handle(0.0, Claim(14, 1, 1, 7, 1, False)).kind is ReplyKind.FULL
     c.clean(KEEP_MS - 1.0)
-    assert len(c.of) == 4
+    assert len(c.keys) == 4
     c.clean(KEEP_MS + 1.0)
-    assert not c.of and c.size == 0
+    assert not c.keys and c.size == 0
 
 
 def test_groups_are_even_and_lie_in_different_zones() -> None:
--- a/tests/test_fleet_decisions.py
+++ b/tests/test_fleet_decisions.py
@@ -7,19 +7,19 @@
 
 import pytest
 
-from larklb.fleet.members import APART_MS, Members
-from larklb.fleet.pace import INBOX_SHARE, Pace
-from larklb.fleet.reach import COVER, LEAST, SHRINK_MS, Reach
+from larklb.fleet.members import QUIET_AFTER_MS, Members
+from larklb.fleet.pace import INBOX_FRACTION, PeerPacer
+from larklb.fleet.reach import MIN_LIMITERS_PER_SERVER, MIN_SERVERS, SHRINK_INTERVAL_MS, Reach
 from larklb.fleet.verdicts import (
-    AGAIN_PART,
-    BAD,
-    DOUBT_LEAST,
+    BAD_SLOWNESS,
     LIMITER,
-    MOST,
-    MOST_OBSERVERS,
+    MAX_OBSERVERS,
+    MAX_SUBJECTS,
+    REFRESH_FRACTION,
+    SELF_SUSPICION_MIN_SUBJECTS,
     Finding,
     Verdicts,
-    newer,
+    is_newer_stamp,
 )
 
 INBOX, TICK, AIM, HALF = 60.0, 4.0, 1500.0, 4000.0
@@ -29,10 +29,10 @@
 
 
 def test_seldom_words_wait_for_nothing_though_many_are_heard() -> None:
-    pace, now = Pace(INBOX, TICK, AIM), 0.0
+    pace, now = PeerPacer(INBOX, TICK, AIM), 0.0
     for _ in range(40):
-        assert pace.free(now, 1, heard=14) == now
-        pace.sent(now, 1, heard=14)
+        assert pace.next_send_at(now, 1, heard=14) == now
+        pace.record_sent(now, 1, heard=14)
         now += 700.0
 
 
@@ -40,89 +40,89 @@
 def test_an_inbox_holds_what_all_send_at_their_most(senders: int) -> None:
     """Each of them has a word at every moment, and hears the allowance late and not always."""
     chance = random.Random(senders)
-    receiver = Pace(INBOX, TICK, AIM)
-    paces = [Pace(INBOX, TICK, AIM) for _ in range(senders)]
+    receiver = PeerPacer(INBOX, TICK, AIM)
+    paces = [PeerPacer(INBOX, TICK, AIM) for _ in range(senders)]
     came: list[float] = []
     told: list[tuple[float, int, float]] = []
     for now in range(0, 20000, 4):
         for i, pace in enumerate(paces):
-            if pace.free(float(now), 0, senders) <= now:
-                pace.sent(float(now), 0, senders)
-                receiver.arrived(float(now), i)
+            if pace.next_send_at(float(now), 0, senders) <= now:
+                pace.record_sent(float(now), 0, senders)
+                receiver.record_arrival(float(now), i)
                 came.append(float(now))
                 if chance.random() < 0.9:
                     told.append((now + chance.uniform(2.0, 78.0), i, receiver.allowance(float(now), i)))
         for at, i, allowed in [t for t in told if t[0] <= now]:
-            paces[i].told(at, 0, allowed)
+            paces[i].record_allowance(at, 0, allowed)
         told = [t for t in told if t[0] > now]
     seconds = [sum(s <= t < s + 1000 for t in came) for s in range(0, 20000, 1000)]
-    assert seconds[0] <= INBOX * INBOX_SHARE * 2 + senders, "before the first allowances have come"
+    assert seconds[0] <= INBOX * INBOX_FRACTION * 2 + senders, "before the first allowances have come"
     assert max(seconds[3:]) <= INBOX and min(seconds[3:]) >= 0.4 * INBOX, seconds
 
 
 def test_one_who_has_much_to_say_may_use_what_the_others_leave() -> None:
-    busy, receiver = Pace(INBOX, TICK, AIM), Pace(INBOX, TICK, AIM)
+    busy, receiver = PeerPacer(INBOX, TICK, AIM), PeerPacer(INBOX, TICK, AIM)
     sent = 0
     for now in range(0, 10000, 4):
         for i in range(1, 15):
             if now % 1000 == i * 60:
-                receiver.arrived(float(now), i)            # one a second of each of the others
-        if busy.free(float(now), 0, heard=14) <= now:
-            busy.sent(float(now), 0, heard=14)
-            receiver.arrived(float(now), 0)
-            busy.told(now, 0, receiver.allowance(float(now), 0))
+                receiver.record_arrival(float(now), i)            # one a second of each of the others
+        if busy.next_send_at(float(now), 0, heard=14) <= now:
+            busy.record_sent(float(now), 0, heard=14)
+            receiver.record_arrival(float(now), 0)
+            busy.record_allowance(now, 0, receiver.allowance(float(now), 0))
             sent += 1
-    assert sent / 10.0 > 2 * INBOX * INBOX_SHARE / 14
+    assert sent / 10.0 > 2 * INBOX * INBOX_FRACTION / 14
 
 
 def test_an_allowance_that_was_told_long_ago_counts_no_more() -> None:
-    pace = Pace(INBOX, TICK, AIM)
-    pace.told(0.0, 1, 40.0)
+    pace = PeerPacer(INBOX, TICK, AIM)
+    pace.record_allowance(0.0, 1, 40.0)
     assert pace.rate(1000.0, 1, heard=14) == 40.0
-    assert pace.rate(5000.0, 1, heard=14) == pytest.approx(INBOX * INBOX_SHARE / 14)
-    assert pace.speaks(1) and not pace.speaks(2)
+    assert pace.rate(5000.0, 1, heard=14) == pytest.approx(INBOX * INBOX_FRACTION / 14)
+    assert pace.reports_allowance(1) and not pace.reports_allowance(2)
 
 
 def test_a_lost_ask_goes_again_as_soon_as_its_answer_is_overdue() -> None:
-    pace, now = Pace(INBOX, TICK, AIM), 0.0
-    first = pace.asked(now, 0, 1, 525.0)
-    pace.answered(now + 40.0, 0)
+    pace, now = PeerPacer(INBOX, TICK, AIM), 0.0
+    first = pace.start_request(now, 0, 1, 525.0)
+    pace.record_answer(now + 40.0, 0)
     for n in range(1, 60):
-        again = pace.asked(now, n, 1, 525.0)
-        pace.answered(now + 40.0 + n % 5, n)
+        again = pace.start_request(now, n, 1, 525.0)
+        pace.record_answer(now + 40.0 + n % 5, n)
         now += 200.0
     assert again < first / 2 and again > 44.0
-    pace.asked(now, 99, 1, 525.0)
+    pace.start_request(now, 99, 1, 525.0)
     looks, at = 0, now + again
-    while (wait := pace.unheard(at, 99)) is not None:
+    while (wait := pace.next_retry(at, 99)) is not None:
         looks, at = looks + 1, at + wait
     assert looks >= 2 and at - now == pytest.approx(525.0, abs=2 * TICK)
-    before = pace.ways[1].smooth
-    pace.asked(at, 100, 1, 525.0)
-    pace.unheard(at + again, 100)
-    pace.answered(at + 400.0, 100)
-    assert pace.ways[1].smooth == before, "it may be the answer to either"
+    before = pace.peers[1].smoothed_rtt
+    pace.start_request(at, 100, 1, 525.0)
+    pace.next_retry(at + again, 100)
+    pace.record_answer(at + 400.0, 100)
+    assert pace.peers[1].smoothed_rtt == before, "it may be the answer to either"
     pace.clean(at + 1e6)
-    assert not pace.ways and not pace.out and not pace.flows
+    assert not pace.peers and not pace.pending and not pace.inbox_by_peer
 
 
 def test_who_hears_nobody_any_more_waits_for_no_answer() -> None:
     """Before, each job of a limiter that was cut off waited for the patience of an ask of its own."""
-    pace, now = Pace(INBOX, TICK, AIM), 0.0
+    pace, now = PeerPacer(INBOX, TICK, AIM), 0.0
     for n in range(1000):
         now += 40.0
-        pace.arrived(now, n % 5)
-    assert not pace.deaf(now + 200.0), "five words are missing: that is chance"
-    pace.asked(now, 1, 3, 525.0)
-    assert pace.unheard(now + 200.0, 1) is not None
-    assert pace.deaf(now + 400.0) and pace.unheard(now + 400.0, 1) is None
-    assert pace.asked(now + 400.0, 2, 3, 525.0) < 300.0
-    assert pace.unheard(now + 700.0, 2) is None
-    pace.arrived(now + 800.0, 4)
-    assert not pace.deaf(now + 800.0)
-    lonely = Pace(INBOX, TICK, AIM)
-    lonely.arrived(0.0, 1)
-    assert not lonely.deaf(5000.0), "who seldom hears a word misses none"
+        pace.record_arrival(now, n % 5)
+    assert not pace.is_cut_off(now + 200.0), "five words are missing: that is chance"
+    pace.start_request(now, 1, 3, 525.0)
+    assert pace.next_retry(now + 200.0, 1) is not None
+    assert pace.is_cut_off(now + 400.0) and pace.next_retry(now + 400.0, 1) is None
+    assert pace.start_request(now + 400.0, 2, 3, 525.0) < 300.0
+    assert pace.next_retry(now + 700.0, 2) is None
+    pace.record_arrival(now + 800.0, 4)
+    assert not pace.is_cut_off(now + 800.0)
+    lonely = PeerPacer(INBOX, TICK, AIM)
+    lonely.record_arrival(0.0, 1)
+    assert not lonely.is_cut_off(5000.0), "who seldom hears a word misses none"
 
 
 # Reach ------------------------------------------------------------------------------------
@@ -133,7 +133,7 @@
     digests = chance.sample(range(1, 65536), servers)
     count = [0] * servers
     for i in range(limiters):
-        for place in Reach(i, limiters).of(digests):
+        for place in Reach(i, limiters).select(digests):
             count[place] += 1
     return count
 
@@ -142,10 +142,13 @@
 def test_every_server_is_covered_and_none_gets_more_than_its_part(limiters: int, servers: int) -> None:
     count = coverage(limiters, servers)
     mean = sum(count) / servers
-    assert min(count) >= min(COVER, limiters) * 0.6 and max(count) <= 1.4 * mean + 1, (min(count), max(count))
+    assert min(count) >= min(MIN_LIMITERS_PER_SERVER, limiters) * 0.6 and max(count) <= 1.4 * mean + 1, (
+        min(count),
+        max(count),
+    )
 
 
-@pytest.mark.parametrize("limiters", [1, 3, COVER])
+@pytest.mark.parametrize("limiters", [1, 3, MIN_LIMITERS_PER_SERVER])
 def test_in_a_small_fleet_each_sends_to_all(limiters: int) -> None:
     assert coverage(limiters, 50) == [limiters] * 50
 
@@ -156,7 +159,7 @@
     whole = [0.0] * servers
     for i in range(limiters):
         reach = Reach(i, limiters)
-        parts, near = reach.parts(digests), set(reach.of(digests))
+        parts, near = reach.cold_capacity_shares(digests), set(reach.select(digests))
         whole = [a + b for a, b in zip(whole, parts, strict=True)]
         if len(near) < servers:
             assert {n for n, part in enumerate(parts) if part > 0} == near, "who sends there has a part of it"
@@ -167,27 +170,27 @@
     digests = random.Random(2).sample(range(1, 65536), 100)
     for i in range(200):
         reach = Reach(i, 200)
-        before = {digests[p] for p in reach.of(digests)}
+        before = {digests[p] for p in reach.select(digests)}
         for gone in range(0, 100, 7):
             left = digests[:gone] + digests[gone + 1:]
-            after = {left[p] for p in reach.of(left)}
+            after = {left[p] for p in reach.select(left)}
             assert len(after - before) <= 2
 
 
 def test_the_reach_follows_traffic_up_at_once_and_down_late() -> None:
     reach, now = Reach(3, 200), 0.0
-    assert reach.need(100) == LEAST
+    assert reach.needed_size(100) == MIN_SERVERS
     for _ in range(100):
-        reach.sent(now, 30, 100)
+        reach.record_request(now, 30, 100)
     grown = reach.size
     assert 40 <= grown <= 60
-    now += SHRINK_MS / 2
+    now += SHRINK_INTERVAL_MS / 2
     for _ in range(200):
-        reach.sent(now, 2, 100)
+        reach.record_request(now, 2, 100)
     assert reach.size == grown
-    now += SHRINK_MS
-    reach.sent(now, 2, 100)
-    assert reach.size == LEAST
+    now += SHRINK_INTERVAL_MS
+    reach.record_request(now, 2, 100)
+    assert reach.size == MIN_SERVERS
 
 
 # Verdicts ---------------------------------------------------------------------------------
@@ -201,12 +204,12 @@
 def test_one_observer_condemns_nobody_and_two_do() -> None:
     v = Verdicts(0, 20, HALF)
     for stamp in range(100, 120):
-        v.heard(0.0, 1, finding(1, 12.0, stamp))
-        v.heard(0.0, 2, finding(1, 12.0, stamp))           # by a roundabout way: still one observer
+        v.receive(0.0, 1, finding(1, 12.0, stamp))
+        v.receive(0.0, 2, finding(1, 12.0, stamp))           # by a roundabout way: still one observer
     assert v.verdict(0.0, 7, 1) == 1.0
-    v.found(0.0, 7, 1, 12.0)
+    v.record_evidence(0.0, 7, 1, 12.0)
     assert v.verdict(0.0, 7, 1) == 1.0, "one's own evidence is no word of others"
-    v.heard(0.0, 2, finding(2, 5.0))
+    v.receive(0.0, 2, finding(2, 5.0))
     assert v.verdict(0.0, 7, 1) == 5.0, "the second worst"
     assert v.verdict(HALF, 7, 1) == 3.0 and v.verdict(20 * HALF, 7, 1) < 1.01
     assert v.verdict(0.0, 7, 2) == 1.0, "a node that fails for one class fails for that class"
@@ -214,7 +217,7 @@
 
 def test_in_a_fleet_of_three_the_word_of_one_counts() -> None:
     v = Verdicts(0, 3, HALF)
-    v.heard(0.0, 1, finding(1))
+    v.receive(0.0, 1, finding(1))
     assert v.verdict(0.0, 7, 1) == 8.0
 
 
@@ -225,93 +228,93 @@
     for order in itertools.permutations(news):
         v = Verdicts(0, 20, HALF)
         for f in (*order, *order[:2]):
-            v.heard(0.0, 9, f)
-        found.add((v.verdict(0.0, 7, 1), tuple(sorted((o, k.stamp) for o, k in v.of[7, 1].items()))))
+            v.receive(0.0, 9, f)
+        found.add((v.verdict(0.0, 7, 1), tuple(sorted((o, k.stamp) for o, k in v.findings[7, 1].items()))))
     assert found == {(4.0, ((1, 105), (2, 101), (3, 104)))}
 
 
 def test_a_former_incarnation_is_not_heard_and_stamps_wrap() -> None:
     v = Verdicts(0, 20, HALF)
-    v.heard(0.0, 1, finding(1, 1.0, 5))
-    v.heard(0.0, 2, finding(1, 12.0, 65500))               # what it said before: an old process that woke
-    v.heard(0.0, 2, finding(2, 12.0, 5))
+    v.receive(0.0, 1, finding(1, 1.0, 5))
+    v.receive(0.0, 2, finding(1, 12.0, 65500))               # what it said before: an old process that woke
+    v.receive(0.0, 2, finding(2, 12.0, 5))
     assert v.verdict(0.0, 7, 1) == 1.0
-    assert newer(5, 65500) and not newer(65500, 5) and not newer(5, 5)
-    v.heard(0.0, 3, finding(0, 12.0, 9))
-    assert 0 not in v.of[7, 1], "of one's own former self"
+    assert is_newer_stamp(5, 65500) and not is_newer_stamp(65500, 5) and not is_newer_stamp(5, 5)
+    v.receive(0.0, 3, finding(0, 12.0, 9))
+    assert 0 not in v.findings[7, 1], "of one's own former self"
 
 
 def test_what_as_many_have_found_good_since_is_void() -> None:
     v = Verdicts(0, 20, HALF)
     for observer in (1, 2, 3):
-        v.heard(1000.0, observer, finding(observer, 12.0, 100, age=500.0))
-    v.heard(1100.0, 4, finding(4, 1.0, 100))
-    assert v.verdict(1100.0, 7, 1) > BAD, "one may be lucky"
-    v.heard(1200.0, 5, finding(5, 1.0, 100))
+        v.receive(1000.0, observer, finding(observer, 12.0, 100, age=500.0))
+    v.receive(1100.0, 4, finding(4, 1.0, 100))
+    assert v.verdict(1100.0, 7, 1) > BAD_SLOWNESS, "one may be lucky"
+    v.receive(1200.0, 5, finding(5, 1.0, 100))
     assert v.verdict(1200.0, 7, 1) == 1.0
-    v.heard(1400.0, 1, finding(1, 12.0, 110))
-    v.heard(1400.0, 2, finding(2, 12.0, 110))
-    assert v.verdict(1400.0, 7, 1) > BAD, "and it failed again"
+    v.receive(1400.0, 1, finding(1, 12.0, 110))
+    v.receive(1400.0, 2, finding(2, 12.0, 110))
+    assert v.verdict(1400.0, 7, 1) > BAD_SLOWNESS, "and it failed again"
 
 
 def test_an_observer_that_finds_all_bad_doubts_itself_and_takes_back_what_it_told() -> None:
     v = Verdicts(0, 20, HALF)
     for subject in range(10):
-        v.found(float(subject), subject, 1, 12.0)
-    assert all(here[0].slow < BAD for here in v.of.values())
-    told = list(v.riders(10.0, 5, 20))
-    assert told and all(f.slow < BAD for f in told)
+        v.record_evidence(float(subject), subject, 1, 12.0)
+    assert all(here[0].slowness < BAD_SLOWNESS for here in v.findings.values())
+    told = list(v.findings_for(10.0, 5, 20))
+    assert told and all(f.slowness < BAD_SLOWNESS for f in told)
     sure = Verdicts(0, 20, HALF)
     for subject in range(10):
-        sure.found(float(subject), subject, 1, 12.0 if subject in (3, 5) else 1.0)
-    assert {f.subject for f in sure.riders(10.0, 5, 20) if f.slow >= BAD} == {3, 5}
-    assert DOUBT_LEAST > 2, "two bad nodes that were looked at alone are no reason to doubt"
+        sure.record_evidence(float(subject), subject, 1, 12.0 if subject in (3, 5) else 1.0)
+    assert {f.subject for f in sure.findings_for(10.0, 5, 20) if f.slowness >= BAD_SLOWNESS} == {3, 5}
+    assert SELF_SUSPICION_MIN_SUBJECTS > 2, "two bad nodes that were looked at alone are no reason to doubt"
 
 
 def test_a_finding_is_told_to_each_peer_once_and_to_so_many_messages() -> None:
     v = Verdicts(0, 200, HALF)
-    v.heard(0.0, 9, finding(3))
-    assert not list(v.riders(0.0, 9, 6)) and not list(v.riders(0.0, 3, 6)), "they know"
-    for peer in range(20, 20 + v.tells):
-        assert v.grave(0.0) and len(list(v.riders(0.0, peer, 6))) == 1
-    assert not v.grave(0.0) and not list(v.riders(0.0, 199, 6))
-    v.heard(0.0, 8, finding(3, 7.0, 101))
-    assert [f.stamp for f in v.riders(0.0, 199, 6)] == [101]
+    v.receive(0.0, 9, finding(3))
+    assert not list(v.findings_for(0.0, 9, 6)) and not list(v.findings_for(0.0, 3, 6)), "they know"
+    for peer in range(20, 20 + v.sends_per_finding):
+        assert v.has_severe_unsent(0.0) and len(list(v.findings_for(0.0, peer, 6))) == 1
+    assert not v.has_severe_unsent(0.0) and not list(v.findings_for(0.0, 199, 6))
+    v.receive(0.0, 8, finding(3, 7.0, 101))
+    assert [f.stamp for f in v.findings_for(0.0, 199, 6)] == [101]
 
 
 def test_in_a_small_fleet_a_finding_is_done_with_once_all_know_it() -> None:
     """It stayed with each of four limiters for half a minute, and was gone through with each message."""
     v = Verdicts(0, 4, HALF)
-    v.found(0.0, 7, 1, 12.0)
-    v.heard(0.0, 2, finding(2))
+    v.record_evidence(0.0, 7, 1, 12.0)
+    v.receive(0.0, 2, finding(2))
     for peer in (1, 2, 3):
-        assert list(v.riders(0.0, peer, 6))
-    assert not list(v.riders(0.0, 1, 6)) and not v.fresh and not v.grave(0.0)
+        assert list(v.findings_for(0.0, peer, 6))
+    assert not list(v.findings_for(0.0, 1, 6)) and not v.unsent and not v.has_severe_unsent(0.0)
 
 
 def test_a_finding_that_stays_bad_is_told_anew_and_its_end_too() -> None:
     v = Verdicts(0, 20, HALF)
     stamps: set[int] = set()
     for now in range(0, 4000, 50):
-        v.found(float(now), 7, 1, 12.0)
-        stamps.update(f.stamp for f in v.riders(float(now), now, 6))
-    assert 3 <= len(stamps) <= 1 + 4000 / (HALF * AGAIN_PART)
-    v.found(5200.0, 7, 1, 1.2)
-    assert [f.slow for f in v.riders(5200.0, 9999, 6)] == [1.0]
+        v.record_evidence(float(now), 7, 1, 12.0)
+        stamps.update(f.stamp for f in v.findings_for(float(now), now, 6))
+    assert 3 <= len(stamps) <= 1 + 4000 / (HALF * REFRESH_FRACTION)
+    v.record_evidence(5200.0, 7, 1, 1.2)
+    assert [f.slowness for f in v.findings_for(5200.0, 9999, 6)] == [1.0]
     v.clean(5200.0 + 20 * HALF)
-    assert not v.of and not v.by and not v.fresh and not v.looked
+    assert not v.findings and not v.current and not v.unsent and not v.own_evidence
 
 
 def test_what_is_kept_of_findings_is_bounded() -> None:
     v = Verdicts(0, 500, HALF)
-    for subject in range(3 * MOST):
-        v.heard(0.0, 9, finding(1, 12.0, 1, subject))
+    for subject in range(3 * MAX_SUBJECTS):
+        v.receive(0.0, 9, finding(1, 12.0, 1, subject))
     for observer in range(1, 400):
-        v.heard(0.0, 9, finding(observer, 12.0, 1, 9999))
-    assert len(v.of) <= MOST and len(v.of[9999, 1]) <= MOST_OBSERVERS
-    assert len(v.fresh) <= MOST * MOST_OBSERVERS
+        v.receive(0.0, 9, finding(observer, 12.0, 1, 9999))
+    assert len(v.findings) <= MAX_SUBJECTS and len(v.findings[9999, 1]) <= MAX_OBSERVERS
+    assert len(v.unsent) <= MAX_SUBJECTS * MAX_OBSERVERS
     v.forget(9999)
-    assert (9999, 1) not in v.of and all(name in v.of for name, _ in v.fresh)
+    assert (9999, 1) not in v.findings and all(name in v.findings for name, _ in v.unsent)
 
 
 # Members ----------------------------------------------------------------------------------
@@ -322,30 +325,30 @@
     v = Verdicts(0, 20, HALF)
     m = Members(0, 20, heard_at, v)
     assert [m.state(100.0, peer) for peer in (1, 3)] == ["heard", "strange"]
-    now = 2 * APART_MS
+    now = 2 * QUIET_AFTER_MS
     heard_at[2] = now
     assert [m.state(now, peer) for peer in (1, 2)] == ["quiet", "heard"]
     for subject in (1, 2):
         for observer in (5, 6, 7):
-            assert not m.silent(now, subject)
-            v.heard(now, observer, finding(observer, 8.0, 50, subject, LIMITER))
+            assert not m.is_silent(now, subject)
+            v.receive(now, observer, finding(observer, 8.0, 50, subject, LIMITER))
     assert [m.state(now, peer) for peer in (1, 2)] == ["silent", "heard"], "own ears outweigh others"
     assert m.rows(now) == {"heard": [2], "quiet": [], "silent": [1]}
     heard_at[1] = now + 10.0
-    assert not m.silent(now + 10.0, 1)
+    assert not m.is_silent(now + 10.0, 1)
 
 
 def test_a_limiter_that_hears_nobody_tells_no_one_that_they_are_silent() -> None:
     v = Verdicts(0, 20, HALF)
     m = Members(0, 20, {}, v)
     for peer in range(1, 8):
-        m.heard(0.0, peer)
+        m.record_message(0.0, peer)
     for peer in range(1, 8):
-        m.unheard(500.0, peer, 100.0)
-    assert all(f.slow < BAD for f in v.riders(600.0, 9, 20))
+        m.record_no_answer(500.0, peer, 100.0)
+    assert all(f.slowness < BAD_SLOWNESS for f in v.findings_for(600.0, 9, 20))
     alive = Members(0, 20, {4: 200.0}, Verdicts(0, 20, HALF))
     for peer in range(1, 8):
-        alive.heard(400.0, peer)
-    alive.unheard(600.0, 4, 100.0)             # it was heard since it was asked: words get lost
-    alive.unheard(600.0, 3, 100.0)
-    assert [f.subject for f in alive.verdicts.riders(600.0, 9, 20)] == [3]
+        alive.record_message(400.0, peer)
+    alive.record_no_answer(600.0, 4, 100.0)             # it was heard since it was asked: words get lost
+    alive.record_no_answer(600.0, 3, 100.0)
+    assert [f.subject for f in alive.verdicts.findings_for(600.0, 9, 20)] == [3]
--- a/tests/test_hardening.py
+++ b/tests/test_hardening.py
@@ -242,7 +242,9 @@
         assert ended.result is io.Result.CONNECT_FAILED
         core.outcome(taken, "s", ended.result, ended.took, ended.spoilt, ended.stale)
         server = core.gateway.servers["s"]
-        assert server.decayed_slowness(core.wheel.now(), ALL_WORK) == 1.0 and not core.gateway.verdicts.of
+        assert (
+            server.decayed_slowness(core.wheel.now(), ALL_WORK) == 1.0 and not core.gateway.verdicts.findings
+        )
         assert core.counters["errors.no_descriptor"] == 1 and nodes.open == 0
     asyncio.run(go())
 
--- a/tests/test_lab_fleet.py
+++ b/tests/test_lab_fleet.py
@@ -13,7 +13,7 @@
 from larklb import admin
 from larklb import peerwire as pw
 from larklb.fleet.bound import age
-from larklb.fleet.verdicts import BAD, Finding, Mark, Name, Verdicts
+from larklb.fleet.verdicts import BAD_SLOWNESS, DecayingSlowness, Finding, SubjectTopic, Verdicts
 from larklb.lab import script, spread
 from larklb.lab.check import FoundError, explored
 from larklb.lab.check_verdicts import HALF, World
@@ -135,7 +135,7 @@
     # Who meets the node next, and when a word of it comes round, is chance: each is looked for a while.
     shown: dict[str, Callable[[], bool]] = {
         "before": lambda: said["before"][0] == 0,
-        "while": lambda: (any(v["verdict"] >= BAD for v in of_s0())
+        "while": lambda: (any(v["verdict"] >= BAD_SLOWNESS for v in of_s0())
                           and "does not hear n0" in said["while text"][1][0]["text"]),
         "after": lambda: said["after"][0] == 0}
 
@@ -161,37 +161,37 @@
     assert any(f"n{i} does not hear n0, which hears it" in text for i in range(1, 6)), text
     found = of_s0()
     assert found and max(len(v["observers"]) for v in found) >= 2
-    assert any(v["verdict"] >= BAD for v in found), "by two others"
+    assert any(v["verdict"] >= BAD_SLOWNESS for v in found), "by two others"
     assert not [v for r in rows for v in r["verdicts"] if v["node"] != "s0" and v["topic"] != "limiter"
-                and v["verdict"] >= BAD]
+                and v["verdict"] >= BAD_SLOWNESS]
     assert said["after"][0] == 0, said["after text"][1][0]["text"]
 
 
 def test_the_bound_is_stated_for_any_size(tmp_path: Path) -> None:
-    assert age(200, 0.05).most < 5000.0 and age(200, 0.05).median < 2600.0
-    assert age(500, 0.3).most > age(200, 0.05).most > age(4, 0.0).most > 0.0 == age(1, 0.0).most
+    assert age(200, 0.05).tail < 5000.0 and age(200, 0.05).median < 2600.0
+    assert age(500, 0.3).tail > age(200, 0.05).tail > age(4, 0.0).tail > 0.0 == age(1, 0.0).tail
     for limiters, loss in ((3, 0.3), (9, 0.02), (60, 0.2)):
         pairs = spread.play(limiters, loss, 3, things=40 if limiters < 10 else 8).pairs()
         stated = age(limiters, loss)
-        assert pairs[len(pairs) // 2] <= stated.median and pairs[int(len(pairs) * 0.999)] <= stated.most
+        assert pairs[len(pairs) // 2] <= stated.median and pairs[int(len(pairs) * 0.999)] <= stated.tail
 
 
 def test_an_older_program_is_told_what_it_reads(tmp_path: Path) -> None:
     """It drops a message that holds an item it does not know: only who shows an allowance gets findings."""
     fleet = spread.Fleet(9, 0.0, 1)
     x = fleet.of[0]
-    x.verdicts.found(10.0, 7, 1, 12.0)
-    x.verdicts.heard(10.0, 3, Finding(8, 1, 9.0, 0.0, 3, 0))
+    x.verdicts.record_evidence(10.0, 7, 1, 12.0)
+    x.verdicts.receive(10.0, 3, Finding(8, 1, 9.0, 0.0, 3, 0))
 
     def items(peer: int) -> list[pw.Item]:
-        x.words.wake(peer)
-        data = [d for d in x.words.flush(10.0, peer, 3, lambda: ()) if isinstance(d, bytes)]
+        x.outbox.request_message(peer)
+        data = [d for d in x.outbox.flush(10.0, peer, 3, lambda: ()) if isinstance(d, bytes)]
         return [item for d in data for item in pw.unpack(d)]
 
     old = items(1)
     assert [(i.server, i.slow) for i in old if isinstance(i, pw.News)] == [(7, 12.0)], "its sender's own"
     assert not [i for i in old if isinstance(i, Finding)]
-    x.pace.told(10.0, 2, 5.0)
+    x.pace.record_allowance(10.0, 2, 5.0)
     assert {i.subject for i in items(2) if isinstance(i, Finding)} == {7, 8}
 
 
@@ -211,36 +211,36 @@
 class LastComes(Verdicts):
     """Whatever comes last counts, new or old."""
 
-    def heard(self, now: float, sender: int, f: Finding) -> Name | None:
-        self.of.get((f.subject, f.topic), {}).pop(f.observer, None)
-        return super().heard(now, sender, f)
+    def receive(self, now: float, sender: int, f: Finding) -> SubjectTopic | None:
+        self.findings.get((f.subject, f.topic), {}).pop(f.observer, None)
+        return super().receive(now, sender, f)
 
 
 class Anonymous(Verdicts):
     """Who tells a finding is taken for its observer."""
 
-    def heard(self, now: float, sender: int, f: Finding) -> Name | None:
-        return super().heard(now, sender, f._replace(observer=sender))
+    def receive(self, now: float, sender: int, f: Finding) -> SubjectTopic | None:
+        return super().receive(now, sender, f._replace(observer=sender))
 
 
 class OwnWord(Verdicts):
     """One's own finding makes up the quorum of others."""
 
-    def _judge(self, now: float, name: Name) -> None:
-        bad = [k for k in self.of.get(name, {}).values() if k.slow >= BAD]
+    def _update_verdict(self, now: float, name: SubjectTopic) -> None:
+        bad = [k for k in self.findings.get(name, {}).values() if k.slowness >= BAD_SLOWNESS]
         if len(bad) >= self.quorum:
-            self.by[name] = Mark(bad[0].slow, bad[0].at)
+            self.current[name] = DecayingSlowness(bad[0].slowness, bad[0].at)
         else:
-            self.by.pop(name, None)
+            self.current.pop(name, None)
 
 
 class FormerSelf(Verdicts):
     """A word of one's own former self is taken as any other."""
 
-    def heard(self, now: float, sender: int, f: Finding) -> Name | None:
+    def receive(self, now: float, sender: int, f: Finding) -> SubjectTopic | None:
         if f.observer == self.number:
-            self._take(now, (f.subject, f.topic), f.observer, f.slow, now - f.age, f.stamp, sender)
-        return super().heard(now, sender, f)
+            self._store(now, (f.subject, f.topic), f.observer, f.slowness, now - f.age, f.stamp, sender)
+        return super().receive(now, sender, f)
 
 
 @pytest.mark.parametrize("fault", [OneSuffices, LastComes, Anonymous, OwnWord, FormerSelf])
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -12,7 +12,7 @@
 
 from larklb import interface as io
 from larklb.fleet import leases as le
-from larklb.fleet.leases import LEASE_MS, Lender, Limits, Share, Want
+from larklb.fleet.leases import LEASE_MS, FleetLimits, LeaseReply, LeaseRequest, Lender
 from larklb.lab import script
 from larklb.lab.check import FoundError, explored
 from larklb.lab.check_leases import LIMITERS, LONGEST, MOST, STARTS, World, plain
@@ -24,7 +24,7 @@
 # Six limiters and their nodes keep the time of one process: no other such day may run beside it.
 pytestmark = pytest.mark.xdist_group("rig")
 
-Make = Callable[[int, float], Limits]
+Make = Callable[[int, float], FleetLimits]
 
 
 @pytest.mark.parametrize("start", STARTS)
@@ -37,7 +37,7 @@
 
     def __init__(self, now: float, over_ms: float, others: int) -> None:
         super().__init__(now, over_ms, others)
-        self.quiet_until = now
+        self.recovering_until = now
 
 
 class Hasty(Lender):
@@ -45,58 +45,58 @@
 
     def __init__(self, now: float, over_ms: float, others: int) -> None:
         super().__init__(now, LEASE_MS, others)
-        self.quiet_until = now + over_ms
+        self.recovering_until = now + over_ms
 
 
 class Careless(Lender):
     """Counts what it told last, though the holder may not have heard it."""
 
-    def asked(self, now: float, holder: int, want: Want, pool: int) -> Share | None:
-        share = super().asked(now, holder, want, pool)
+    def handle_request(self, now: float, holder: int, want: LeaseRequest, pool: int) -> LeaseReply | None:
+        share = super().handle_request(now, holder, want, pool)
         if share is not None:
-            grant = self.of[want.subject][holder]
-            grant.told, grant.used = grant.told[-1:], 0
+            grant = self.grants[want.subject][holder]
+            grant.offers, grant.used = grant.offers[-1:], 0
         return share
 
 
-class Endless(Limits):
+class Endless(FleetLimits):
     """Goes by a share for good."""
 
-    def heard(self, now: float, share: Share) -> None:
-        super().heard(now, share)
-        if share.subject in self.of:
-            self.of[share.subject].until = 1e18
+    def receive_reply(self, now: float, share: LeaseReply) -> None:
+        super().receive_reply(now, share)
+        if share.subject in self.held:
+            self.held[share.subject].expires_at = 1e18
 
 
-class FromTheAnswer(Limits):
+class FromTheAnswer(FleetLimits):
     """Counts a share from when its answer came."""
 
-    def heard(self, now: float, share: Share) -> None:
-        super().heard(now, share)
-        held = self.of.get(share.subject)
+    def receive_reply(self, now: float, share: LeaseReply) -> None:
+        super().receive_reply(now, share)
+        held = self.held.get(share.subject)
         if held is not None and held.adopted == share.number:
-            held.until = now + LEASE_MS
+            held.expires_at = now + LEASE_MS
 
 
-class AnyOrder(Limits):
+class AnyOrder(FleetLimits):
     """Goes by whatever came last."""
 
-    def heard(self, now: float, share: Share) -> None:
-        held = self.of.get(share.subject)
+    def receive_reply(self, now: float, share: LeaseReply) -> None:
+        held = self.held.get(share.subject)
         if held is not None and held.adopted != share.number:
             held.number = share.number
-            super().heard(now, share)
+            super().receive_reply(now, share)
 
 
 def lending(kind: type[Lender]) -> Make:
-    def make(number: int, now: float) -> Limits:
+    def make(number: int, now: float) -> FleetLimits:
         limits = plain(number, now)
         limits.lender = kind(now, LEASE_MS + LONGEST, LIMITERS - 1)
         return limits
     return make
 
 
-def holding(kind: type[Limits]) -> Make:
+def holding(kind: type[FleetLimits]) -> Make:
     return lambda number, now: kind(number, LIMITERS, now, LONGEST, MOST)
 
 
@@ -111,7 +111,7 @@
 
 @pytest.mark.parametrize(("limiters", "most"), [(1, 1), (3, 7), (9, 40), (200, 64), (200, 500)])
 def test_bases_and_what_is_lent_make_up_the_limit(limiters: int, most: int) -> None:
-    of = [Limits(i, limiters, 0.0, LONGEST, most) for i in range(limiters)]
+    of = [FleetLimits(i, limiters, 0.0, LONGEST, most) for i in range(limiters)]
     for node in (1, 777, 65535):
         bases = [x.base(node, x.number) for x in of]
         assert sum(bases) + of[0].pool() == most
@@ -121,29 +121,29 @@
 
 def test_shares_follow_demand_and_are_lent_anew_once_a_holder_is_lost() -> None:
     lender, at = Lender(-1e6, LEASE_MS + LONGEST, 3), 0.0
-    first = lender.asked(at, 1, Want(5, 1, 0, 0, 0, 30), 30)
+    first = lender.handle_request(at, 1, LeaseRequest(5, 1, 0, 0, 0, 30), 30)
     assert first is not None and first.slots == 30
     for _ in range(6):                        # two who want alike, and one who wants a fifth of that
         at += 500.0
-        told = [lender.asked(at, h, Want(5, int(at), int(at) - 500, 0, 0, wanted), 30)
+        told = [lender.handle_request(at, h, LeaseRequest(5, int(at), int(at) - 500, 0, 0, wanted), 30)
                 for h, wanted in ((1, 30), (2, 30), (3, 6))]
         assert all(share is not None for share in told)
     slots = [share.slots for share in told if share is not None]
     assert 13 <= slots[0] <= 14 and 13 <= slots[1] <= 14 and 2 <= slots[2] <= 3 and sum(slots) <= 30
     at += LEASE_MS + LONGEST - 1.0
-    kept = lender.asked(at, 2, Want(5, int(at), int(at) - 500, 0, 0, 30), 30)
+    kept = lender.handle_request(at, 2, LeaseRequest(5, int(at), int(at) - 500, 0, 0, 30), 30)
     assert kept is not None and kept.slots <= 14, "the first may still have attempts out"
-    free = lender.asked(at + 2.0, 2, Want(5, int(at) + 2, int(at), 0, 0, 30), 30)
+    free = lender.handle_request(at + 2.0, 2, LeaseRequest(5, int(at) + 2, int(at), 0, 0, 30), 30)
     assert free is not None and free.slots == 30
     lender.clean(at + 1e6)
-    assert not lender.of
+    assert not lender.grants
 
 
 def test_the_module_sends_no_more_to_a_server_than_its_slots() -> None:
     """Four gateways, one server: jobs that find no slot wait, and go once a share comes."""
     b = Bed(gateways=4, servers=1)
     for i, g in b.gateways.items():
-        g.limits = Limits(i, 4, -1e6, 4000.0, 8)
+        g.limits = FleetLimits(i, 4, -1e6, 4000.0, 8)
         g._renew_slots(b.now)
         b._act(i, g.actions)
     for n in range(6):
@@ -161,34 +161,34 @@
 
 
 def test_a_lender_that_started_anew_lends_once_all_have_told_it_what_they_have() -> None:
-    lender, others = Lender(0.0, LEASE_MS + LONGEST, 2), [Limits(i, 3, 0.0, LONGEST, 8) for i in (1, 2)]
+    lender, others = Lender(0.0, LEASE_MS + LONGEST, 2), [FleetLimits(i, 3, 0.0, LONGEST, 8) for i in (1, 2)]
     nodes = [n for n in range(1, 500) if others[0].lender_of(n) == 0][:2]
     for held in (others[0]._held(n) for n in nodes):
-        held.slots, held.until = 2, 9e9
-    told = list(others[0].fresh(100.0, 0, lambda node: 0))
+        held.slots, held.expires_at = 2, 9e9
+    told = list(others[0].report_holdings(100.0, 0, lambda node: 0))
     assert [w.subject for w in told] == [*nodes, 0]
-    for want in (told[0], Want(499, 101, 0, 0, 0, 1), told[2]):              # the second word is lost
-        lender.asked(150.0, 1, want, 4)
-    for want in others[1].fresh(100.0, 0, lambda node: 0):
-        lender.asked(150.0, 2, want, 4)
-    assert lender.spoke == {2}, "another node's ask does not make up for it"
-    first = lender.asked(151.0, 2, Want(nodes[1], 151, 0, 0, 0, 4), 4)
+    for want in (told[0], LeaseRequest(499, 101, 0, 0, 0, 1), told[2]):              # the second word is lost
+        lender.handle_request(150.0, 1, want, 4)
+    for want in others[1].report_holdings(100.0, 0, lambda node: 0):
+        lender.handle_request(150.0, 2, want, 4)
+    assert lender.reported == {2}, "another node's ask does not make up for it"
+    first = lender.handle_request(151.0, 2, LeaseRequest(nodes[1], 151, 0, 0, 0, 4), 4)
     assert first is not None and first.slots == 0
-    for want in others[0].fresh(200.0, 0, lambda node: 0):
-        lender.asked(250.0, 1, want, 4)
-    then = lender.asked(251.0, 2, Want(nodes[1], 251, 151, 0, 0, 4), 4)
-    assert lender.spoke == {1, 2} and then is not None and then.slots == 2, "the first has the others"
+    for want in others[0].report_holdings(200.0, 0, lambda node: 0):
+        lender.handle_request(250.0, 1, want, 4)
+    then = lender.handle_request(251.0, 2, LeaseRequest(nodes[1], 251, 151, 0, 0, 4), 4)
+    assert lender.reported == {1, 2} and then is not None and then.slots == 2, "the first has the others"
 
 
 def test_further_attempts_keep_their_part_of_the_first_ones() -> None:
-    limits = Limits(0, 3, 0.0, LONGEST, further_part=0.2)
+    limits = FleetLimits(0, 3, 0.0, LONGEST, further_part=0.2)
     further = 0
     for _ in range(500):
-        limits.began(0.0, 1, 1, True)
-        while limits.further():
-            limits.began(0.0, 1, 1, False)
+        limits.record_attempt(0.0, 1, 1, True)
+        while limits.may_send_further():
+            limits.record_attempt(0.0, 1, 1, False)
             further += 1
-    assert 0.2 * 500 - 1 <= further <= 0.2 * 500 + le.AT_ONCE
+    assert 0.2 * 500 - 1 <= further <= 0.2 * 500 + le.MAX_FURTHER_TOKENS
 
 
 def played(name: str, folder: Path, watch: Callable[[float], object] | None = None,
@@ -231,7 +231,7 @@
         rows = {r["what"]: r for r in map(json.loads, out.splitlines())}
         assert rows["attempts at a node, 40 at once, 20 of them lent"]["over"] == 0
         assert rows["attempts at a node: a lost limiter's share is lent anew"]["noticed"] == LEASE_MS + 5000
-        assert rows["further attempts, 0.2 for each first one"]["over"] == 10 * le.AT_ONCE
+        assert rows["further attempts, 0.2 for each first one"]["over"] == 10 * le.MAX_FURTHER_TOKENS
         told = yard.operator().read_text()
         (tmp_path / "operator.toml").write_text("[limits]\nnode_attempts = -1\n" + told)
         assert (await larklb("fleet", "bound", str(tmp_path / "operator.toml")))[0] == 2
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -156,7 +156,10 @@
 def with_entitlements(b: Bed, *books: Entitlements) -> Bed:
     for gateway, book in zip(b.gateways.values(), books, strict=True):
         gateway.entitlements, gateway.fallback = book, Fallback(gateway.settings, book, b.now)
-        gateway.words.alone, gateway.members.heard_at = gateway.fallback, gateway.fallback.last_heard_at
+        gateway.outbox.fallback, gateway.members.last_heard_at = (
+            gateway.fallback,
+            gateway.fallback.last_heard_at,
+        )
     b.log.clear()
     return b
 
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -22,8 +22,8 @@
 from larklb.fleet import verdicts as vs
 from larklb.fleet import zones as zs
 from larklb.fleet.reach import Reach
-from larklb.fleet.verdicts import BAD, ZONE, Finding, Verdicts
-from larklb.fleet.zones import LOST, Asked, Override, Zones, rehearsed
+from larklb.fleet.verdicts import BAD_SLOWNESS, ZONE, Finding, Verdicts
+from larklb.fleet.zones import LOST_SLOWNESS, Demand, Override, Zones, simulate_capacity
 from larklb.health import Attempt
 from larklb.lab import script
 from larklb.lab.fleet import Audit, Rig
@@ -41,7 +41,7 @@
 
 def made(number: int = 0, gateways: int = 9, nodes: list[tuple[str, int, float]] = NODES) -> Zones:
     zones = Zones(number, gateways, Verdicts(number, gateways, HALF), 0.25)
-    zones.listed(nodes)
+    zones.update_nodes(nodes)
     return zones
 
 
@@ -49,18 +49,18 @@
     """Some nodes of a zone fail, and another zone's serve."""
     other = next(z for z in "abc" if z != name)
     for n in range(count):
-        zones.ended(now, other, 100 * "abc".index(other) + n, True)
-        zones.ended(now, name, 100 * "abc".index(name) + n, False)
+        zones.record_outcome(now, other, 100 * "abc".index(other) + n, True)
+        zones.record_outcome(now, name, 100 * "abc".index(name) + n, False)
 
 
-def tell(zones: Zones, now: float, observer: int, name: str, slow: float = LOST) -> None:
-    zones.verdicts.heard(now, observer, Finding(zones.of[name].short, ZONE, slow, 0.0, observer,
+def tell(zones: Zones, now: float, observer: int, name: str, slow: float = LOST_SLOWNESS) -> None:
+    zones.verdicts.receive(now, observer, Finding(zones.by_name[name].short_id, ZONE, slow, 0.0, observer,
                                                 Verdicts.stamp(now)))
-    zones.look(now)
+    zones.evaluate(now)
 
 
 def state(zones: Zones, name: str) -> str:
-    return zones.of[name].state
+    return zones.by_name[name].state
 
 
 # The decisions ------------------------------------------------------------------------------
@@ -74,16 +74,16 @@
     zones = made()
     for name in "abc":
         for n in range(6):
-            zones.ended(10.0, name, 100 * "abc".index(name) + n, False)
-    zones.look(20.0)
-    assert not zones.parts, "its own link, or a load that slows all alike"
+            zones.record_outcome(10.0, name, 100 * "abc".index(name) + n, False)
+    zones.evaluate(20.0)
+    assert not zones.reduced_fractions, "its own link, or a load that slows all alike"
 
 
 def test_some_nodes_served_are_a_zone_that_is_there() -> None:
     zones = made()
-    zones.ended(5.0, "b", 105, True)
+    zones.record_outcome(5.0, "b", 105, True)
     fail(zones, 10.0, "b", 3)
-    assert state(zones, "b") == "home" and zones.own(10.0, zones.of["b"]) == ""
+    assert state(zones, "b") == "home" and zones.own_evidence(10.0, zones.by_name["b"]) == ""
     fail(zones, 20.0, "b", 5)
     assert state(zones, "b") == "away"
 
@@ -92,29 +92,29 @@
     """A rollout that replaces nodes is no zone."""
     zones = made()
     for n in range(3):
-        zones.ended(10.0, "a", n, True)
-        zones.ended(10.0, "b", 100 + n, False)
-        zones.renewed("b", 100 + n)
-    zones.look(11.0)
+        zones.record_outcome(10.0, "a", n, True)
+        zones.record_outcome(10.0, "b", 100 + n, False)
+        zones.reset_node("b", 100 + n)
+    zones.evaluate(11.0)
     assert state(zones, "b") == "home"
 
 
 def test_silence_counts_only_where_nothing_there_was_served_since() -> None:
     """What takes several times as long is given up, too: a zone that is slow is not lost."""
     zones = made()
-    zones.ended(0.0, "a", 0, True)
-    zones.ended(0.0, "b", 105, True)
+    zones.record_outcome(0.0, "a", 0, True)
+    zones.record_outcome(0.0, "b", 105, True)
     for n in range(3):
-        zones.silent(400.0, "b", 100 + n)
+        zones.record_timeout(400.0, "b", 100 + n)
     assert state(zones, "b") == "home"
-    zones.ended(450.0, "b", 105, True)
-    zones.look(1500.0)
+    zones.record_outcome(450.0, "b", 105, True)
+    zones.evaluate(1500.0)
     assert state(zones, "b") == "home", "it answered after they had been given up"
     for n in range(4):
-        zones.silent(1600.0, "b", 100 + n)
-    zones.ended(1700.0, "a", 0, True)
-    assert zones.uneasy(1700.0)
-    zones.look(2100.0)
+        zones.record_timeout(1600.0, "b", 100 + n)
+    zones.record_outcome(1700.0, "a", 0, True)
+    assert zones.needs_timer(1700.0)
+    zones.evaluate(2100.0)
     assert state(zones, "b") == "away"
 
 
@@ -141,16 +141,16 @@
     zones = made()
     for o in (1, 2, 3):
         tell(zones, 10.0, o, "b")
-        zones.ended(11.0, "b", 100 + o, True)
+        zones.record_outcome(11.0, "b", 100 + o, True)
     zones = made()
-    zones.ended(5.0, "b", 100, True)
+    zones.record_outcome(5.0, "b", 100, True)
     for o in (1, 2, 3):
         tell(zones, 10.0, o, "b")
     assert state(zones, "b") == "home"
-    zones.ended(12.0, "b", 101, True)
-    mine = zones.verdicts.of[zones.of["b"].short, ZONE][0]
-    assert mine.slow == 1.0
-    zones.look(12.0 + zs.WELL_MS + 1.0)
+    zones.record_outcome(12.0, "b", 101, True)
+    mine = zones.verdicts.findings[zones.by_name["b"].short_id, ZONE][0]
+    assert mine.slowness == 1.0
+    zones.evaluate(12.0 + zs.HEALTHY_EVIDENCE_MS + 1.0)
     assert state(zones, "b") == "away", "what it saw itself is too long ago"
 
 
@@ -159,13 +159,13 @@
     for name in "abc":
         for o in (1, 2, 3):
             tell(zones, 10.0, o, name)
-    assert sorted(z.state for z in zones.of.values()) == ["away", "away", "home"]
+    assert sorted(z.state for z in zones.by_name.values()) == ["away", "away", "home"]
     few = [("a", n, 1.0) for n in range(9)] + [("b", 100, 1.0), ("b", 101, 0.5)]
     zones = made(nodes=few)
     for o in (1, 2, 3):
         tell(zones, 10.0, o, "a")
     assert state(zones, "a") == "home", "the rest is less than a fifth"
-    assert zones.of["a"].weight == 9.0
+    assert zones.by_name["a"].weight == 9.0
 
 
 def test_where_only_zones_that_were_left_have_nodes_all_are_at_home() -> None:
@@ -173,27 +173,27 @@
     for name in "ab":
         for o in (1, 2, 3):
             tell(zones, 10.0, o, name)
-    assert len(zones.parts) == 2
-    zones.listed([n for n in NODES if n[0] != "c"])
-    assert not zones.parts and zones.on
-    zones.listed([n for n in NODES if n[0] == "a"])
-    assert not zones.on and zones.part("a") == 1.0
+    assert len(zones.reduced_fractions) == 2
+    zones.update_nodes([n for n in NODES if n[0] != "c"])
+    assert not zones.reduced_fractions and zones.active
+    zones.update_nodes([n for n in NODES if n[0] == "a"])
+    assert not zones.active and zones.capacity_fraction("a") == 1.0
 
 
 def test_it_returns_by_steps_and_a_failure_takes_a_step_back() -> None:
     zones = made()
     fail(zones, 0.0, "b")
-    assert zones.part("b") == 0.0
-    zones.ended(1000.0, "b", 105, True)                       # a probe
-    assert state(zones, "b") == "returning" and zones.part("b") == 0.25
+    assert zones.capacity_fraction("b") == 0.0
+    zones.record_outcome(1000.0, "b", 105, True)                       # a probe
+    assert state(zones, "b") == "returning" and zones.capacity_fraction("b") == 0.25
     step = zs.RETURN_MS / len(zones.steps)
-    zones.look(1000.0 + step)
-    assert zones.part("b") == 0.5
-    zones.ended(1010.0 + step, "b", 104, False)
-    assert zones.part("b") == 0.25 and state(zones, "b") == "returning"
+    zones.evaluate(1000.0 + step)
+    assert zones.capacity_fraction("b") == 0.5
+    zones.record_outcome(1010.0 + step, "b", 104, False)
+    assert zones.capacity_fraction("b") == 0.25 and state(zones, "b") == "returning"
     for n in range(4):
-        zones.look(1020.0 + (2 + n) * step)
-    assert state(zones, "b") == "home" and zones.part("b") == 1.0
+        zones.evaluate(1020.0 + (2 + n) * step)
+    assert state(zones, "b") == "home" and zones.capacity_fraction("b") == 1.0
 
 
 def test_a_zone_that_flaps_is_left_alone_longer_and_longer_up_to_a_bound() -> None:
@@ -202,14 +202,14 @@
     for _ in range(8):
         fail(zones, now, "b", 6)
         assert state(zones, "b") == "away"
-        holds.append(zones.hold(zones.of["b"]))
+        holds.append(zones.hold(zones.by_name["b"]))
         now += holds[-1] + 1.0
-        zones.ended(now, "b", 105, True)
+        zones.record_outcome(now, "b", 105, True)
         assert state(zones, "b") == "returning"
         now += 10.0
     assert all(b > a for a, b in zip(holds[:4], holds[1:4], strict=False))
-    assert max(holds) <= zs.HOLD_MOST_MS * (1.0 + zs.HOLD_CHANCE)
-    others = {made(i).hold(replace(zones.of["b"])) for i in range(9)}
+    assert max(holds) <= zs.MAX_HOLD_MS * (1.0 + zs.HOLD_JITTER)
+    others = {made(i).hold(replace(zones.by_name["b"])) for i in range(9)}
     assert len(others) > 6, "not all at one moment"
 
 
@@ -220,34 +220,34 @@
         for o in {*range(1, 9)} - {zones.number}:
             tell(zones, 0.0, o, "b")
     for slot in range(2, 42):
-        now = slot * zs.PROBE_MS + 1.0
+        now = slot * zs.PROBE_SLOT_MS + 1.0
         for zones in fleet:
-            if zones.probe(now) == "b":
-                zones.probes(now, "b")
-                assert zones.probe(now + 1.0) is None, "one in a slot"
+            if zones.zone_to_probe(now) == "b":
+                zones.record_probe(now, "b")
+                assert zones.zone_to_probe(now + 1.0) is None, "one in a slot"
                 probes.append(zones.number)
-    assert 0.6 * zs.PROBERS < len(probes) / 40 < 1.5 * zs.PROBERS
+    assert 0.6 * zs.PROBERS_PER_SLOT < len(probes) / 40 < 1.5 * zs.PROBERS_PER_SLOT
     assert len(set(probes)) > 0.7 * len(probes)
 
 
 def test_a_region_is_left_as_a_whole_once_most_of_its_zones_are_lost() -> None:
     nodes = [(z, 100 * i + n, 1.0) for i, z in enumerate("abcde") for n in range(4)]
     zones = made(nodes=nodes)
-    zones.rule(True, {"a": "west", "b": "west", "c": "west", "d": "east"})
+    zones.configure(True, {"a": "west", "b": "west", "c": "west", "d": "east"})
     for name in "ab":
         for o in (1, 2, 3):
             tell(zones, 10.0, o, name)
-    zones.look(11.0)
-    assert [zones.part(z) for z in "abcde"] == [0.0, 0.0, 0.0, 1.0, 1.0]
+    zones.evaluate(11.0)
+    assert [zones.capacity_fraction(z) for z in "abcde"] == [0.0, 0.0, 0.0, 1.0, 1.0]
 
 
 def test_an_operators_word_goes_before_what_was_found_and_ends() -> None:
     zones = made()
     assert not zones.override(0.0, "z", Override(True, 1.0, "?"))
     assert zones.override(0.0, "b", Override(True, 5000.0, "works on the rack"))
-    assert zones.part("b") == 0.0 and zones.probe(3000.0) is None
+    assert zones.capacity_fraction("b") == 0.0 and zones.zone_to_probe(3000.0) is None
     assert "works on the rack" in zones.rows(10.0)[1]["override"]
-    zones.look(5001.0)
+    zones.evaluate(5001.0)
     assert state(zones, "b") == "returning" and not zones.overrides, "nobody has to take it back"
     fail(zones, 9000.0, "a")
     assert zones.override(9001.0, "a", Override(False, 20_000.0, "the probe is wrong"))
@@ -259,28 +259,33 @@
 
 def test_without_zones_or_with_leave_they_cost_and_change_nothing() -> None:
     for zones in (made(nodes=[("", n, 1.0) for n in range(9)]), made()):
-        zones.rule(False, {})
+        zones.configure(False, {})
         for n in range(9):
-            zones.ended(1.0, "b" if "b" in zones.of else "", n if "b" not in zones.of else 100 + n, False)
-        zones.look(2.0)
-        assert not zones.parts and not zones.verdicts.of and not zones.uneasy(3.0)
-        assert not any(z.looked for z in zones.of.values())
+            zones.record_outcome(
+                1.0, "b" if "b" in zones.by_name else "", n if "b" not in zones.by_name else 100 + n, False
+            )
+        zones.evaluate(2.0)
+        assert not zones.reduced_fractions and not zones.verdicts.findings and not zones.needs_timer(3.0)
+        assert not any(z.outcomes for z in zones.by_name.values())
 
 
 def test_the_walk_passes_over_what_was_left_and_all_others_stay() -> None:
     digests = random.Random(1).sample(range(1, 65536), 120)
     reach = Reach(17, 200)
-    before = reach.of(digests)
+    before = reach.select(digests)
     left = [i % 3 == 1 for i in range(120)]
-    after = reach.of(digests, left)
+    after = reach.select(digests, left)
     assert len(after) == len(before) and not any(left[i] for i in after)
     assert [i for i in before if not left[i]] == after[:sum(not left[i] for i in before)]
 
 
 def test_a_rehearsal_serves_first_what_is_worth_most_for_its_work() -> None:
-    asked = [Asked("read", "free", 6.0, 1.0), Asked("order", "paid", 3.0, 4.0)]
-    assert [(r["class"], r["served"]) for r in rehearsed(asked, 6.0)] == [("order", 1.0), ("read", 0.5)]
-    assert [r["served"] for r in rehearsed(asked, 0.0)] == [0.0, 0.0]
+    asked = [Demand("read", "free", 6.0, 1.0), Demand("order", "paid", 3.0, 4.0)]
+    assert [(r["class"], r["served"]) for r in simulate_capacity(asked, 6.0)] == [
+        ("order", 1.0),
+        ("read", 0.5),
+    ]
+    assert [r["served"] for r in simulate_capacity(asked, 0.0)] == [0.0, 0.0]
 
 
 def test_times_and_differences_as_the_commands_read_them() -> None:
@@ -347,12 +352,12 @@
     for o in range(1, 4):
         tell(gateway.zones, bed.now, o, "b")
     fail_all = [s.short_id for s in gateway.server_pool.up if s.entry.zone == "b"]
-    gateway.zones.ended(bed.now, "a", gateway.servers["s0"].short_id, True)
+    gateway.zones.record_outcome(bed.now, "a", gateway.servers["s0"].short_id, True)
     for short in fail_all:
-        gateway.zones.ended(bed.now, "b", short, False)
+        gateway.zones.record_outcome(bed.now, "b", short, False)
     gateway.zones_changed(bed.now)
     assert state(gateway.zones, "b") == "away"
-    bed.run(2 * zs.PROBE_MS)
+    bed.run(2 * zs.PROBE_SLOT_MS)
     for allowed, found in ((False, set()), (True, {"b"})):
         gateway.limits.room = lambda now, subject, out, a=allowed: a or subject not in fail_all  # type: ignore
         bed.ask(0, f"probe-{allowed}", plan="free")
@@ -372,13 +377,13 @@
     def verdict(self, now: float, me: int, gateways: int) -> bool:
         newest = {o: max(x for x in self.heard if x[0] == o) for o, _, _ in self.heard if o != me}
         quorum = 2 if gateways > 3 else 1
-        well = sorted((at for _, at, slow in newest.values() if slow < BAD), reverse=True)
+        well = sorted((at for _, at, slow in newest.values() if slow < BAD_SLOWNESS), reverse=True)
         since = well[quorum - 1] if len(well) >= quorum else -1.0
         lost = [1.0 + (slow - 1.0) * 2.0 ** ((at - now) / HALF) for _, at, slow in newest.values()
-                if slow >= BAD and at > since]
+                if slow >= BAD_SLOWNESS and at > since]
         fresh = sum(now - at <= HALF / 2 for at in well)
         need = max(quorum, -(-15 * fresh // 10))
-        return len(lost) >= need and sorted(lost, reverse=True)[need - 1] >= BAD
+        return len(lost) >= need and sorted(lost, reverse=True)[need - 1] >= BAD_SLOWNESS
 
 
 Told = st.lists(st.tuples(st.integers(1, 7), st.integers(0, 80), st.booleans(), st.integers(0, 2)),
@@ -388,7 +393,9 @@
 def same_as_the_plain_model(told: list[tuple[int, int, bool, int]], order: random.Random) -> None:
     """Findings told late, twice, never, or out of order: two limiters that heard the same agree with the
     model, whatever the order."""
-    heard = [(o, at * 100.0, LOST if lost else 1.0) for o, at, lost, copies in told for _ in range(copies)]
+    heard = [
+        (o, at * 100.0, LOST_SLOWNESS if lost else 1.0) for o, at, lost, copies in told for _ in range(copies)
+    ]
     # An observer finds one thing at a time.
     heard = list({(o, at): x for x in heard for o, at in [x[:2]]}.values()) * 2
     now, plain = 8000.0, Plain()
@@ -397,9 +404,9 @@
         order.shuffle(heard)
         verdicts = Verdicts(0, 9, HALF)
         for o, at, slow in heard:
-            verdicts.heard(now, o, Finding(7, ZONE, slow, now - at, o, Verdicts.stamp(at)))
+            verdicts.receive(now, o, Finding(7, ZONE, slow, now - at, o, Verdicts.stamp(at)))
         verdicts.clean(now)
-        assert (verdicts.verdict(now, 7, ZONE) >= BAD) == plain.verdict(now, 0, 9)
+        assert (verdicts.verdict(now, 7, ZONE) >= BAD_SLOWNESS) == plain.verdict(now, 0, 9)
 
 
 @given(Told, st.randoms(use_true_random=False))
@@ -413,22 +420,24 @@
     return True
 
 
-def _judge_all(self: Verdicts, now: float, name: vs.Name) -> None:
+def _judge_all(self: Verdicts, now: float, name: vs.SubjectTopic) -> None:
     """One who served no longer counts against those who found it lost."""
-    bad = [k for o, k in self.of.get(name, {}).items() if o != self.number and k.slow >= BAD]
+    bad = [
+        k for o, k in self.findings.get(name, {}).items() if o != self.number and k.slowness >= BAD_SLOWNESS
+    ]
     if len(bad) >= 2:
-        self.by[name] = vs.Mark(bad[1].slow, bad[1].at)
+        self.current[name] = vs.DecayingSlowness(bad[1].slowness, bad[1].at)
     else:
-        self.by.pop(name, None)
+        self.current.pop(name, None)
 
 
 @pytest.mark.parametrize("fault", ["order", "quorum", "majority", "well"])
 def test_the_check_finds_a_seeded_fault(fault: str, monkeypatch: pytest.MonkeyPatch) -> None:
     patch: dict[str, Callable[[], None]] = {
-        "order": lambda: monkeypatch.setattr(vs, "newer", _no_order),
+        "order": lambda: monkeypatch.setattr(vs, "is_newer_stamp", _no_order),
         "quorum": lambda: monkeypatch.setattr(vs, "QUORUM", 1),
-        "majority": lambda: monkeypatch.setattr(vs, "ZONE_PART", 0.01),
-        "well": lambda: monkeypatch.setattr(Verdicts, "_judge", _judge_all)}
+        "majority": lambda: monkeypatch.setattr(vs, "ZONE_QUORUM_FRACTION", 0.01),
+        "well": lambda: monkeypatch.setattr(Verdicts, "_update_verdict", _judge_all)}
     patch[fault]()
     chance, found = random.Random(3), 0
     for _ in range(400):
