--- a/larklb/fleet/__init__.py
+++ b/larklb/fleet/__init__.py
@@ -1,3 +1,5 @@
-"""What limiters decide together: how they pace their words, whom each sends to, what one tells the others.
+"""Decisions that limiters reach together: message pacing, server subsets, findings, leases, custody, zones.
 
-Events in, answers out, time as an argument; nothing here reads a clock, a socket or a file."""
+The modules are deterministic: events and the current time are arguments, and decisions are return values.
+None of them reads a clock, a socket or a file.
+"""
--- a/larklb/fleet/pace.py
+++ b/larklb/fleet/pace.py
@@ -1,20 +1,20 @@
-"""How limiters pace the words that they send each other, and when a word that was not answered goes again.
-
-An inbox takes so many messages a second, and what comes beyond is lost without a sign.  So each sender has a
-bucket of messages for each peer.  Its rate is the part that is left if all who are heard write to that peer
-at their most; the peer itself may allow more: it sees what comes from all of them, and tells each with its
-load what it would take from it, which is what comes already and a part of what is unused, and takes that back
-as its inbox fills.  A word from the peer that is too old counts no more.  The bucket holds ``AT_ONCE_S`` of
-the rate, so that words which come seldom wait for nothing, and in any T seconds no more than the rate times
-T + AT_ONCE_S go to a peer.  Two messages are as far apart as the whole inbox allows, so that what comes at
-once goes in one.
-
-How long an answer takes is learned for each peer by the rule of RFC 6298: the smoothed time plus four mean
-deviations, and never from an ask that went out twice (Karn), whose answer may be to either.
-
-A limiter that used to hear many words, and then hears nothing at all for as long as ``DEAF_WORDS`` of them
-would have taken, is cut off from all: it waits for no answer any more, while its asks go on as probes.  So
-the jobs of a fleet whose links fail wait for that long, and not for the patience of one ask each.
+"""Pacing of the messages between limiters, and the timing of retries.
+
+An inbox accepts a limited number of messages a second and silently drops what exceeds it.  A sender therefore
+has a token bucket for each peer.  The rate of the bucket is the sender's even share if all live limiters send
+to that peer at their maximum.  The peer may allow more: it sees the messages of all senders, and reports to
+each one with its loads what it would accept, which is the present rate of that sender plus a fraction of the
+unused capacity; it lowers the allowance as its inbox fills up.  An allowance expires after
+``ALLOWANCE_TTL_MS``.  The bucket holds ``BURST_S`` seconds of its rate, so that infrequent messages do not
+wait, and in any T seconds no more than the rate times (T + BURST_S) messages go to a peer.  The interval
+between two messages is at least that of the whole inbox, so that items produced together share a message.
+
+The retry timeout of each peer follows RFC 6298: the smoothed round-trip time plus four mean deviations.
+Requests that were retransmitted are not timed (Karn's algorithm), since the answer may belong to either copy.
+
+A limiter that used to receive many messages and then receives none for the time that ``CUT_OFF_MESSAGES`` of
+them usually take is cut off from all peers.  It stops waiting for answers, while its requests continue as
+probes.  When links fail, jobs therefore wait for that time once and not for the timeout of each request.
 """
 
 from __future__ import annotations
@@ -22,61 +22,82 @@
 import math
 from dataclasses import dataclass
 
-INBOX_FRACTION = 0.85         # of a receiver's inbox is planned for, the rest is for uneven moments
-BURST_S = 0.35           # of its rate a sender may write to a peer at once, in seconds
-SPARE_FRACTION = 0.25          # of an inbox's unused part is allowed to each sender: few want more at a time
-ALLOWANCE_TTL_MS = 2000.0           # what a peer allowed counts no more after so long
-RATE_TIME_CONSTANT_MS = 1000.0           # time constant of what comes in, from each and from all ...
-LONG_TERM_TIME_CONSTANT_MS = 10_000.0        # ... and of what usually does
-# of what usually comes: without a word for so long a limiter is cut off, by chance
+# Fraction of an inbox's capacity that is planned for; the rest absorbs uneven load.
+INBOX_FRACTION = 0.85
+# Seconds of its rate that a sender may send to a peer at once.
+BURST_S = 0.35
+# Fraction of an inbox's unused capacity that is granted to each sender; few need more at the same time.
+SPARE_FRACTION = 0.25
+# An allowance expires after this time.
+ALLOWANCE_TTL_MS = 2000.0
+# Time constants of the incoming rate (of each peer and of all) and of its long-term average.
+RATE_TIME_CONSTANT_MS = 1000.0
+LONG_TERM_TIME_CONSTANT_MS = 10_000.0
+# A limiter is cut off after a silence in which this many messages usually arrive.  With random arrivals, one
+# in e**CUT_OFF_MESSAGES silences is taken for that by chance.
 CUT_OFF_MESSAGES = 8.0
-                           # once in e to that power of its silences ...
-MIN_CUT_OFF_MS = 150.0            # ... and no sooner than this: the event loop may have rested
-# times an answer takes at the most that one is waited for by who is cut off
+# Shorter silences never count, since the event loop may have been delayed.
+MIN_CUT_OFF_MS = 150.0
+# Maximum wait for an answer while cut off, as a multiple of the usual retry timeout.
 CUT_OFF_TIMEOUT_FACTOR = 1.5
-RTT_GAIN, RTT_DEVIATION_GAIN = 0.125, 0.25              # weights of a new time and a new deviation (RFC 6298)
-TIMEOUT_DEVIATIONS = 4.0           # of them beyond the smoothed time an answer is taken to be lost (RFC 6298)
-# each further try waits so much longer: the pace holds back what would be too much
+# Weights of a new round-trip time and of a new deviation (RFC 6298).
+RTT_GAIN, RTT_DEVIATION_GAIN = 0.125, 0.25
+# Mean deviations above the smoothed round-trip time after which an answer counts as lost (RFC 6298).
+TIMEOUT_DEVIATIONS = 4.0
+# Factor between the timeouts of successive retries.  The pacing already limits the load of retries.
 BACKOFF_FACTOR = 1.5
-MIN_RETRY_TICKS = 8.0          # between tries at the least: both sides act only once in a tick
-MIN_WAIT_TICKS = 3.0           # ticks that an ask is waited for, however little time there is
-# part of the least aim between tries to a peer that has not answered yet
+# Minimum time between retries, in ticks, because both sides act only once per tick.
+MIN_RETRY_TICKS = 8.0
+# Minimum time in ticks that a request waits for its answer, even if the caller has less time.
+MIN_WAIT_TICKS = 3.0
+# Retry timeout for a peer that has not answered yet, as a fraction of the smallest latency target.
 INITIAL_TIMEOUT_FRACTION = 0.1
-IDLE_MS = 60_000.0         # a peer with which nothing was exchanged for so long is forgotten
+# A peer without any exchange for this long is forgotten.
+IDLE_MS = 60_000.0
 
 
 @dataclass(slots=True)
 class RateEstimate:
-    """Messages a second, as an average that forgets exponentially."""
+    """A rate in messages a second, as an exponentially decaying average.
+
+    ``time_constant`` is in ms.
+    """
 
     updated_at: float
     rate: float = 0.0
-    time_constant: float = RATE_TIME_CONSTANT_MS                  # its time constant, ms
+    time_constant: float = RATE_TIME_CONSTANT_MS
 
     def rate_at(self, now: float) -> float:
+        """Return the rate at ``now``."""
         return self.rate * math.exp((self.updated_at - now) / self.time_constant)
 
     def add(self, now: float) -> None:
+        """Count one message."""
         self.rate, self.updated_at = self.rate_at(now) + 1000.0 / self.time_constant, now
 
 
 @dataclass(slots=True)
 class PeerState:
-    """The way to one peer and back, as it has shown itself."""
+    """The state of the exchange with one peer.
+
+    ``tokens`` are the messages that may be sent at once, as of ``refilled_at``.  ``allowance`` is the rate in
+    messages a second that the peer reported at ``allowance_at``.  ``smoothed_rtt`` is in ms, and negative
+    until the first measurement.
+    """
 
     last_used_at: float
-    tokens: float = 1.0                    # messages that may go at once ...
-    refilled_at: float = 0.0                    # ... as counted then
-    last_sent_at: float = -math.inf                # the last of them
-    allowance: float = 0.0                   # messages a second that the peer would take, ...
-    allowance_at: float = -math.inf                # ... and when it said so
-    smoothed_rtt: float = -1.0                   # ms until an answer; below 0: none was timed yet
+    tokens: float = 1.0
+    refilled_at: float = 0.0
+    last_sent_at: float = -math.inf
+    allowance: float = 0.0
+    allowance_at: float = -math.inf
+    smoothed_rtt: float = -1.0
     rtt_deviation: float = 0.0
 
 
 @dataclass(slots=True)
 class PendingRequest:
-    """An ask that waits for its answer."""
+    """A request that waits for its answer."""
 
     peer: int
     sent_at: float
@@ -85,13 +106,18 @@
 
 
 class PeerPacer:
-    """One limiter's words to the others, and theirs to it.
+    """Paces the messages of one limiter to its peers and accounts for theirs.
 
-    ``heard`` in what follows is the number of other limiters heard of lately: as many may write to one."""
+    The argument ``senders`` of the methods is the number of live peers, each of which may send to the same
+    limiter.
+    """
 
     def __init__(self, inbox_per_s: float, tick: float, aim: float) -> None:
-        """``inbox_per_s``: messages a second that each inbox takes, 0 where that is not known; ``tick``: ms
-        between two acts of a limiter; ``aim``: ms, the least of all classes."""
+        """Initialize the pacer.
+
+        ``inbox_per_s`` is the capacity of each inbox in messages a second, 0 if unknown; ``tick`` is the time
+        in ms between two rounds of a limiter; ``aim`` is the smallest latency target of all classes in ms.
+        """
         self.tick, self.planned_rate = tick, inbox_per_s * INBOX_FRACTION
         self.initial_timeout = max(aim * INITIAL_TIMEOUT_FRACTION, MIN_RETRY_TICKS * tick)
         self.peers: dict[int, PeerState] = {}
@@ -102,78 +128,96 @@
         )
         self.inbox_by_peer: dict[int, RateEstimate] = {}
 
-    # The inbox here -----------------------------------------------------------------------
+    # Incoming messages -----------------------------------------------------------------------
 
     def record_arrival(self, now: float, peer: int) -> None:
-        """A message from a peer."""
+        """Record a message received from a peer."""
         self.inbox.add(now)
         self.long_term_inbox.add(now)
         self.inbox_by_peer.setdefault(peer, RateEstimate(now)).add(now)
 
     def allowance(self, now: float, peer: int) -> float:
-        """Messages a second that this inbox would take from a peer: what comes from it and a part of what is
-        unused, or less where more comes than was planned for."""
-        flow, all_of = self.inbox_by_peer.get(peer), self.inbox.rate_at(now)
-        # It is told just after a message came, when the average stands half a step above what it is worth.
-        mine = max(0.0, flow.rate_at(now) - 500.0 / RATE_TIME_CONSTANT_MS) if flow is not None else 0.0
+        """Return the rate in messages a second that this inbox accepts from a peer.
+
+        It is the present rate of the peer plus a fraction of the unused capacity, and less than the present
+        rate if more arrives in total than is planned for.
+        """
+        peer_estimate, total = self.inbox_by_peer.get(peer), self.inbox.rate_at(now)
+        # This is called just after a message arrived, when the average is half a step above its mean.
+        peer_rate = (
+            max(0.0, peer_estimate.rate_at(now) - 500.0 / RATE_TIME_CONSTANT_MS)
+            if peer_estimate is not None
+            else 0.0
+        )
         return (
-            mine * self.planned_rate / all_of
-            if all_of > self.planned_rate
-            else mine + (self.planned_rate - all_of) * SPARE_FRACTION
+            peer_rate * self.planned_rate / total
+            if total > self.planned_rate
+            else peer_rate + (self.planned_rate - total) * SPARE_FRACTION
         )
 
     def is_cut_off(self, now: float) -> bool:
-        """Whether nothing at all has come for so long that no link can be whole."""
-        quiet = now - self.long_term_inbox.updated_at
-        return quiet >= MIN_CUT_OFF_MS and quiet * self.long_term_inbox.rate / 1000.0 >= CUT_OFF_MESSAGES
+        """Return whether no message has arrived for so long that all links must have failed."""
+        silence = now - self.long_term_inbox.updated_at
+        return silence >= MIN_CUT_OFF_MS and silence * self.long_term_inbox.rate / 1000.0 >= CUT_OFF_MESSAGES
 
-    # The way to a peer --------------------------------------------------------------------
+    # Outgoing messages --------------------------------------------------------------------
 
     def record_allowance(self, now: float, peer: int, allowed: float) -> None:
-        """A peer has told its allowance, in messages a second."""
-        way = self._peer_state(now, peer)
-        way.allowance, way.allowance_at = min(allowed, self.planned_rate), now
+        """Record the allowance that a peer reports, in messages a second."""
+        state = self._peer_state(now, peer)
+        state.allowance, state.allowance_at = min(allowed, self.planned_rate), now
 
     def reports_allowance(self, peer: int) -> bool:
-        """Whether a peer has told an allowance: older programs do not, and cannot read what came since."""
+        """Return whether a peer has reported an allowance.
+
+        Older versions do not, and they cannot parse the item types introduced since.
+        """
         return peer in self.peers and self.peers[peer].allowance_at > -math.inf
 
-    def fair_interval(self, heard: int) -> float:
-        """Ms between two messages to any peer if all who are heard write to it at their most."""
-        return max(1.0, heard) * 1000.0 / self.planned_rate if self.planned_rate > 0 else self.tick
+    def fair_interval(self, senders: int) -> float:
+        """Return the ms between messages to a peer if all ``senders`` send to it at their maximum."""
+        return max(1.0, senders) * 1000.0 / self.planned_rate if self.planned_rate > 0 else self.tick
 
-    def rate(self, now: float, peer: int, heard: int) -> float:
-        """Messages a second that may go to a peer for long."""
-        way, fair = self.peers.get(peer), 1000.0 / self.fair_interval(heard)
-        return fair if way is None or now - way.allowance_at > ALLOWANCE_TTL_MS else max(fair, way.allowance)
+    def rate(self, now: float, peer: int, senders: int) -> float:
+        """Return the sustained rate in messages a second at which messages may go to a peer."""
+        state, fair = self.peers.get(peer), 1000.0 / self.fair_interval(senders)
+        return (
+            fair
+            if state is None or now - state.allowance_at > ALLOWANCE_TTL_MS
+            else max(fair, state.allowance)
+        )
 
-    def next_send_at(self, now: float, peer: int, heard: int) -> float:
-        """From when on the next message may go to a peer."""
-        way, rate = self._refill(now, peer, heard)
-        if way.tokens < 1.0:
-            now += (1.0 - way.tokens) / rate * 1000.0
+    def next_send_at(self, now: float, peer: int, senders: int) -> float:
+        """Return the time from which on the next message may go to a peer."""
+        state, rate = self._refill(now, peer, senders)
+        if state.tokens < 1.0:
+            now += (1.0 - state.tokens) / rate * 1000.0
         return max(
-            now, way.last_sent_at + (1000.0 / self.planned_rate if self.planned_rate > 0 else self.tick)
+            now, state.last_sent_at + (1000.0 / self.planned_rate if self.planned_rate > 0 else self.tick)
         )
 
-    def record_sent(self, now: float, peer: int, heard: int) -> None:
-        """A message has gone to a peer."""
-        way = self._refill(now, peer, heard)[0]
-        way.tokens, way.last_sent_at = way.tokens - 1.0, now
+    def record_sent(self, now: float, peer: int, senders: int) -> None:
+        """Record that a message was sent to a peer."""
+        state = self._refill(now, peer, senders)[0]
+        state.tokens, state.last_sent_at = state.tokens - 1.0, now
 
-    def _refill(self, now: float, peer: int, heard: int) -> tuple[PeerState, float]:
-        way, rate = self._peer_state(now, peer), self.rate(now, peer, heard)
-        most = max(1.0, BURST_S * rate)
-        way.tokens = min(most, way.tokens + max(0.0, now - way.refilled_at) * rate / 1000.0)
-        if way.tokens > 1.0 - 1e-6:              # what the clock's steps round away is no reason to wait
-            way.tokens = max(1.0, way.tokens)
-        way.refilled_at = now
-        return way, rate
+    def _refill(self, now: float, peer: int, senders: int) -> tuple[PeerState, float]:
+        state, rate = self._peer_state(now, peer), self.rate(now, peer, senders)
+        capacity = max(1.0, BURST_S * rate)
+        state.tokens = min(capacity, state.tokens + max(0.0, now - state.refilled_at) * rate / 1000.0)
+        # Rounding of the clock must not delay a message.
+        if state.tokens > 1.0 - 1e-6:
+            state.tokens = max(1.0, state.tokens)
+        state.refilled_at = now
+        return state, rate
 
-    # Asks and their answers ---------------------------------------------------------------
+    # Requests and answers -----------------------------------------------------------------
 
     def start_request(self, now: float, number: int, peer: int, give_up: float) -> float:
-        """An ask goes out for the first time: ms until it is due again, ``give_up`` ms at the most."""
+        """Register the first try of request ``number``, to be given up after ``give_up`` ms.
+
+        Returns the ms until its first retry is due.
+        """
         if self.is_cut_off(now):
             give_up = min(give_up, CUT_OFF_TIMEOUT_FACTOR * self._retry_timeout(peer, 1))
         give_up = max(give_up, MIN_WAIT_TICKS * self.tick)
@@ -181,51 +225,62 @@
         return min(give_up, self._retry_timeout(peer, 1))
 
     def next_retry(self, now: float, number: int) -> float | None:
-        """No answer in time: ms until the next look, where the ask is to go again; None: it is given up."""
-        out = self.pending.get(number)
-        if out is None or now >= out.deadline - self.tick or self.is_cut_off(now):
+        """Register that a request was not answered in time.
+
+        Returns the ms until the following check if the request is to be sent again, and None if it is given
+        up.
+        """
+        request = self.pending.get(number)
+        if request is None or now >= request.deadline - self.tick or self.is_cut_off(now):
             self.pending.pop(number, None)
             return None
-        out.tries += 1
-        return max(self.tick, min(self._retry_timeout(out.peer, out.tries), out.deadline - now))
+        request.tries += 1
+        return max(
+            self.tick, min(self._retry_timeout(request.peer, request.tries), request.deadline - now)
+        )
 
     def record_answer(self, now: float, number: int) -> None:
-        """Its answer has come."""
-        out = self.pending.pop(number, None)
-        if out is None or out.tries > 1:
+        """Record that a request was answered."""
+        request = self.pending.pop(number, None)
+        if request is None or request.tries > 1:
             return
-        way, took = self._peer_state(now, out.peer), now - out.sent_at
-        if way.smoothed_rtt < 0:
-            way.smoothed_rtt, way.rtt_deviation = took, took / 2
+        state, rtt = self._peer_state(now, request.peer), now - request.sent_at
+        if state.smoothed_rtt < 0:
+            state.smoothed_rtt, state.rtt_deviation = rtt, rtt / 2
         else:
-            way.rtt_deviation += RTT_DEVIATION_GAIN * (abs(took - way.smoothed_rtt) - way.rtt_deviation)
-            way.smoothed_rtt += RTT_GAIN * (took - way.smoothed_rtt)
+            state.rtt_deviation += RTT_DEVIATION_GAIN * (abs(rtt - state.smoothed_rtt) - state.rtt_deviation)
+            state.smoothed_rtt += RTT_GAIN * (rtt - state.smoothed_rtt)
 
     def drop_request(self, number: int) -> None:
-        """Nobody waits for its answer any more."""
+        """Forget a request whose answer is not needed any more."""
         self.pending.pop(number, None)
 
     def _retry_timeout(self, peer: int, tries: int) -> float:
-        way = self.peers.get(peer)
-        if way is None or way.smoothed_rtt < 0:
-            once = self.initial_timeout
+        state = self.peers.get(peer)
+        if state is None or state.smoothed_rtt < 0:
+            timeout = self.initial_timeout
         else:
-            once = max(MIN_RETRY_TICKS * self.tick, way.smoothed_rtt + TIMEOUT_DEVIATIONS * way.rtt_deviation)
-        return once * BACKOFF_FACTOR ** (tries - 1)
+            timeout = max(
+                MIN_RETRY_TICKS * self.tick,
+                state.smoothed_rtt + TIMEOUT_DEVIATIONS * state.rtt_deviation,
+            )
+        return timeout * BACKOFF_FACTOR ** (tries - 1)
 
     # Upkeep -------------------------------------------------------------------------------
 
     def clean(self, now: float) -> None:
-        """State stays bounded by those with whom something was exchanged of late."""
-        self.peers = {peer: w for peer, w in self.peers.items() if now - w.last_used_at < IDLE_MS}
+        """Discard the state of idle peers and of expired requests."""
+        self.peers = {peer: s for peer, s in self.peers.items() if now - s.last_used_at < IDLE_MS}
         self.inbox_by_peer = {
-            peer: f for peer, f in self.inbox_by_peer.items() if now - f.updated_at < IDLE_MS
+            peer: e for peer, e in self.inbox_by_peer.items() if now - e.updated_at < IDLE_MS
+        }
+        self.pending = {
+            number: r for number, r in self.pending.items() if now < r.deadline + IDLE_MS
         }
-        self.pending = {number: o for number, o in self.pending.items() if now < o.deadline + IDLE_MS}
 
     def _peer_state(self, now: float, peer: int) -> PeerState:
-        way = self.peers.get(peer)
-        if way is None:
-            way = self.peers[peer] = PeerState(now, refilled_at=now)
-        way.last_used_at = now
-        return way
+        state = self.peers.get(peer)
+        if state is None:
+            state = self.peers[peer] = PeerState(now, refilled_at=now)
+        state.last_used_at = now
+        return state
--- a/tests/test_fleet_decisions.py
+++ b/tests/test_fleet_decisions.py
@@ -31,8 +31,8 @@
 def test_seldom_words_wait_for_nothing_though_many_are_heard() -> None:
     pace, now = PeerPacer(INBOX, TICK, AIM), 0.0
     for _ in range(40):
-        assert pace.next_send_at(now, 1, heard=14) == now
-        pace.record_sent(now, 1, heard=14)
+        assert pace.next_send_at(now, 1, senders=14) == now
+        pace.record_sent(now, 1, senders=14)
         now += 700.0
 
 
@@ -67,8 +67,8 @@
         for i in range(1, 15):
             if now % 1000 == i * 60:
                 receiver.record_arrival(float(now), i)            # one a second of each of the others
-        if busy.next_send_at(float(now), 0, heard=14) <= now:
-            busy.record_sent(float(now), 0, heard=14)
+        if busy.next_send_at(float(now), 0, senders=14) <= now:
+            busy.record_sent(float(now), 0, senders=14)
             receiver.record_arrival(float(now), 0)
             busy.record_allowance(now, 0, receiver.allowance(float(now), 0))
             sent += 1
@@ -78,8 +78,8 @@
 def test_an_allowance_that_was_told_long_ago_counts_no_more() -> None:
     pace = PeerPacer(INBOX, TICK, AIM)
     pace.record_allowance(0.0, 1, 40.0)
-    assert pace.rate(1000.0, 1, heard=14) == 40.0
-    assert pace.rate(5000.0, 1, heard=14) == pytest.approx(INBOX * INBOX_FRACTION / 14)
+    assert pace.rate(1000.0, 1, senders=14) == 40.0
+    assert pace.rate(5000.0, 1, senders=14) == pytest.approx(INBOX * INBOX_FRACTION / 14)
     assert pace.reports_allowance(1) and not pace.reports_allowance(2)
 
 
