--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -181,7 +181,7 @@
 
 
 def test_further_attempts_keep_their_part_of_the_first_ones() -> None:
-    limits = FleetLimits(0, 3, 0.0, LONGEST, further_part=0.2)
+    limits = FleetLimits(0, 3, 0.0, LONGEST, further_fraction=0.2)
     further = 0
     for _ in range(500):
         limits.record_attempt(0.0, 1, 1, True)
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -359,7 +359,7 @@
     assert state(gateway.zones, "b") == "away"
     bed.run(2 * zs.PROBE_SLOT_MS)
     for allowed, found in ((False, set()), (True, {"b"})):
-        gateway.limits.room = lambda now, subject, out, a=allowed: a or subject not in fail_all  # type: ignore
+        gateway.limits.has_slot = lambda now, subject, out, a=allowed: a or subject not in fail_all  # type: ignore
         bed.ask(0, f"probe-{allowed}", plan="free")
         zones = {gateway.servers[a.server].entry.zone for a in bed.of(io.Send, f"probe-{allowed}")}
         assert zones & {"b"} == found
