--- a/larklb/quota/catalogue.py
+++ b/larklb/quota/catalogue.py
@@ -35,7 +35,7 @@
 
 
 class Figures(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """Figures of one plan: units a second, units, attempts out at once; None leaves a figure unchanged."""
+    """Figures of one plan: units a second, units, attempts in flight; None leaves a figure unchanged."""
 
     rate: float | None = None
     burst: float | None = None
--- a/larklb/quota/fallback.py
+++ b/larklb/quota/fallback.py
@@ -220,7 +220,7 @@
         """Whether a request is admitted without the owner, and the ms to wait if it is not.
 
         A fresh copy less what was admitted since decides, else this limiter's share.  ``out`` counts the
-        customer's attempts that are out from here; ``failures`` the asks of the owner that failed in a row.
+        customer's attempts in flight from here; ``failures`` the asks of the owner that failed in a row.
         One failure may be chance; after several, other limiters too go by their copies and together would
         admit too much.
         """
