--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -206,7 +206,7 @@
     def round(
         self, hand: cu.HolderSession, ask: cu.CustodyMessage, judge: Callable[[int, cu.Reply | None], object]
     ) -> None:
-        """As the keeper does it: each custodian's word, or none after WORD_MS."""
+        """As the keeper does it: each custodian's word, or none after REPLY_TIMEOUT_MS."""
         for i in self.group:
             if i == hand.number:
                 judge(i, self.of[i].handle(self.now, ask))
