--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -121,8 +121,8 @@
         return timer
 
     def _fire(self, timer: Timer) -> None:
-        if timer.act is not None and self.owner():
-            timer.act(*timer.args)
+        if timer.callback is not None and self.owner():
+            timer.callback(*timer.args)
 
 
 class HollowTransport(Transport):
--- a/larklb/upkeep.py
+++ b/larklb/background.py
@@ -13,7 +13,7 @@
 PAUSE_S = 1.0              # before work that has failed is taken up again: it may fail at once again
 
 
-async def for_good(name: str, work: Callable[[], Awaitable[None]], counters: Counters,
+async def run_forever(name: str, work: Callable[[], Awaitable[None]], counters: Counters,
                    pause: float = PAUSE_S) -> None:
     """Does ``work`` over and over until it is cancelled; ``pause`` seconds lie behind a failure.
 
--- a/larklb/core.py
+++ b/larklb/core.py
@@ -30,32 +30,33 @@
 class Job:
     """A request that was taken; its task reads what the module decided from here, in order."""
 
-    __slots__ = ("id", "due", "request", "gone", "attempts", "stop", "overdue", "ticket", "may_send", "_box",
-                 "_reader")
+    __slots__ = ("id", "due", "request", "abandoned", "attempts", "abort_attempt", "deadline_timer", "ticket",
+                 "may_send", "_mailbox", "_waiter")
 
     def __init__(self, request: io.Request) -> None:
         self.id = request.request
         self.due = request.due
         self.request = request
-        self.gone = False
+        self.abandoned = False
         self.attempts = 0
-        self.stop: Callable[[io.Result], None] | None = None      # ends the attempt that is out, if any
-        self.overdue: Timer | None = None
+        # Ends the attempt in progress, if any.
+        self.abort_attempt: Callable[[io.Result], None] | None = None
+        self.deadline_timer: Timer | None = None
         self.ticket: Ticket | None = None        # its count in the ledger, from its first send on
         self.may_send: Callable[[], bool] | None = None          # asked right before an attempt is written
-        self._box: deque[io.Action] = deque()
-        self._reader: asyncio.Future[None] | None = None
+        self._mailbox: deque[io.Action] = deque()
+        self._waiter: asyncio.Future[None] | None = None
 
     def put(self, action: io.Action) -> None:
-        self._box.append(action)
-        if self._reader is not None and not self._reader.done():
-            self._reader.set_result(None)
+        self._mailbox.append(action)
+        if self._waiter is not None and not self._waiter.done():
+            self._waiter.set_result(None)
 
     async def next(self) -> io.Action:
-        while not self._box:
-            self._reader = asyncio.get_running_loop().create_future()
-            await self._reader
-        return self._box.popleft()
+        while not self._mailbox:
+            self._waiter = asyncio.get_running_loop().create_future()
+            await self._waiter
+        return self._mailbox.popleft()
 
 
 class Core:
@@ -70,23 +71,23 @@
         self.classes = {c.name: c for c in settings.classes}
         self.plans = {p.name for p in settings.plans}           # that requests may name
         self.jobs: dict[str, Job] = {}
-        self.tell: Callable[[int, bytes], None] = lambda peer, data: None
-        self.keep: Callable[[io.RecordDraw], None] = lambda drawn: None
+        self.send_to_peer: Callable[[int, bytes], None] = lambda peer, data: None
+        self.record_draw: Callable[[io.RecordDraw], None] = lambda drawn: None
         self.ledger: Ledger | None = None
-        self.step: Callable[[str], object] = bool    # named steps at which tests end it
+        self.crash_point: Callable[[str], object] = bool    # named steps at which tests end it
 
     def start(self) -> None:
         self._carry_out(self.gateway.start(self.wheel.now()))
 
-    def call(self) -> None:
+    def ping_peers(self) -> None:
         """A word goes to each other limiter, and comes back where the way is open."""
         self._carry_out(self.gateway.ping_peers(self.wheel.now()))
 
-    def zones_moved(self) -> None:
+    def zones_changed(self) -> None:
         """An operator has left a zone, or come back to it."""
         self._carry_out(self.gateway.zones_changed(self.wheel.now()))
 
-    def renew(self, settings: io.Settings) -> None:
+    def apply_settings(self, settings: io.Settings) -> None:
         """Other settings count from now on, for all that comes; ValueError, and nothing changes, where they
         cannot be taken over in service."""
         kept = in_service(self.settings, settings, self.gateway.topics)
@@ -126,13 +127,14 @@
                     case io.SetTimer():
                         self.wheel.after(a.after, self.feed, io.Timer(a.timer_id))
                     case io.RecordDraw():
-                        self.keep(a)           # before what tells of it leaves
+                        self.record_draw(a)           # before what tells of it leaves
                     case io.SendToPeer():
-                        self.tell(a.peer, a.data)
+                        self.send_to_peer(a.peer, a.data)
                     case io.Cancel():
                         job = self.jobs.get(a.request)
-                        if job is not None and job.stop is not None and a.attempt == job.attempts - 1:
-                            job.stop(io.Result.CANCELLED)
+                        if (job is not None and job.abort_attempt is not None
+                                and a.attempt == job.attempts - 1):
+                            job.abort_attempt(io.Result.CANCELLED)
                     case io.Send() | io.Grant() | io.Refuse() | io.Fail():
                         if a.request in self.jobs:
                             self.jobs[a.request].put(a)
@@ -148,7 +150,7 @@
         job = Job(request)
         # The module answers before the due time or an attempt times out at it.  Should both fail to
         # happen, the job must still end: the guard stands two ticks behind them.
-        job.overdue = self.wheel.after(request.due - self.wheel.now() + 2 * self.settings.tick,
+        job.deadline_timer = self.wheel.after(request.due - self.wheel.now() + 2 * self.settings.tick,
                                        self._overdue, job)
         self.jobs[request.request] = job
         self.feed(request)
@@ -157,41 +159,41 @@
     def _overdue(self, job: Job) -> None:
         self.counters.add("errors.overdue")
         job.put(io.Fail(job.id))
-        if job.stop is not None:
-            job.stop(io.Result.TIMEOUT)
+        if job.abort_attempt is not None:
+            job.abort_attempt(io.Result.TIMEOUT)
 
-    def gone(self, job: Job) -> None:
+    def abandon(self, job: Job) -> None:
         """Nobody waits for the job any more; an attempt that is out runs on."""
-        if job.gone or job.id not in self.jobs:
+        if job.abandoned or job.id not in self.jobs:
             return
-        job.gone = True
+        job.abandoned = True
         self.counters.add("gone")
         self.feed(io.ClientGone(job.id))
         job.put(io.Fail(job.id))
 
-    def spent(self, job: Job) -> None:
+    def body_consumed(self, job: Job) -> None:
         """What the job brings cannot be sent again."""
         self.feed(io.BodyConsumed(job.id))
 
-    def owed_by(self, job: Job, due: float) -> None:
+    def set_due(self, job: Job, due: float) -> None:
         """The job's last byte has come: its time runs from now."""
         job.due = due
-        if job.overdue is not None:
-            job.overdue.cancel()
-            job.overdue = self.wheel.after(due - self.wheel.now() + 2 * self.settings.tick,
+        if job.deadline_timer is not None:
+            job.deadline_timer.cancel()
+            job.deadline_timer = self.wheel.after(due - self.wheel.now() + 2 * self.settings.tick,
                                            self._overdue, job)
 
-    def began(self, job: Job, server: str, took: float) -> None:
+    def stream_started(self, job: Job, server: str, took: float) -> None:
         """The first bytes of its answer go out: from here on it has no deadline and no other attempt."""
-        job.stop = None
-        if job.overdue is not None:
-            job.overdue.cancel()
+        job.abort_attempt = None
+        if job.deadline_timer is not None:
+            job.deadline_timer.cancel()
         self.feed(io.StreamStarted(job.id, job.attempts - 1, server, took))
 
-    def outcome(self, job: Job, server: str, result: io.Result, took: float, spoilt: bool = False,
+    def attempt_ended(self, job: Job, server: str, result: io.Result, took: float, spoilt: bool = False,
                 stale: bool = False) -> None:
-        number, job.attempts, job.stop = job.attempts - 1, job.attempts, None
-        complete = job.gone or result is io.Result.OK
+        number, job.attempts, job.abort_attempt = job.attempts - 1, job.attempts, None
+        complete = job.abandoned or result is io.Result.OK
         self.counters.add(f"outcome.{result.value}")
         self.feed(
             io.Outcome(
@@ -199,13 +201,13 @@
             )
         )
 
-    def let_go(self, job: Job, send: io.Send) -> None:
+    def withdraw(self, job: Job, send: io.Send) -> None:
         """An attempt that the module decided on must not leave: the job is not this limiter's any more."""
         self.feed(io.ClientGone(job.id))
         job.attempts += 1
-        self.outcome(job, send.server, io.Result.NOT_SENT, 0.0)
+        self.attempt_ended(job, send.server, io.Result.NOT_SENT, 0.0)
 
-    async def count(self, job: Job, stamp: io.Stamp | None) -> None:
+    async def charge(self, job: Job, stamp: io.Stamp | None) -> None:
         """The job's use stands in the ledger on return: its first byte, or its grant, may go out."""
         ledger, r = self.ledger, job.request
         if ledger is None or stamp is None or job.ticket is not None or r.charged:
@@ -218,8 +220,8 @@
 
     def close(self, job: Job) -> None:
         """The job has had its answer."""
-        if job.overdue is not None:
-            job.overdue.cancel()
+        if job.deadline_timer is not None:
+            job.deadline_timer.cancel()
         if job.ticket is not None and self.ledger is not None:
             self.ledger.end(job.ticket)
         self.jobs.pop(job.id, None)
--- a/larklb/desk.py
+++ b/larklb/desk.py
@@ -19,6 +19,7 @@
 from larklb import __version__
 from larklb import interface as io
 from larklb.admin import Admin, AdminError
+from larklb.background import run_forever
 from larklb.core import Core
 from larklb.counters import Counters
 from larklb.export import exporter as ex
@@ -38,7 +39,6 @@
 from larklb.state.folder import Folder
 from larklb.state.log import LogError, Step
 from larklb.state.reserved import ReservedLog
-from larklb.upkeep import for_good
 from larklb.wheel import Wheel
 
 if TYPE_CHECKING:
@@ -157,21 +157,21 @@
 
     async def start(self, core: Core) -> None:
         self.core = core
-        core.keep = self.keep
+        core.record_draw = self.keep
         if self.admin is not None:
             await self.admin.start()
         loop = asyncio.get_running_loop()
         if self.ledger is not None and self.operator.ledger is not None and self.operator.state is not None:
             e = self.operator.ledger
             upkeep = functools.partial(self.ledger.keep, self.operator.state.sync_ms, e.seal_s)
-            self.tasks.append(loop.create_task(for_good("ledger", upkeep, self.counters)))
+            self.tasks.append(loop.create_task(run_forever("ledger", upkeep, self.counters)))
         if self.exporter is not None:
             self.tasks.append(loop.create_task(self.exporter.run()))
         if self.adopter is not None:
-            self.tasks.append(loop.create_task(for_good("adopter", self.adopter.run, self.counters)))
+            self.tasks.append(loop.create_task(run_forever("adopter", self.adopter.run, self.counters)))
         if self.reserved is not None:
             tidy = functools.partial(self._tidy, self.reserved)
-            self.tasks.append(loop.create_task(for_good("reserved", tidy, self.counters)))
+            self.tasks.append(loop.create_task(run_forever("reserved", tidy, self.counters)))
 
     async def _tidy(self, reserved: ReservedLog) -> None:
         await asyncio.sleep(TIDY_S)
@@ -351,7 +351,7 @@
         if self.core is None:
             raise AdminError("the instance is starting")
         for _ in range(CALLS):
-            self.core.call()
+            self.core.ping_peers()
             await asyncio.sleep(CALL_S)
         g, now = self.core.gateway, self.core.wheel.now()
         topics = {number: name for name, number in g.topics.items()}
@@ -402,7 +402,7 @@
         if not zones.override(now, name, word):
             raise AdminError(f"no node of a zone {name!r} was ever listed")
         assert self.core is not None
-        self.core.zones_moved()
+        self.core.zones_changed()
         log.info("an operator's word on zone %s: %s", name, "taken back" if word is None else
                  f"{'away' if word.away else 'home'} for {for_s:g} s, as {word.reason!r}")
         return await self.fleet_zones(q)
--- a/larklb/grpc/front.py
+++ b/larklb/grpc/front.py
@@ -101,12 +101,12 @@
             for job in jobs:
                 verdict = await job.next()
                 if isinstance(verdict, io.Grant):
-                    await self.core.count(job, verdict.stamp)
+                    await self.core.charge(job, verdict.stamp)
                 verdicts.append(verdict)
         except BaseException:
             # The caller has gone, or we have failed: what has no grant yet must not take any units.
             for job in jobs[len(verdicts):]:
-                self.core.gone(job)
+                self.core.abandon(job)
                 counters.add("answered.nobody")
             raise
         finally:
--- a/larklb/handed.py
+++ b/larklb/handover_state.py
@@ -24,11 +24,11 @@
 NO_ROOM = 1e-9             # of what a cold node stands is left to a process that has handed over
 
 
-class HandedError(Exception):
+class HandoverStateError(Exception):
     """What came is not what one process hands to the next."""
 
 
-class Place(msgspec.Struct, array_like=True):
+class NodeAddress(msgspec.Struct, array_like=True):
     """A listed execute node: where it is dialled, and since when it wants nothing new."""
 
     host: str
@@ -36,7 +36,7 @@
     closed_at: float | None
 
 
-class Seen(msgspec.Struct, array_like=True):
+class ServerRecord(msgspec.Struct, array_like=True):
     """What is known of one server."""
 
     entry: io.Entry
@@ -46,7 +46,7 @@
     turn: float
 
 
-class Handed(msgspec.Struct):
+class HandoverState(msgspec.Struct):
     """The state of a limiter, but for its jobs."""
 
     version: int
@@ -55,8 +55,8 @@
     generation: int
     discovery: tuple[str, int]
     offset: float
-    places: dict[str, Place]
-    servers: list[Seen]
+    places: dict[str, NodeAddress]
+    servers: list[ServerRecord]
     # Plans by name: both processes number them by their own file.
     plans: list[str]
     topics: dict[str, int]
@@ -88,14 +88,14 @@
 
 
 def pack(gateway: Gateway, *, draining: bool, generation: int, discovery: tuple[str, int], offset: float,
-         places: dict[str, Place]) -> bytes:
+         places: dict[str, NodeAddress]) -> bytes:
     """The state as bytes."""
     g, alone = gateway, gateway.fallback
     shares, settling = alone.shares, alone.settlement
-    return msgspec.msgpack.encode(Handed(
+    return msgspec.msgpack.encode(HandoverState(
         version=VERSION, draining=draining, generation=generation, discovery=discovery, offset=offset,
         places=places,
-        servers=[Seen(s.entry, s.judgements, s.last_answer_at, s.last_sent_at, s.wait_factor)
+        servers=[ServerRecord(s.entry, s.judgements, s.last_answer_at, s.last_sent_at, s.wait_factor)
                  for s in g.servers.values()],
         plans=[p.name for p in g.settings.plans], topics=g.topics, usual=g.usual_latency,
         room=g.server_limit, busy=g.server_pool.mean_in_flight,
@@ -113,18 +113,18 @@
         speak=g.entitlements.extended_peers))
 
 
-def unpack(data: bytes) -> Handed:
-    """The state from its bytes; HandedError where they are of another form, cut short or garbage."""
+def unpack(data: bytes) -> HandoverState:
+    """The state from its bytes; HandoverStateError where they are of another form, cut short or garbage."""
     try:
-        handed = msgspec.msgpack.decode(data, type=Handed)
+        handed = msgspec.msgpack.decode(data, type=HandoverState)
     except (msgspec.DecodeError, ValueError) as error:
-        raise HandedError(f"the state that was handed over cannot be read: {error}") from error
+        raise HandoverStateError(f"the state that was handed over cannot be read: {error}") from error
     if handed.version != VERSION:
-        raise HandedError(f"the state is of version {handed.version}, here it is {VERSION}")
+        raise HandoverStateError(f"the state is of version {handed.version}, here it is {VERSION}")
     return handed
 
 
-def install(gateway: Gateway, handed: Handed, now: float) -> None:
+def restore(gateway: Gateway, handed: HandoverState, now: float) -> None:
     """Into a gateway that has just been made; its own settings count, where plans and classes differ."""
     g, alone = gateway, gateway.fallback
     numbers = {name: n for n, name in enumerate(p.name for p in g.settings.plans)}
@@ -165,7 +165,7 @@
         g.entitlements.update_bucket(now, key, told, bucket)
 
 
-def retired(settings: io.Settings) -> dict[str, Any]:
+def retired_settings(settings: io.Settings) -> dict[str, Any]:
     """What changes in the settings of a process that has handed over and only finishes its jobs: it asks and
     tells nobody, and what a cold node stands is the other process's alone."""
     return {"can_tell": False, "tip_multiple": settings.tip_multiple * NO_ROOM}
--- a/larklb/net/console.py
+++ b/larklb/net/console.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from larklb.core import Core
-from larklb.figures import stats
+from larklb.operator_stats import stats
 from larklb.phase import Phase
 
 MOST_AT_ONCE = 12          # connections, and as many descriptors set aside for them
--- a/larklb/net/execute.py
+++ b/larklb/net/execute.py
@@ -219,7 +219,7 @@
         if machine is None or left <= 0:
             return Ended(io.Result.NOT_SENT, 0.0)
         place, attempt = Place(send.server, machine.place), _Attempt(send.server, started)
-        job.stop = attempt.stop
+        job.abort_attempt = attempt.stop
         attempt.timer = self.wheel.after(left, attempt.stop, io.Result.TIMEOUT)
         link: Link | None = None
         kept = False
@@ -231,7 +231,7 @@
             if link is None:
                 result = io.Result.CONNECT_FAILED if attempt.result is None else io.Result.NOT_SENT
                 return Ended(result, self.wheel.now() - started, stale=attempt.ours)
-            await self.core.count(job, send.stamp)
+            await self.core.charge(job, send.stamp)
             if attempt.result is not None:           # called off or out of time before a byte was written
                 kept = True
                 self._keep(place, link)
@@ -265,7 +265,7 @@
             return ended
         finally:
             attempt.timer.cancel()
-            job.stop = None
+            job.abort_attempt = None
             if link is not None and not kept:
                 self._end(place, link)
 
@@ -382,7 +382,7 @@
 
     def _written(self, job: Job) -> None:
         """An attempt's last byte has left."""
-        self.core.step("after send")
+        self.core.crash_point("after send")
         self.core.counters.add("sent")
         self.core.counters.add(f"sent.{job.request.service}")
         if job.ticket is not None:
@@ -404,7 +404,7 @@
     async def _passed(self, link: Link, attempt: _Attempt, job: Job, sink: Sink, head: h11.Response,
                       first: bytes, took: float) -> Ended:
         """The rest of an answer, piece by piece; who stops taking it, or giving it, ends it."""
-        self.core.began(job, attempt.server, took)
+        self.core.stream_started(job, attempt.server, took)
         self.core.counters.add("streamed")
         stall = self.wheel.after(STALL, link.abort)
         whole = False
--- a/larklb/net/front.py
+++ b/larklb/net/front.py
@@ -257,7 +257,7 @@
         """What says nothing, or hangs in the middle of a message, must not hold a descriptor for good."""
         self.wheel.after(SWEEP, self._sweep)      # first: a sweep that fails must not be the last
         now = self.wheel.now()
-        if self.pass_on is not None or self.phase.lets_go(now):
+        if self.pass_on is not None or self.phase.closes_idle_connections(now):
             self._let_go()
         for link in list(self.links):
             if link.busy:
@@ -458,30 +458,30 @@
             if taken is not None:
                 hold, request = taken, taken.told(request)
             job = self.core.take(request)
-            link.reader.on_end = functools.partial(self.core.gone, job)
+            link.reader.on_end = functools.partial(self.core.abandon, job)
             if link.reader.ended():
-                self.core.gone(job)
+                self.core.abandon(job)
             if content.upload is not None:
                 wait = request.due - upload_time(content.upload) - self.wheel.now()
-                content.upload.tell(functools.partial(self.core.spent, job),
-                                    lambda: self.core.owed_by(job, self.wheel.now() + wait))
+                content.upload.tell(functools.partial(self.core.body_consumed, job),
+                                    lambda: self.core.set_due(job, self.wheel.now() + wait))
             answer, word = await self._decided(job, content, sink, hold)
         except Exception:
             # A failure of our own costs this job alone; what it had out is closed by the attempt itself.
             log.exception("job %s failed", request.request)
             counters.add("errors.job")
             if job is not None:
-                self.core.gone(job)
+                self.core.abandon(job)
             answer, word = Answer(500), "failed"
         try:
             link.reader.on_end = None
-            if job is not None and job.overdue is not None:
-                job.overdue.cancel()
-            if job is not None and job.gone and word != "failed":
+            if job is not None and job.deadline_timer is not None:
+                job.deadline_timer.cancel()
+            if job is not None and job.abandoned and word != "failed":
                 word = "nobody"
             if answer is not None:
                 more = await self._reply(link, answer)
-                self.core.step("answer passed on")
+                self.core.crash_point("answer passed on")
                 return more
             if sink.whole:
                 await self._body_away(link)
@@ -529,21 +529,22 @@
                     try:
                         ended: Ended = await self.nodes.attempt(job, action, content, sink)
                     except BrokenOffError as error:
-                        self.core.outcome(job, action.server, io.Result.CONNECT_FAILED, 0.0, stale=True)
+                        self.core.attempt_ended(job, action.server, io.Result.CONNECT_FAILED, 0.0, stale=True)
                         return _broken_off(error.__cause__), "failed"
-                    self.core.outcome(job, action.server, ended.result, ended.took, ended.spoilt, ended.stale)
+                    self.core.attempt_ended(job, action.server, ended.result, ended.took, ended.spoilt,
+                                            ended.stale)
                     if ended.streamed:
                         return None, "served" if ended.whole else "failed"
                     if ended.result is io.Result.OK:
                         if hold is not None:
                             await hold.answered(200, ended.kind, ended.body)
                         return Answer(200, ended.body, ended.kind), "served"
-                    if job.gone:
+                    if job.abandoned:
                         return Answer(502, close=True), "nobody"
                 case io.Refuse():
                     return refusal(action), "refused"
                 case _:
-                    return Answer(502, close=job.gone), "nobody" if job.gone else "failed"
+                    return Answer(502, close=job.abandoned), "nobody" if job.abandoned else "failed"
 
 
 def _broken_off(error: BaseException | None) -> Answer:
--- a/larklb/net/handover.py
+++ b/larklb/net/handover.py
@@ -22,7 +22,7 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from larklb.handed import VERSION
+from larklb.handover_state import VERSION
 from larklb.wheel import Wheel
 
 log = logging.getLogger(__name__)
--- a/larklb/net/keeper.py
+++ b/larklb/net/keeper.py
@@ -19,6 +19,7 @@
 import msgspec
 
 from larklb import interface as io
+from larklb.background import run_forever
 from larklb.core import Core, Job
 from larklb.counters import Counters
 from larklb.fleet import custody as cu
@@ -39,7 +40,6 @@
 from larklb.phase import Phase
 from larklb.quota.ring import digest
 from larklb.settings import Config, CustodyEntry
-from larklb.upkeep import for_good
 
 log = logging.getLogger(__name__)
 T = TypeVar("T")
@@ -160,7 +160,7 @@
         await self.links.start(*self.config.peer_listen)
         loop = asyncio.get_running_loop()
         for name, work in (("beat", self._beat), ("orphans", self._orphans)):
-            self.upkeep.append(loop.create_task(for_good(f"custody_{name}", work, self.counters)))
+            self.upkeep.append(loop.create_task(run_forever(f"custody_{name}", work, self.counters)))
 
     async def stop(self) -> None:
         """Jobs taken over are finished and what was let go is told before the end, while custodians still
@@ -389,7 +389,8 @@
                     return
                 ended = await self.nodes.attempt(
                     job, action, Content(c.method, c.target, c.headers, c.body), _Nobody())
-                self.core.outcome(job, action.server, ended.result, ended.took, ended.spoilt, ended.stale)
+                self.core.attempt_ended(job, action.server, ended.result, ended.took, ended.spoilt,
+                                        ended.stale)
                 if ended.result is io.Result.OK:
                     if not ended.streamed:
                         await hold.answered(200, ended.kind, ended.body)
@@ -408,7 +409,7 @@
             return True
         self.counters.add("custody.held_back")
         log.info("job %s is not sent: it may be another limiter's", job.id)
-        self.core.let_go(job, action)
+        self.core.withdraw(job, action)
         return False
 
     def rows(self, key: int | None = None) -> list[dict[str, object]]:
--- a/larklb/net/peers.py
+++ b/larklb/net/peers.py
@@ -32,7 +32,7 @@
 
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
-        self.core.tell = self.tell
+        self.core.send_to_peer = self.tell
 
     def connection_lost(self, exc: Exception | None) -> None:
         """A socket that failed is opened again: without it a limiter is apart from all others for good."""
--- a/larklb/phase.py
+++ b/larklb/phase.py
@@ -9,7 +9,9 @@
 
 from enum import Enum
 
-LET_GO = 700.0             # ms from a drain's begin until idle connections go: the front has stopped by then
+# Time in ms from the start of a drain until idle connections are closed; by then the load balancer in front
+# has stopped sending new requests here.
+IDLE_CLOSE_DELAY = 700.0
 
 
 class State(Enum):
@@ -59,6 +61,6 @@
         """Whether a connection ends with the answer that it carries now."""
         return self.state in (State.DRAINING, State.STOPPING)
 
-    def lets_go(self, now: float) -> bool:
+    def closes_idle_connections(self, now: float) -> bool:
         """Whether connections that carry no job are to be closed."""
-        return self.leaving and now - self.since >= LET_GO
+        return self.leaving and now - self.since >= IDLE_CLOSE_DELAY
--- a/larklb/serve.py
+++ b/larklb/serve.py
@@ -18,10 +18,11 @@
 
 import msgspec
 
+from larklb.background import run_forever
 from larklb.core import Core
 from larklb.counters import Counters
 from larklb.fleet.leases import FleetLimits
-from larklb.handed import Handed, HandedError, unpack
+from larklb.handover_state import HandoverState, HandoverStateError, unpack
 from larklb.interface import RepeatPolicy
 from larklb.net import peers
 from larklb.net.console import Console
@@ -33,8 +34,7 @@
 from larklb.quota.entitlements import Entitlements
 from larklb.quota.table_limits import customers_for_memory
 from larklb.settings import Config, ConfigError, Operator, StoreEntry, load
-from larklb.succession import Succession
-from larklb.upkeep import for_good
+from larklb.takeover import Takeover
 from larklb.wheel import Wheel
 
 if TYPE_CHECKING:
@@ -79,7 +79,7 @@
     console = Console(core, phase)
     if config.admin is not None:
         await _listening(console.start(*config.admin))
-    succession = Succession(core, phase, machines, nodes, front)
+    succession = Takeover(core, phase, machines, nodes, front)
     # What an operator's file adds (folders, addresses of its own) belongs to one process alone; and without a
     # second address nobody could tell when the next process is ready.
     succeeds = operator is None and config.admin is not None
@@ -91,7 +91,7 @@
     store = await _store(config, store_entry, core) if store_entry is not None else None
     listener = await _listening(peers.listen(config, core, before.peers, before.shared))
     succession.peers = listener
-    watch = functools.partial(for_good, "watch", machines.watch, counters)
+    watch = functools.partial(run_forever, "watch", machines.watch, counters)
     tasks = [_background(watch())]
 
     def reload() -> None:
@@ -108,7 +108,7 @@
 
     loop.add_signal_handler(signal.SIGHUP, reload)
     if store is not None:
-        tasks.append(_background(for_good("store", store.run, counters)))
+        tasks.append(_background(run_forever("store", store.run, counters)))
     second = await _second_front(entry.grpc, core) if entry is not None and entry.grpc else None
     if keeper is not None:
         await _listening(keeper.start())
@@ -150,13 +150,13 @@
     """What the process that has our place has given; nothing where there is none."""
 
     channel: Channel | None = None
-    handed: Handed | None = None
+    handed: HandoverState | None = None
     listening: socket.socket | None = None
     peers: socket.socket | None = None
     shared: bool = False       # it is there and gives nothing: its addresses can only be shared
 
 
-async def _before(place: Path | None, wheel: Wheel, succession: Succession) -> Before:
+async def _before(place: Path | None, wheel: Wheel, succession: Takeover) -> Before:
     """Meets the process that has our place, if any, and takes over its state."""
     channel: Channel | None = None
     if place is None:
@@ -168,7 +168,7 @@
         gc.collect()               # now, while it still serves
         parcel = await take(channel)
         handed = unpack(parcel.state)
-    except (HandoverError, HandedError) as error:
+    except (HandoverError, HandoverStateError) as error:
         log.warning("the process that has our place does not give it (%s): its addresses are shared", error)
         if channel is not None:
             channel.close()
@@ -184,7 +184,7 @@
         # EDGE_DISCOVERY was told at the start: the file is what has been replaced since.
         renewed = load({name: text for name, text in os.environ.items() if name != "EDGE_DISCOVERY"},
                        config.keys)
-        core.renew(renewed.settings)
+        core.apply_settings(renewed.settings)
     except (ConfigError, ValueError) as error:
         counters.add("config.rejected")
         log.error("the old configuration stays: %s", error)
@@ -225,8 +225,8 @@
         raise ConfigError(f"custody: keep_s is below {longest / 1000.0:g}, the longest window and deadline")
     names = {entry.name: entry.zone for entry in operator.instance if entry.zone}
     zones = {i: names[name] for i in range(s.gateways) if (name := f"n{i}") in names}
-    core.step = desk.step if desk is not None else bool
-    return Keeper(config, operator.custody, zones, core, nodes, core.counters, phase, core.step)
+    core.crash_point = desk.step if desk is not None else bool
+    return Keeper(config, operator.custody, zones, core, nodes, core.counters, phase, core.crash_point)
 
 
 def _desk(config: Config, base: Path, operator: Operator, counters: Counters, wheel: Wheel) -> Desk:
--- a/larklb/succession.py
+++ b/larklb/takeover.py
@@ -1,7 +1,7 @@
 """One limiter in two processes, the second of which takes the first one's place while both run.
 
-``net/handover.py`` says how they speak, ``handed.py`` what goes over.  Here is the order of it, on both
-sides.
+``net/handover.py`` defines the protocol between them and ``handover_state.py`` the state that is transferred.
+This module runs the steps on both sides.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from pathlib import Path
 
 from larklb.core import Core
-from larklb.handed import Handed, Place, install, pack, retired
+from larklb.handover_state import HandoverState, NodeAddress, pack, restore, retired_settings
 from larklb.net.execute import ExecuteNodes
 from larklb.net.front import Front
 from larklb.net.handover import DONE, GIVE, LINK, NO, TAKEN, Channel, Door, HandoverError, Parcel, give
@@ -29,7 +29,7 @@
 LOOK = 5.0
 
 
-class Succession:
+class Takeover:
     """The part of one process in it: first perhaps the new one, later perhaps the old one."""
 
     def __init__(self, core: Core, phase: Phase, machines: Machines, nodes: ExecuteNodes,
@@ -50,9 +50,9 @@
 
     # The new process ----------------------------------------------------------------------
 
-    def install(self, handed: Handed) -> None:
+    def install(self, handed: HandoverState) -> None:
         """The old process's state, before anything else has happened here."""
-        install(self.core.gateway, handed, self.wheel.now())
+        restore(self.core.gateway, handed, self.wheel.now())
         self.machines.restore({name: Machine((p.host, p.port), p.closed_at)
                                for name, p in handed.places.items()},
                               handed.offset, handed.generation, handed.discovery)
@@ -67,7 +67,7 @@
         except HandoverError as error:
             log.warning("the process that had our place: %s", error)       # it has ended, or will: we serve
 
-    def serves(self, channel: Channel, handed: Handed) -> None:
+    def serves(self, channel: Channel, handed: HandoverState) -> None:
         """This process serves from now on; the old one sends its connections as they rest."""
         if handed.draining:
             self.phase.move("drain", self.wheel.now())
@@ -154,11 +154,11 @@
         machines = self.machines
         return pack(self.core.gateway, draining=self.phase.state is State.DRAINING,
                     generation=machines.generation, discovery=machines.where, offset=machines.offset,
-                    places={n: Place(*m.place, m.closed_at) for n, m in machines.of.items()})
+                    places={n: NodeAddress(*m.place, m.closed_at) for n, m in machines.of.items()})
 
     def _retire(self) -> None:
         gateway = self.core.gateway
-        gateway.settings = replace(gateway.settings, **retired(gateway.settings))
+        gateway.settings = replace(gateway.settings, **retired_settings(gateway.settings))
 
     def renewed(self) -> None:
         """Other settings have been taken: a process that has handed over stays one."""
--- a/larklb/wheel.py
+++ b/larklb/wheel.py
@@ -15,14 +15,14 @@
 class Timer:
     """One entry of the wheel; a cancelled one stays in its slot and does nothing."""
 
-    __slots__ = ("act", "args")
+    __slots__ = ("callback", "args")
 
     def __init__(self, act: Callable[..., object], args: tuple[Any, ...]) -> None:
-        self.act: Callable[..., object] | None = act
+        self.callback: Callable[..., object] | None = act
         self.args = args
 
     def cancel(self) -> None:
-        self.act, self.args = None, ()
+        self.callback, self.args = None, ()
 
 
 class Wheel:
@@ -30,7 +30,7 @@
 
     def __init__(self, tick: float, failed: Callable[[], object] = bool) -> None:
         """``failed`` is called for each timer whose work failed: who counts is to hear of it."""
-        self.failed = failed
+        self.on_failure = failed
         self.loop = asyncio.get_running_loop()
         self.tick = max(1.0, tick)
         self.slots: dict[int, list[Timer]] = {}
@@ -55,7 +55,7 @@
 
     def _arm(self) -> None:
         # Slots of cancelled timers alone go unvisited: most guards are cancelled long before they fall due.
-        while all(timer.act is None for timer in self.slots[self.order[0]]):
+        while all(timer.callback is None for timer in self.slots[self.order[0]]):
             del self.slots[heapq.heappop(self.order)]
             if not self.order:
                 return
@@ -72,13 +72,13 @@
         # The loop may wake a clock step early: what is due within a tenth of a tick counts as due.
         while self.order and self.order[0] * self.tick <= now + 0.1 * self.tick:
             for timer in self.slots.pop(heapq.heappop(self.order)):
-                if timer.act is None:
+                if timer.callback is None:
                     continue
                 try:
-                    timer.act(*timer.args)
+                    timer.callback(*timer.args)
                 except Exception:
                     # One timer's failure must not take the others of its tick with it.
-                    self.failed()
+                    self.on_failure()
                     log.exception("a timer failed")
         if self.order:
             self._arm()
--- a/tests/test_daily.py
+++ b/tests/test_daily.py
@@ -15,7 +15,7 @@
 
 from larklb import interface as io
 from larklb.net.console import MOST_AT_ONCE
-from larklb.phase import LET_GO, Phase, State
+from larklb.phase import IDLE_CLOSE_DELAY, Phase, State
 from larklb.told import in_service
 from tests.conftest import settings
 from tests.standins import Discovery, Limiter, Yard, ask, free_port, http, job, read_answer, served
@@ -64,8 +64,9 @@
 def test_a_drain_told_twice_counts_from_the_first_time() -> None:
     phase = Phase(0.0)
     phase.move("started", 0.0)
-    assert phase.move("drain", 100.0) and phase.move("drain", 100.0 + LET_GO - 1)
-    assert not phase.lets_go(100.0 + LET_GO - 1) and phase.lets_go(100.0 + LET_GO)
+    assert phase.move("drain", 100.0) and phase.move("drain", 100.0 + IDLE_CLOSE_DELAY - 1)
+    assert (not phase.closes_idle_connections(100.0 + IDLE_CLOSE_DELAY - 1)
+            and phase.closes_idle_connections(100.0 + IDLE_CLOSE_DELAY))
     assert phase.state is State.DRAINING
 
 
--- a/tests/test_hardening.py
+++ b/tests/test_hardening.py
@@ -240,7 +240,7 @@
         assert isinstance(action, io.Send)
         ended = await nodes.attempt(taken, action, CONTENT, NOBODY)
         assert ended.result is io.Result.CONNECT_FAILED
-        core.outcome(taken, "s", ended.result, ended.took, ended.spoilt, ended.stale)
+        core.attempt_ended(taken, "s", ended.result, ended.took, ended.spoilt, ended.stale)
         server = core.gateway.servers["s"]
         assert (
             server.decayed_slowness(core.wheel.now(), ALL_WORK) == 1.0 and not core.gateway.verdicts.findings
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -18,7 +18,7 @@
 
 from larklb import interface as io
 from larklb.decide import Gateway
-from larklb.handed import HandedError, Place, install, pack, unpack
+from larklb.handover_state import HandoverStateError, NodeAddress, pack, restore, unpack
 from larklb.lab.yard import CLASSES
 from larklb.net import handover
 from larklb.wheel import Wheel
@@ -303,7 +303,7 @@
 
 def _state(bed: Bed) -> bytes:
     return pack(bed.gateways[0], draining=False, generation=5, discovery=("127.0.0.1", 1), offset=7.0,
-                places={"s0": Place("127.0.0.1", 2, None)})
+                places={"s0": NodeAddress("127.0.0.1", 2, None)})
 
 
 def _used() -> Bed:
@@ -325,7 +325,7 @@
     bed = _used()
     old = bed.gateways[0]
     new = Gateway(settings(number=0, **bed.changes), 99, bed.now)
-    install(new, unpack(_state(bed)), bed.now)
+    restore(new, unpack(_state(bed)), bed.now)
     assert old.buckets and old.leases and old.fallback.copies and old.fallback.settlement.local_counts
     assert new.buckets == old.buckets
     assert new.leases and new.leases == {n: v for n, v in old.leases.items() if n[0] != 0}
@@ -349,12 +349,12 @@
     turned = settings(number=0, plans=tuple(reversed(kept.plans)), classes=tuple(reversed(kept.classes)),
                       **bed.changes)
     new = Gateway(turned, 99, bed.now)
-    install(new, unpack(_state(bed)), bed.now)
+    restore(new, unpack(_state(bed)), bed.now)
     for key, (plan, bucket) in old.buckets.items():
         assert turned.plans[new.buckets[key][0]] == kept.plans[plan]
         assert new.buckets[key][1] == bucket
     none = Gateway(settings(number=0, plans=(io.Plan("other", 1.0, 1.0),), **bed.changes), 99, bed.now)
-    install(none, unpack(_state(bed)), bed.now)
+    restore(none, unpack(_state(bed)), bed.now)
     assert (not none.buckets and not none.fallback.copies and not none.fallback.settlement.local_counts
             and not none.leases)
 
@@ -362,7 +362,7 @@
 def test_a_state_that_is_cut_or_of_another_version_is_not_taken() -> None:
     state = _state(_used())
     for at in range(0, len(state), 7):
-        with pytest.raises(HandedError):
+        with pytest.raises(HandoverStateError):
             unpack(state[:at])
-    with pytest.raises(HandedError, match="version"):
+    with pytest.raises(HandoverStateError, match="version"):
         unpack(state.replace(b"\xa7version\x01", b"\xa7version\x02", 1))
