--- a/larklb/benchlink.py
+++ b/larklb/benchlink.py
@@ -9,7 +9,7 @@
 
 from larklb import interface as io
 from larklb.decide import Gateway
-from larklb.told import settings_of
+from larklb.settings_mapping import settings_of
 
 
 class WireError(Exception):
--- a/larklb/core.py
+++ b/larklb/core.py
@@ -18,7 +18,7 @@
 from larklb.fleet.leases import FleetLimits
 from larklb.quota.catalogue import settings_catalogue
 from larklb.quota.entitlements import Entitlements
-from larklb.told import in_service
+from larklb.settings_mapping import in_service
 from larklb.wheel import Timer, Wheel
 
 if TYPE_CHECKING:
--- a/larklb/settings.py
+++ b/larklb/settings.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from larklb import interface as io
-from larklb.told import settings_of
+from larklb.settings_mapping import settings_of
 
 
 class ConfigError(Exception):
--- a/tests/test_daily.py
+++ b/tests/test_daily.py
@@ -16,7 +16,7 @@
 from larklb import interface as io
 from larklb.net.console import MOST_AT_ONCE
 from larklb.phase import IDLE_CLOSE_DELAY, Phase, State
-from larklb.told import in_service
+from larklb.settings_mapping import in_service
 from tests.conftest import settings
 from tests.standins import Discovery, Limiter, Yard, ask, free_port, http, job, read_answer, served
 
