--- a/larklb/benchlink.py
+++ b/larklb/benchlink.py
@@ -9,7 +9,7 @@
 
 from larklb import interface as io
 from larklb.decide import Gateway
-from larklb.settings_mapping import settings_of
+from larklb.settings_mapping import settings_from_wire
 
 
 class WireError(Exception):
@@ -85,7 +85,7 @@
             return []
         instance = message[1]
         if name == "begin":
-            self.gateways[instance] = Gateway(settings_of(message[3]), message[2], now)
+            self.gateways[instance] = Gateway(settings_from_wire(message[3]), message[2], now)
             return [_action(instance, a) for a in self.gateways[instance].start(now)]
         if name == "crash_now":
             self.gateways.pop(instance, None)
--- a/larklb/cli/fleet.py
+++ b/larklb/cli/fleet.py
@@ -171,7 +171,7 @@
         if loaded.export is None:
             raise stop(f"{operator}: it names no receiver for use")
         if name:
-            loaded.of(name)
+            loaded.instance_entry(name)
         for entry in loaded.instance:
             folder = use_folder(operator, loaded, entry)
             if name not in ("", entry.name) or not folder.exists():
--- a/larklb/cli/instances.py
+++ b/larklb/cli/instances.py
@@ -27,7 +27,7 @@
         config = load()
         more = load_operator(operator) if operator is not None else None
         if more is not None:
-            more.of(config.name)
+            more.instance_entry(config.name)
     except ConfigError as error:
         raise stop(error) from error
     program.run(config, more, operator.parent if operator is not None else Path())
--- a/larklb/cli/reserve.py
+++ b/larklb/cli/reserve.py
@@ -71,15 +71,15 @@
 
     The other limiters of the customer's set get copies, for the time when the owner cannot be asked.
     """
-    from larklb.fields import MalformedError, account, quota_info
+    from larklb.fields import MalformedError, parse_account, parse_quota_info
     from larklb.quota.ring import digest, members, ring_owner
     from larklb.settings import load_operator
     with usable():
         loaded = load_operator(operator)
         config = instance_of(operator, loaded.instance[0])
         try:
-            _, spread, first = quota_info(limiters, config.settings)
-            customer = account(customer)
+            _, spread, first = parse_quota_info(limiters, config.settings)
+            customer = parse_account(customer)
         except MalformedError as error:
             raise stop(error, UNUSABLE) from error
         entries = _by_number(operator, loaded)
@@ -161,7 +161,7 @@
         owner = next((r for r in rows if r["owner"]), None)
         if owner is None:
             raise stop(f"there is no reservation {name!r} at an owner that answers", REFUSED)
-        row = _one(operator, loaded.of(owner["limiter"]), "reserve.cancel", id=name)
+        row = _one(operator, loaded.instance_entry(owner["limiter"]), "reserve.cancel", id=name)
         for entry, _ in asked(operator, loaded, lambda e: {"do": "reserve.cancel", "id": name}):
             del entry                       # copies go too, as far as there are any
     show([row], COLUMNS, as_json)
--- a/larklb/core.py
+++ b/larklb/core.py
@@ -18,7 +18,7 @@
 from larklb.fleet.leases import FleetLimits
 from larklb.quota.catalogue import settings_catalogue
 from larklb.quota.entitlements import Entitlements
-from larklb.settings_mapping import in_service
+from larklb.settings_mapping import settings_for_reload
 from larklb.wheel import Timer, Wheel
 
 if TYPE_CHECKING:
@@ -90,7 +90,7 @@
     def apply_settings(self, settings: io.Settings) -> None:
         """Other settings count from now on, for all that comes; ValueError, and nothing changes, where they
         cannot be taken over in service."""
-        kept = in_service(self.settings, settings, self.gateway.topics)
+        kept = settings_for_reload(self.settings, settings, self.gateway.topics)
         if not self.gateway.entitlements.extended:        # else plans are the catalogue's
             self.gateway.entitlements.replace_catalogue(self.wheel.now(), settings_catalogue(kept.plans))
         self.settings = kept
--- a/larklb/decide.py
+++ b/larklb/decide.py
@@ -243,7 +243,7 @@
             self._ask_owner(now, request)
 
     def _decide_as_owner(self, now: float, request: PendingRequest) -> None:
-        name = (self.settings.number, next(self.ask_numbers) & pw.NUMBERS)
+        name = (self.settings.number, next(self.ask_numbers) & pw.ASK_NUMBER_MASK)
         lease = self._owner_verdict(
             now, name, request.customer_key, request.named_plan, request.units, request.due - now)
         if lease.granted:
@@ -254,8 +254,8 @@
                 now, request.customer_key, request.named_plan).wait_for(request.units))
 
     def _ask_owner(self, now: float, request: PendingRequest) -> None:
-        extended = pw.SPEAKS if self.entitlements.extended or self.fallback.enabled else 0
-        request.pending_ask = number = next(self.ask_numbers) & pw.NUMBERS | extended
+        extended = pw.EXTENDED_FLAG if self.entitlements.extended or self.fallback.enabled else 0
+        request.pending_ask = number = next(self.ask_numbers) & pw.ASK_NUMBER_MASK | extended
         self.unanswered_asks[number] = request
         ask = pw.Ask(number, request.customer_key, request.named_plan, request.units, request.due - now,
                      self.fallback.tokens_left(now, request))
@@ -389,7 +389,7 @@
         self.fallback.on_message(now, event.sender)
         self.members.record_message(now, event.sender)
         self.server_pool.peer_reported(
-            now, event.sender, next((item.out for item in items if isinstance(item, pw.Loads)), None)
+            now, event.sender, next((item.pairs for item in items if isinstance(item, pw.Loads)), None)
         )
         self.pace.record_arrival(now, event.sender)
         if all(isinstance(item, pw.Loads) for item in items) or not self.pace.reports_allowance(event.sender):
@@ -397,19 +397,19 @@
             self._request_reply(now, event.sender)
         for item in items:
             match item:
-                case pw.Loads(((pw.INBOX, allowed), *_)):
+                case pw.Loads(((pw.INBOX_RATE_ID, allowed), *_)):
                     self.pace.record_allowance(now, event.sender, allowed / pw.SIXTEENTHS)
                 case pw.Ask():
                     self._on_ask(now, event.sender, item)
                 case pw.Verdict():
                     self._on_verdict(now, event.sender, item)
                 case pw.Release():
-                    self._end_lease(now, (event.sender, item.number), item.back)
-                case pw.Drawn():
+                    self._end_lease(now, (event.sender, item.number), item.returned_units)
+                case pw.DrawReport():
                     if (record := self.entitlements.on_remote_draw(event.sender, item)) is not None:
                         self.actions.append(record)
-                    self._queue_message(event.sender, pw.Told(item.tag, item.units))
-                case pw.Told():
+                    self._queue_message(event.sender, pw.DrawConfirmed(item.tag, item.units))
+                case pw.DrawConfirmed():
                     self.entitlements.on_draw_confirmed(item)
                 case pw.Count() if item.plan < len(self.settings.plans):
                     bucket = self._owned_bucket(now, item.key, item.plan)
@@ -417,16 +417,17 @@
                         self._queue_message(event.sender, confirmed)
                 case pw.Confirmed():
                     self.fallback.settlement.on_confirmed(now, event.sender, item)
-                case pw.Fresh():
+                case pw.CopyRequest():
                     for want in self.limits.report_holdings(
                         now, event.sender, self.server_pool.own_attempts_at
                     ):
                         self._queue_message(event.sender, want)
                     if self.fallback.on_peer_started(now, event.sender, item.incarnation):
                         self._queue_wakeup(event.sender)
-                case pw.CopyOf() if item.plan < len(self.settings.plans) and self.fallback.is_starting(now):
-                    self.fallback.on_copy(now, self._owned_bucket(now, item.key, item.plan), item.left)
-                case pw.News():
+                case pw.BucketCopy() if (item.plan < len(self.settings.plans)
+                                         and self.fallback.is_starting(now)):
+                    self.fallback.on_copy(now, self._owned_bucket(now, item.key, item.plan), item.tokens_left)
+                case pw.HealthReport():
                     stamp = self.verdicts.stamp(now - item.age)
                     self._on_finding(now, event.sender, Finding(
                         item.server, item.topic, item.slow, item.age, event.sender, stamp))
@@ -447,20 +448,21 @@
         bucket = self._owned_bucket(now, ask.customer, ask.plan)
         # A copy is used for a new bucket only: it lacks the tokens that were added while messages were on
         # their way, so an older bucket knows more.
-        if ask.left is not None and now - bucket.born < WARMUP_MS and (sender, ask.number) not in self.leases:
-            self.fallback.on_copy(now, bucket, ask.left)
+        if (ask.tokens_left is not None and now - bucket.born < WARMUP_MS
+                and (sender, ask.number) not in self.leases):
+            self.fallback.on_copy(now, bucket, ask.tokens_left)
         lease = self._owner_verdict(now, (sender, ask.number), ask.customer, ask.plan, ask.units, ask.lease)
         if lease.units <= 0:
             # The ask was given up, and its release arrived first: nobody waits for the verdict.
             return
         verdict = pw.Verdict(ask.number, lease.granted, bucket.fill(now), bucket.open)
-        if self.fallback.enabled and ask.number & pw.SPEAKS:
+        if self.fallback.enabled and ask.number & pw.EXTENDED_FLAG:
             share, total = self.fallback.shares.share_for(now, ask.customer, sender)
-            verdict = verdict._replace(share=share, total=total)
-        if self.entitlements.extended and ask.number & pw.SPEAKS:
+            verdict = verdict._replace(share=share, total_demand=total)
+        if self.entitlements.extended and ask.number & pw.EXTENDED_FLAG:
             verdict = verdict._replace(plan=lease.judged, version=lease.version,
                                        reservation=lease.reservation,
-                                       reserved=self.entitlements.reserved_units(now, ask.customer))
+                                       reserved_units=self.entitlements.reserved_units(now, ask.customer))
         self._queue_message(sender, verdict)
 
     def _on_verdict(self, now: float, sender: int, verdict: pw.Verdict) -> None:
@@ -492,7 +494,7 @@
             self._proceed(now, request)
         else:
             self._over_quota(
-                now, request, max(0.0, request.units - verdict.left) / request.plan.rate * 1000.0
+                now, request, max(0.0, request.units - verdict.tokens_left) / request.plan.rate * 1000.0
                 if request.plan.rate else 0.0)
 
     # Servers and attempts -------------------------------------------------------------------
--- a/larklb/desk.py
+++ b/larklb/desk.py
@@ -26,7 +26,7 @@
 from larklb.export import tally as t
 from larklb.export.adopt import Adopter
 from larklb.export.ledger import Ledger
-from larklb.fields import MalformedError, account
+from larklb.fields import MalformedError, parse_account
 from larklb.fleet.verdicts import LIMITER, ZONE
 from larklb.fleet.zones import Demand, Override, Zones, simulate_capacity
 from larklb.health import ALL_WORK
@@ -283,7 +283,7 @@
         reservations, reserved = self._reservations()
         try:
             wanted = msgspec.convert(q.get("wanted"), Wanted)
-            wanted = replace(wanted, customer=account(wanted.customer))
+            wanted = replace(wanted, customer=parse_account(wanted.customer))
         except (msgspec.ValidationError, MalformedError) as error:
             raise AdminError(f"the reservation makes no sense: {error}") from error
         s = self.config.settings
@@ -339,7 +339,7 @@
         if self.core is None:
             raise AdminError("the instance is starting")
         try:
-            key = digest(account(str(q.get("customer", ""))))
+            key = digest(parse_account(str(q.get("customer", ""))))
         except MalformedError as error:
             raise AdminError(str(error)) from error
         gateway = self.core.gateway
--- a/larklb/fleet/outbox.py
+++ b/larklb/fleet/outbox.py
@@ -74,7 +74,8 @@
     def probe(self, now: float, peer: int, in_flight: ServerLoads) -> None:
         """Send a message that the peer answers, whenever the previous one was sent."""
         self.loads_sent_at[peer] = now
-        self.send(peer, pw.Loads(self._with_room(now, peer, in_flight)[:pw.most_loads(pw.MOST_BYTES - 1)]))
+        self.send(peer, pw.Loads(
+            self._with_room(now, peer, in_flight)[:pw.max_load_pairs(pw.MAX_DATAGRAM_BYTES - 1)]))
 
     def due(self, now: float) -> list[int]:
         """Return the peers that a message may be sent to now."""
@@ -109,15 +110,15 @@
         queue = self.queues.pop(peer)
         for item, copies in queue:
             packed = pw.pack_item(item)
-            if len(data) + len(packed) <= pw.MOST_BYTES:
+            if len(data) + len(packed) <= pw.MAX_DATAGRAM_BYTES:
                 data, copies = data + packed, copies - 1
             if copies:
                 rest.append((item, copies))
-        data += b"".join(self.fallback.piggybacked_items(now, peer, pw.MOST_BYTES - len(data)))
+        data += b"".join(self.fallback.piggybacked_items(now, peer, pw.MAX_DATAGRAM_BYTES - len(data)))
         # A probe carries loads only.
         if not queue or not all(isinstance(item, pw.Loads) for item, _ in queue):
-            data += self._findings(now, peer, pw.MOST_BYTES - len(data))
-        return data + self._loads(now, peer, pw.MOST_BYTES - len(data), in_flight), rest
+            data += self._findings(now, peer, pw.MAX_DATAGRAM_BYTES - len(data))
+        return data + self._loads(now, peer, pw.MAX_DATAGRAM_BYTES - len(data), in_flight), rest
 
     def _findings(self, now: float, peer: int, space: int) -> bytes:
         """Return the packed findings that a peer has not received yet.
@@ -127,20 +128,20 @@
         found = list(self.verdicts.findings_for(now, peer, min(MAX_FINDINGS, space // FINDING_BYTES)))
         # An older version understands only findings of the sender itself.
         if not self.pace.reports_allowance(peer):
-            return b"".join(pw.pack_item(pw.News(f.subject, f.topic, f.slowness, f.age)) for f in found
-                            if f.observer == self.number and f.topic != LIMITER)
+            return b"".join(pw.pack_item(pw.HealthReport(f.subject, f.topic, f.slowness, f.age))
+                            for f in found if f.observer == self.number and f.topic != LIMITER)
         return b"".join(map(pw.pack_item, found))
 
     def _loads(self, now: float, peer: int, space: int, in_flight: Callable[[], ServerLoads]) -> bytes:
         """Return the packed attempts in flight, which keep limiters from all choosing the same server."""
-        limit = pw.most_loads(space)
+        limit = pw.max_load_pairs(space)
         if now - self.loads_sent_at.get(peer, -math.inf) < self.aim * LOADS_INTERVAL_FRACTION or not limit:
             return b""
         self.loads_sent_at[peer] = now
         return pw.pack_item(pw.Loads(self._with_room(now, peer, in_flight())[:limit]))
 
     def _with_room(self, now: float, peer: int, in_flight: ServerLoads) -> ServerLoads:
-        room = pw.room(self.pace.allowance(now, peer)) if self.pace.planned_rate > 0 else ()
+        room = pw.inbox_rate_pair(self.pace.allowance(now, peer)) if self.pace.planned_rate > 0 else ()
         return *room, *in_flight
 
     def clean(self, now: float, max_deadline: float) -> None:
--- a/larklb/grpc/front.py
+++ b/larklb/grpc/front.py
@@ -12,7 +12,7 @@
 
 from larklb import interface as io
 from larklb.core import Core, Job
-from larklb.fields import MalformedError, account, quota_info
+from larklb.fields import MalformedError, parse_account, parse_quota_info
 from larklb.grpc import ratelimit_pb2, rls_pb2
 
 log = logging.getLogger(__name__)
@@ -36,12 +36,12 @@
     cls = core.classes.get(entries["class"])
     if cls is None or entries["plan"] not in core.plans:
         raise MalformedError("unknown class or plan")
-    _, spread, first = quota_info(entries["set"], core.settings)
+    _, spread, first = parse_quota_info(entries["set"], core.settings)
     if descriptor.HasField("hits_addend"):
         hits = descriptor.hits_addend.value
     return io.Request(
         request=f"rls-{uuid.uuid4().hex}", service=cls.name, plan=entries["plan"],
-        customer=account(entries["account"]), due=now + min(cls.deadline, within or cls.deadline),
+        customer=parse_account(entries["account"]), due=now + min(cls.deadline, within or cls.deadline),
         units=float(hits or 1), first=first, spread=spread, quota_only=True)
 
 
--- a/larklb/lab/spread.py
+++ b/larklb/lab/spread.py
@@ -164,7 +164,7 @@
         x.pace.record_arrival(self.now, sender)
         for item in pw.unpack(data):
             match item:
-                case pw.Loads(((pw.INBOX, allowed), *_)):
+                case pw.Loads(((pw.INBOX_RATE_ID, allowed), *_)):
                     x.pace.record_allowance(self.now, sender, allowed / pw.SIXTEENTHS)
                 case pw.Ask():
                     x.outbox.send(sender, pw.Verdict(item.number, True, 1.0, 0))
--- a/larklb/net/front.py
+++ b/larklb/net/front.py
@@ -16,7 +16,7 @@
 
 from larklb import interface as io
 from larklb.core import Core, Job
-from larklb.fields import MalformedError, account, decimal, quota_info
+from larklb.fields import MalformedError, parse_account, parse_decimal, parse_quota_info
 from larklb.fleet.custody import LEASE_MS, StoredAnswer
 from larklb.net.bulk import STALL, BrokenOffError, Upload
 from larklb.net.console import MOST_AT_ONCE
@@ -95,12 +95,12 @@
         raise MalformedError("the request has no id")
     if body and head.method == b"GET":
         raise MalformedError("the class takes no body")
-    wait = decimal(left)
+    wait = parse_decimal(left)
     if not 0 < wait <= MOST_TIME_S:
         raise MalformedError("x-time-left makes no sense")
-    units, spread, first = quota_info(info, core.settings)
+    units, spread, first = parse_quota_info(info, core.settings)
     later = upload_time(upload) if upload is not None else 0.0
-    request = io.Request(request=name, service=service, plan=plan, customer=account(customer),
+    request = io.Request(request=name, service=service, plan=plan, customer=parse_account(customer),
                          # A class says how long a client waits in all.  Who says more would have its job,
                          # and what is kept of it here and at the owner, stay for minutes.
                          due=now + min(wait * 1000.0, cls.deadline) + later, units=units, first=first,
--- a/larklb/net/machines.py
+++ b/larklb/net/machines.py
@@ -13,7 +13,7 @@
 from larklb import interface as io
 from larklb.core import Core
 from larklb.net.http import Link, dial, finished
-from larklb.settings import Config, ConfigError, MachineList, address
+from larklb.settings import Config, ConfigError, MachineList, parse_address
 
 log = logging.getLogger(__name__)
 
@@ -76,7 +76,7 @@
         for i in news.instances:
             state = _STATES.get(i.lifecycle)
             try:
-                place = address(i.host_port)
+                place = parse_address(i.host_port)
             except ConfigError:
                 state = None
             if state is None:
--- a/larklb/net/peers.py
+++ b/larklb/net/peers.py
@@ -10,7 +10,7 @@
 
 from larklb import interface as io
 from larklb.core import Core
-from larklb.peerwire import MOST_BYTES, unpack
+from larklb.peerwire import MAX_DATAGRAM_BYTES, unpack
 from larklb.settings import Config
 
 log = logging.getLogger(__name__)
@@ -80,7 +80,7 @@
     def tell(self, peer: int, data: bytes) -> None:
         if self.transport is None or not 0 <= peer < len(self.addresses):
             return
-        if len(data) > MOST_BYTES:
+        if len(data) > MAX_DATAGRAM_BYTES:
             self.core.counters.add("errors.long_datagram")
             return
         self.core.counters.add("peer.sent")
@@ -88,7 +88,7 @@
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
         number = self.numbers.get((addr[0], addr[1]))
-        if number is None or len(data) > MOST_BYTES or not unpack(data):
+        if number is None or len(data) > MAX_DATAGRAM_BYTES or not unpack(data):
             self.core.counters.add("peer.dropped")
             return
         self.core.counters.add("peer.taken")
--- a/larklb/peerwire.py
+++ b/larklb/peerwire.py
@@ -16,12 +16,14 @@
 from larklb.quota.settlement import Count as Count
 
 VERSION = 0xB1
-MOST_BYTES = 256
+MAX_DATAGRAM_BYTES = 256
 # An ask's number has 31 bits; the last one tells that its sender reads the longer verdict.  Programs that
 # know nothing of it count up from below it and send such a number back as it came.
-NUMBERS, SPEAKS = 0x7FFFFFFF, 0x80000000
+ASK_NUMBER_MASK, EXTENDED_FLAG = 0x7FFFFFFF, 0x80000000
 SIXTEENTHS = 16.0
-INBOX = 0                  # in front of the loads, in a server's place: messages a second for the reader
+# In place of a server's digest in the first pair of the loads: the rate is the messages per second that the
+# sender's inbox accepts from the receiver.
+INBOX_RATE_ID = 0
 _LEASE_STEP = 10.0
 _NONE = 32767
 _AGE_STEP = 50.0
@@ -36,7 +38,7 @@
     plan: int
     units: float
     lease: float
-    left: float | None = None
+    tokens_left: float | None = None
     demand: float | None = None        # units a second that the sender is asked for: to peers that read it
 
 
@@ -49,33 +51,35 @@
 
     number: int
     granted: bool
-    left: float
-    open: int
+    tokens_left: float
+    open_attempts: int
     plan: int | None = None
     version: int = 0
     reservation: int = 0
-    reserved: float = 0.0
+    reserved_units: float = 0.0
     share: float | None = None         # of the quota, for the asker while it cannot ask ...
-    total: float = 0.0                 # ... and what all limiters are asked for, in units a second
+    total_demand: float = 0.0                 # ... and what all limiters are asked for, in units a second
 
 
 class Release(NamedTuple):
     """The grant is over; ``back`` units return to the bucket (below 0: taken too few)."""
 
     number: int
-    back: float
+    returned_units: float
 
 
 class Loads(NamedTuple):
     """All attempts of the sender that are out: pairs of a server (named by a short digest) and a count.
 
-    A pair with INBOX in the server's place, in front, tells how many messages a second (in sixteenths) the
-    sender's inbox would take from the receiver.  No server is named so; an older program passes it over."""
+    A leading pair with INBOX_RATE_ID in place of the server states how many messages per second, in
+    sixteenths, the sender's inbox accepts from the receiver.  No server has this digest, and older programs
+    ignore the pair.
+    """
 
-    out: tuple[tuple[int, int], ...]
+    pairs: tuple[tuple[int, int], ...]
 
 
-class News(NamedTuple):
+class HealthReport(NamedTuple):
     """A judgement of a server (named by a short digest) on a topic, made ``age`` ms ago."""
 
     server: int
@@ -84,47 +88,48 @@
     age: float
 
 
-class Drawn(NamedTuple):
+class DrawReport(NamedTuple):
     """Units that the sender drew on a reservation in all, without asking its owner."""
 
     tag: int
     units: float
 
 
-class Told(NamedTuple):
+class DrawConfirmed(NamedTuple):
     """The owner has kept that count."""
 
     tag: int
     units: float
 
 
-class Fresh(NamedTuple):
+class CopyRequest(NamedTuple):
     """The sender has started, as this incarnation: it asks for copies of the buckets that it owns."""
 
     incarnation: int
 
 
-class CopyOf(NamedTuple):
+class BucketCopy(NamedTuple):
     """A late copy of a bucket that the receiver owns, as it would be now."""
 
     key: int
     plan: int
-    left: float
+    tokens_left: float
 
 
-Item = (Ask | Verdict | Release | Loads | News | Drawn | Told | Count | Confirmed | Fresh | CopyOf | Finding
-        | LeaseRequest | LeaseReply)
+Item = (Ask | Verdict | Release | Loads | HealthReport | DrawReport | DrawConfirmed | Count | Confirmed
+        | CopyRequest | BucketCopy | Finding | LeaseRequest | LeaseReply)
 
 _FORMATS: dict[int, struct.Struct] = {
     1: struct.Struct("!IQBHHh"), 2: struct.Struct("!IBhH"), 3: struct.Struct("!Ih"),
     8: struct.Struct("!B"),
     4: struct.Struct("!HBBB"),
-    # A program older than these drops a message that holds one: they go to peers that have shown SPEAKS.
+    # A program older than these drops a message that holds one: they go to peers that have shown
+    # EXTENDED_FLAG.
     5: struct.Struct("!IBhHBHIHBe"), 7: struct.Struct("!IQ"), 9: struct.Struct("!IQ"),
     6: struct.Struct("!IQBHHhe"), 10: struct.Struct("!IBhHBe"),
     11: struct.Struct("!QBIII"), 12: struct.Struct("!QII"), 13: struct.Struct("!I"),
     14: struct.Struct("!QBh"),
-    # To peers that have shown INBOX: a finding, and whose it is.
+    # To peers that have shown INBOX_RATE_ID: a finding, and whose it is.
     15: struct.Struct("!HBBBHH"),
     # Where an operator's file turns the fleet's limits on, at all limiters: asks for slots, and the answers.
     16: struct.Struct("!HIIBBB"), 17: struct.Struct("!HIB"),
@@ -153,55 +158,56 @@
     if isinstance(item, Ask):
         units = min(65535, math.ceil(item.units * SIXTEENTHS))
         tag, values = 1, (item.number, item.customer, item.plan, units, _lease(item.lease),
-                          _NONE if item.left is None else _units(item.left))
+                          _NONE if item.tokens_left is None else _units(item.tokens_left))
         if item.demand is not None:
             tag, values = 6, (*values, min(_MOST_DEMAND, item.demand))
     elif isinstance(item, Verdict):
-        tag, values = 2, (item.number, int(item.granted), _units(item.left), min(65535, item.open))
-        shares = (round((item.share or 0.0) * _SHARES), min(_MOST_DEMAND, item.total))
+        tag, values = 2, (item.number, int(item.granted), _units(item.tokens_left),
+                          min(65535, item.open_attempts))
+        shares = (round((item.share or 0.0) * _SHARES), min(_MOST_DEMAND, item.total_demand))
         if item.plan is not None:
             tag, values = 5, (*values, item.plan, item.version, item.reservation,
-                              max(0, min(65535, math.floor(item.reserved))), *shares)
+                              max(0, min(65535, math.floor(item.reserved_units))), *shares)
         elif item.share is not None:
             tag, values = 10, (*values, *shares)
     elif isinstance(item, Count):
         tag, values = 11, (item.key, item.plan, item.incarnation, _whole(item.units), _whole(item.confirmed))
     elif isinstance(item, Confirmed):
         tag, values = 12, (item.key, item.incarnation, _whole(item.units))
-    elif isinstance(item, Fresh):
+    elif isinstance(item, CopyRequest):
         tag, values = 13, (item.incarnation,)
-    elif isinstance(item, CopyOf):
-        tag, values = 14, (item.key, item.plan, _units(item.left))
-    elif isinstance(item, Drawn | Told):
-        tag, values = 7 if isinstance(item, Drawn) else 9, (item.tag, round(item.units * _COUNT_STEPS))
+    elif isinstance(item, BucketCopy):
+        tag, values = 14, (item.key, item.plan, _units(item.tokens_left))
+    elif isinstance(item, DrawReport | DrawConfirmed):
+        tag, values = 7 if isinstance(item, DrawReport) else 9, (item.tag, round(item.units * _COUNT_STEPS))
     elif isinstance(item, Release):
-        tag, values = 3, (item.number, _units(item.back))
+        tag, values = 3, (item.number, _units(item.returned_units))
     elif isinstance(item, Finding):
         tag, values = 15, (item.subject, item.topic, min(255, round(item.slowness * SIXTEENTHS)),
                            max(0, min(255, math.ceil(item.age / _AGE_STEP))), item.observer, item.stamp)
     elif isinstance(item, LeaseRequest | LeaseReply):
         tag, values = 16 if isinstance(item, LeaseRequest) else 17, item
-    elif isinstance(item, News):
+    elif isinstance(item, HealthReport):
         tag, values = 4, (item.server, item.topic, min(255, round(item.slow * SIXTEENTHS)),
                           max(0, min(255, math.ceil(item.age / _AGE_STEP))))
     else:
-        pairs = b"".join(_LOAD.pack(server, min(65535, out)) for server, out in item.out)
-        return bytes([8, len(item.out)]) + pairs
+        pairs = b"".join(_LOAD.pack(server, min(65535, out)) for server, out in item.pairs)
+        return bytes([8, len(item.pairs)]) + pairs
     return bytes([tag]) + _FORMATS[tag].pack(*values)
 
 
-def room(per_s: float) -> tuple[tuple[int, int]]:
+def inbox_rate_pair(per_s: float) -> tuple[tuple[int, int]]:
     """What an inbox would take, as the pair in front of the loads."""
-    return ((INBOX, max(0, min(65535, math.floor(per_s * SIXTEENTHS)))),)
+    return ((INBOX_RATE_ID, max(0, min(65535, math.floor(per_s * SIXTEENTHS)))),)
 
 
-def most_loads(space: int) -> int:
+def max_load_pairs(space: int) -> int:
     """So many pairs fit."""
     return max(0, (space - 2) // _LOAD.size)
 
 
 def unpack(data: bytes) -> list[Item]:
-    if len(data) < 1 or len(data) > MOST_BYTES or data[0] != VERSION:
+    if len(data) < 1 or len(data) > MAX_DATAGRAM_BYTES or data[0] != VERSION:
         return []
     items: list[Item] = []
     at = 1
@@ -219,7 +225,7 @@
             case 3:
                 items.append(Release(v[0], v[1] / SIXTEENTHS))
             case 4:
-                items.append(News(v[0], v[1], v[2] / SIXTEENTHS, v[3] * _AGE_STEP))
+                items.append(HealthReport(v[0], v[1], v[2] / SIXTEENTHS, v[3] * _AGE_STEP))
             case 5:
                 items.append(Verdict(v[0], bool(v[1]), v[2] / SIXTEENTHS, v[3], v[4], v[5], v[6], v[7],
                                      v[8] / _SHARES, v[9]))
@@ -228,15 +234,15 @@
                 items.append(Ask(v[0], v[1], v[2], v[3] / SIXTEENTHS, v[4] * _LEASE_STEP, left, v[6]))
             case 10:
                 items.append(Verdict(v[0], bool(v[1]), v[2] / SIXTEENTHS, v[3], share=v[4] / _SHARES,
-                                     total=v[5]))
+                                     total_demand=v[5]))
             case 11:
                 items.append(Count(v[0], v[1], v[2], v[3] / SIXTEENTHS, v[4] / SIXTEENTHS))
             case 12:
                 items.append(Confirmed(v[0], v[1], v[2] / SIXTEENTHS))
             case 13:
-                items.append(Fresh(v[0]))
+                items.append(CopyRequest(v[0]))
             case 14:
-                items.append(CopyOf(v[0], v[1], v[2] / SIXTEENTHS))
+                items.append(BucketCopy(v[0], v[1], v[2] / SIXTEENTHS))
             case 15:
                 items.append(Finding(v[0], v[1], v[2] / SIXTEENTHS, v[3] * _AGE_STEP, v[4], v[5]))
             case 16:
@@ -244,9 +250,9 @@
             case 17:
                 items.append(LeaseReply(*v))
             case 7:
-                items.append(Drawn(v[0], v[1] / _COUNT_STEPS))
+                items.append(DrawReport(v[0], v[1] / _COUNT_STEPS))
             case 9:
-                items.append(Told(v[0], v[1] / _COUNT_STEPS))
+                items.append(DrawConfirmed(v[0], v[1] / _COUNT_STEPS))
             case _:
                 end = at + 1 + form.size + v[0] * _LOAD.size
                 if end > len(data):
--- a/larklb/quota/catalogue.py
+++ b/larklb/quota/catalogue.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from larklb import interface as io
-from larklb.fields import MalformedError, account
+from larklb.fields import MalformedError, parse_account
 from larklb.quota.ring import digest
 
 # Enough for several changes a week over years.
@@ -152,7 +152,7 @@
     customers = []
     for text, name in entry.customers.items():
         try:
-            customers.append((account(text), name))
+            customers.append((parse_account(text), name))
         except MalformedError as error:
             raise CatalogueError(f"customers: {text!r}: {error}") from error
         if name and name not in plans:
--- a/larklb/quota/entitlements.py
+++ b/larklb/quota/entitlements.py
@@ -182,7 +182,7 @@
             return []
         return list(self.reservations.open_for(key, now + self.clock_offset))
 
-    def on_remote_draw(self, sender: int, report: pw.Drawn) -> io.RecordDraw | None:
+    def on_remote_draw(self, sender: int, report: pw.DrawReport) -> io.RecordDraw | None:
         """Records another limiter's draws without its owner; None if nothing is new.
 
         A report carries the sum of all draws, so that repeated and late reports change nothing.
@@ -195,11 +195,11 @@
         reservation.draw(0.0)
         return io.RecordDraw(report.tag, report.units, True, sender)
 
-    def unconfirmed_draws(self, key: int) -> list[pw.Drawn]:
+    def unconfirmed_draws(self, key: int) -> list[pw.DrawReport]:
         """Draws of a customer that its owner has not confirmed yet."""
-        return [pw.Drawn(tag, units) for tag, units in self.unconfirmed.get(key, {}).items()]
+        return [pw.DrawReport(tag, units) for tag, units in self.unconfirmed.get(key, {}).items()]
 
-    def on_draw_confirmed(self, confirmation: pw.Told) -> None:
+    def on_draw_confirmed(self, confirmation: pw.DrawConfirmed) -> None:
         """Drops a draw from the unconfirmed ones if the owner has all of it."""
         reservation = (self.reservations.by_tag.get(confirmation.tag) if self.reservations is not None
                        else None)
--- a/larklb/quota/fallback.py
+++ b/larklb/quota/fallback.py
@@ -144,8 +144,8 @@
 
     def startup_notice(self, now: float) -> bytes:
         """The item that messages begin with during a limiter's first second; empty afterwards."""
-        return (pw.pack_item(pw.Fresh(self.settlement.incarnation)) if self.enabled and self.is_starting(now)
-                else b"")
+        return (pw.pack_item(pw.CopyRequest(self.settlement.incarnation))
+                if self.enabled and self.is_starting(now) else b"")
 
     def on_peer_started(self, now: float, sender: int, incarnation: int) -> bool:
         """Drops the shares of a restarted limiter's former incarnation; returns whether copies are due.
@@ -175,7 +175,7 @@
             copy = self.copies.get(key := keys.pop(0))
             plan = self.entitlements.effective_plan(now, key, copy.plan).plan if copy is not None else None
             if copy is not None and plan is not None and plan.rate:
-                yield pw.pack_item(pw.CopyOf(key, copy.plan, self._tokens_left(now, copy, plan)))
+                yield pw.pack_item(pw.BucketCopy(key, copy.plan, self._tokens_left(now, copy, plan)))
                 space -= COPY_BYTES
         if not keys or now - since >= WARMUP_MS:
             self.requested_copies.pop(owner, None)
@@ -271,10 +271,10 @@
         evict_oldest(self.copies, self.entitlements.max_customers)
         refused = 0 if verdict.granted else 1 + (previous.refused if previous else 0)
         self.copies[request.customer_key] = Copy(
-            request.named_plan, request.owner, verdict.left, verdict.open, now, refused,
-            reserved=verdict.reserved)
+            request.named_plan, request.owner, verdict.tokens_left, verdict.open_attempts, now, refused,
+            reserved=verdict.reserved_units)
         if verdict.share is not None and self.enabled:
-            self.shares.accept_share(now, request.customer_key, verdict.share, verdict.total)
+            self.shares.accept_share(now, request.customer_key, verdict.share, verdict.total_demand)
         self.share_buckets.pop(request.customer_key, None)
 
     def count_to_report(self, now: float, request: PendingRequest) -> list[Count]:
--- a/larklb/serve.py
+++ b/larklb/serve.py
@@ -53,7 +53,7 @@
 
 
 async def _run(config: Config, operator: Operator | None, base: Path) -> None:
-    entry = operator.of(config.name) if operator is not None else None
+    entry = operator.instance_entry(config.name) if operator is not None else None
     store_entry = operator.store if operator is not None else None
     loop = asyncio.get_running_loop()
     stop = asyncio.Event()
@@ -234,7 +234,7 @@
     from larklb.desk import Desk
     from larklb.state.log import LogError
     try:
-        return Desk(config, base, operator, operator.of(config.name), counters, wheel.now())
+        return Desk(config, base, operator, operator.instance_entry(config.name), counters, wheel.now())
     except LogError as error:
         raise StartError(error) from error
 
--- a/larklb/settings.py
+++ b/larklb/settings.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from larklb import interface as io
-from larklb.settings_mapping import settings_of
+from larklb.settings_mapping import settings_from_wire
 
 
 class ConfigError(Exception):
@@ -74,7 +74,7 @@
     admin: tuple[str, int] | None = None      # the second address, for the operators' staff
 
 
-def address(text: str) -> tuple[str, int]:
+def parse_address(text: str) -> tuple[str, int]:
     """Host and port of ``host:port`` or ``[v6]:port``."""
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isascii() or not port.isdigit() or not 0 < int(port) < 65536:
@@ -109,7 +109,7 @@
     if lacking := sorted(before - keys):
         raise ConfigError(f"{path}: {lacking[0]} is missing")
     try:
-        settings = settings_of(raw.settings)
+        settings = settings_from_wire(raw.settings)
         limits = raw.settings["limits"]
         dial, idle = float(limits.get("dial_timeout") or 250.0), float(limits.get("conn_idle") or 30000.0)
     except (KeyError, IndexError, TypeError, ValueError, AttributeError) as error:
@@ -118,7 +118,7 @@
         seed = int(raw.seed, 16)
     except ValueError as error:
         raise ConfigError(f"{path}: seed {raw.seed!r} is no hex number") from error
-    peers = tuple(address(peer) for peer in raw.peers)
+    peers = tuple(parse_address(peer) for peer in raw.peers)
     admin = env.get("EDGE_ADMIN") or raw.admin
     if settings.can_tell and settings.gateways > 1 and len(peers) != settings.gateways:
         raise ConfigError(f"{path}: {len(peers)} peers for {settings.gateways} limiters")
@@ -126,12 +126,12 @@
         raise ConfigError(f"{path}: {raw.limits.sockets} sockets are too few")
     return Config(
         name=env.get("EDGE_NAME") or raw.name or "limiter",
-        listen=address(env.get("EDGE_LISTEN") or raw.listen),
-        discovery=address(env.get("EDGE_DISCOVERY") or raw.discovery), seed=seed,
+        listen=parse_address(env.get("EDGE_LISTEN") or raw.listen),
+        discovery=parse_address(env.get("EDGE_DISCOVERY") or raw.discovery), seed=seed,
         sockets=min(raw.limits.sockets, 1024), peers=peers,
-        peer_listen=address(raw.peer_listen) if raw.peer_listen else None,
+        peer_listen=parse_address(raw.peer_listen) if raw.peer_listen else None,
         known=raw.known, settings=settings, dial_timeout=dial, conn_idle=idle,
-        memory_mb=raw.limits.memory_mb, keys=keys, admin=address(admin) if admin else None)
+        memory_mb=raw.limits.memory_mb, keys=keys, admin=parse_address(admin) if admin else None)
 
 
 class StoreEntry(msgspec.Struct, forbid_unknown_fields=True):
@@ -254,7 +254,7 @@
     ledger: LedgerEntry | None = None
     export: ExportEntry | None = None
 
-    def checked(self) -> str:
+    def find_problem(self) -> str:
         """What makes no sense in it, in one line; empty if all does."""
         if self.quota.err not in ("quota", "service"):
             return 'quota: err is either "quota" or "service"'
@@ -282,7 +282,7 @@
             return "either all instances have an admin address or none has"
         return ""
 
-    def of(self, name: str) -> InstanceEntry:
+    def instance_entry(self, name: str) -> InstanceEntry:
         for entry in self.instance:
             if entry.name == name:
                 return entry
@@ -301,7 +301,7 @@
         raise ConfigError(f"{path}: instances need names of their own")
     for entry in operator.instance:
         if entry.grpc:
-            address(entry.grpc)
-    if why := operator.checked():
+            parse_address(entry.grpc)
+    if why := operator.find_problem():
         raise ConfigError(f"{path}: {why}")
     return operator
--- a/larklb/settings_mapping.py
+++ b/larklb/settings_mapping.py
@@ -12,7 +12,7 @@
 _REPEAT = {"repeatable": io.RepeatPolicy.SAFE, "by_key": io.RepeatPolicy.KEYED, "once": io.RepeatPolicy.NEVER}
 
 
-def figure(value: Any, name: str) -> float:
+def positive_number(value: Any, name: str) -> float:
     """A finite number above 0; ValueError for all else, a text or ``true`` among it."""
     number = isinstance(value, int | float) and not isinstance(value, bool)
     if not number or not math.isfinite(value) or value <= 0:
@@ -20,7 +20,7 @@
     return float(value)
 
 
-def in_service(old: io.Settings, new: io.Settings, topics: Collection[str]) -> io.Settings:
+def settings_for_reload(old: io.Settings, new: io.Settings, topics: Collection[str]) -> io.Settings:
     """``new`` as it can be taken over by a limiter that runs under ``old``; ValueError where it cannot.
 
     Which limiter this is, among how many, and the clock's tick stay until a restart.  Plans keep their
@@ -35,13 +35,13 @@
     return replace(new, plans=tuple(plans), number=old.number, gateways=old.gateways, tick=old.tick)
 
 
-def settings_of(raw: dict[str, Any]) -> io.Settings:
+def settings_from_wire(raw: dict[str, Any]) -> io.Settings:
     """The module's settings from those of the wire; keys that are not known are passed over."""
     limits, safety = raw["limits"], raw["safety"]
     family, charges = raw.get("family_info", {}), raw.get("charges", {})
     classes = tuple(io.ServiceClass(
-        name=c["name"], aim=figure(c["aim"], "aim"),
-        deadline=figure(c["deadline"], "deadline"), worth=c["gain"],
+        name=c["name"], aim=positive_number(c["aim"], "aim"),
+        deadline=positive_number(c["deadline"], "deadline"), worth=c["gain"],
         late_worth=c.get("late_worth", 0.0), repeat=_REPEAT[c["semantics"]],
         group=io.DedupScope(c.get("group", "all")), window=c.get("window", 0.0)) for c in raw["classes"])
     plans = tuple(io.Plan(
@@ -56,7 +56,7 @@
         can_tell=limits.get("may_tell", False),
         can_cancel=limits.get("cancel", False), can_copy=limits.get("second_copies", False),
         must_ask_list=raw.get("discovery", "push") == "ask",
-        max_attempts=int(figure(limits["max_attempts"], "max_attempts")),
+        max_attempts=int(positive_number(limits["max_attempts"], "max_attempts")),
         max_retry_after=limits.get("max_retry_after", 0.0) if limits.get("retry_after") else 0.0,
         cold_share=safety["cold_share"],
         warm_within=safety["warm_within"], tip_multiple=safety["tip_multiple"],
--- a/tests/test_daily.py
+++ b/tests/test_daily.py
@@ -16,7 +16,7 @@
 from larklb import interface as io
 from larklb.net.console import MOST_AT_ONCE
 from larklb.phase import IDLE_CLOSE_DELAY, Phase, State
-from larklb.settings_mapping import in_service
+from larklb.settings_mapping import settings_for_reload
 from tests.conftest import settings
 from tests.standins import Discovery, Limiter, Yard, ask, free_port, http, job, read_answer, served
 
@@ -327,11 +327,11 @@
     """Buckets and peers know a plan by its number; classes that come and go are bounded."""
     old = settings(number=1, gateways=3)
     new = settings(number=0, gateways=2, plans=(io.Plan("new", 1.0, 1.0), io.Plan("open", most_open=9)))
-    kept = in_service(old, new, ("read", "write"))
+    kept = settings_for_reload(old, new, ("read", "write"))
     assert [p.name for p in kept.plans] == ["rate", "open", "free", "new"] and kept.plans[1].most_open == 9
     assert (kept.number, kept.gateways) == (1, 3)
     with pytest.raises(ValueError, match="restart"):
-        in_service(old, new, [f"c{n}" for n in range(io.MAX_TOPICS)])
+        settings_for_reload(old, new, [f"c{n}" for n in range(io.MAX_TOPICS)])
 
 
 def test_a_plan_with_other_figures_keeps_what_its_buckets_hold(tmp_path: Path) -> None:
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -326,7 +326,7 @@
         bed.ask(i % 3, f"r{i}", customer=f"k{i % 40}")
         bed.run(5)
     sent = [a for _, _, a in bed.log[before:] if isinstance(a, io.SendToPeer)]
-    assert all(len(a.data) <= pw.MOST_BYTES for a in sent)
+    assert all(len(a.data) <= pw.MAX_DATAGRAM_BYTES for a in sent)
     assert all(sum(a.peer == g for a in sent) <= 40 * 1.5 + 4 for g in range(3))
 
 
--- a/tests/test_hardening.py
+++ b/tests/test_hardening.py
@@ -485,7 +485,8 @@
 
     async def go() -> None:
         core = core_with()
-        desk = Desk(config, tmp_path, operator, operator.of("n0"), core.counters, core.wheel.now())
+        desk = Desk(
+            config, tmp_path, operator, operator.instance_entry("n0"), core.counters, core.wheel.now())
         await desk.start(core)
         assert desk.reserved is not None and desk.held is not None
         kept = desk.reserved.log
--- a/tests/test_lab_fleet.py
+++ b/tests/test_lab_fleet.py
@@ -189,7 +189,8 @@
         return [item for d in data for item in pw.unpack(d)]
 
     old = items(1)
-    assert [(i.server, i.slow) for i in old if isinstance(i, pw.News)] == [(7, 12.0)], "its sender's own"
+    assert [(i.server, i.slow) for i in old if isinstance(i, pw.HealthReport)] == [
+        (7, 12.0)], "its sender's own"
     assert not [i for i in old if isinstance(i, Finding)]
     x.pace.record_allowance(10.0, 2, 5.0)
     assert {i.subject for i in items(2) if isinstance(i, Finding)} == {7, 8}
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -12,9 +12,9 @@
 from hypothesis import strategies as st
 
 from larklb import peerwire as pw
-from larklb.fields import MalformedError, account, decimal, quota_info
+from larklb.fields import MalformedError, parse_account, parse_decimal, parse_quota_info
 from larklb.net.http import Link, TooLongError, WatchedReader
-from larklb.settings import ConfigError, MachineList, address
+from larklb.settings import ConfigError, MachineList, parse_address
 from tests.conftest import settings as standard
 
 REQUEST = b"POST /place-order HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\nA: b\r\n\r\nhello"
@@ -91,15 +91,16 @@
     data = bytes([pw.VERSION]) + pw.pack_item(item) * 8
     assert pw.unpack(data[:length]) in ([], *([item] * n for n in range(1, 9)))
     for got in pw.unpack(bytes([pw.VERSION]) + garbage):
-        assert isinstance(got, pw.Ask | pw.Verdict | pw.Release | pw.Loads | pw.News)
+        assert isinstance(got, pw.Ask | pw.Verdict | pw.Release | pw.Loads | pw.HealthReport)
 
 
 @seed(5)
 @few
 @given(st.text(max_size=40))
 def test_random_fields_are_read_or_refused(text: str) -> None:
-    for parse, bad in ((lambda t: quota_info(t, standard()), MalformedError), (account, MalformedError),
-                       (decimal, MalformedError), (address, ConfigError)):
+    for parse, bad in ((lambda t: parse_quota_info(t, standard()), MalformedError),
+                       (parse_account, MalformedError), (parse_decimal, MalformedError),
+                       (parse_address, ConfigError)):
         try:
             parse(text)
         except bad as error:
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -184,9 +184,9 @@
         item for a in b.of(io.SendToPeer) for item in pw.unpack(a.data) if isinstance(item, pw.Verdict)
     ]
     asks = [item for a in b.of(io.SendToPeer) for item in pw.unpack(a.data) if isinstance(item, pw.Ask)]
-    assert tags <= {pw.Ask, pw.Verdict, pw.Release, pw.Loads, pw.News}
+    assert tags <= {pw.Ask, pw.Verdict, pw.Release, pw.Loads, pw.HealthReport}
     assert verdicts and all(v.plan is None for v in verdicts)
-    assert asks and all(a.number < pw.SPEAKS for a in asks)
+    assert asks and all(a.number < pw.EXTENDED_FLAG for a in asks)
 
 
 @pytest.mark.parametrize("knows", [(True, True), (True, False), (False, True)])
@@ -208,7 +208,7 @@
     b.ask(other, "t", customer=C)
     b.run(1000)
     assert stamps(b)["t"].version == (3 if knows[1] else 0), "a fallback stamps its own"
-    assert max(len(a.data) for a in b.of(io.SendToPeer)) <= pw.MOST_BYTES
+    assert max(len(a.data) for a in b.of(io.SendToPeer)) <= pw.MAX_DATAGRAM_BYTES
     longer = [item for a in b.of(io.SendToPeer) for item in pw.unpack(a.data)
               if isinstance(item, pw.Verdict) and item.plan is not None]
     assert bool(longer) == (knows == (True, True)), "an older program would drop the whole message"
--- a/tests/test_settling.py
+++ b/tests/test_settling.py
@@ -283,7 +283,7 @@
     day = played("flapping", 2)
     assert day.late == 0 and day.bytes / day.messages < 128
     longest = pw.pack_item(pw.Count(1 << 63, 255, 1 << 31, 1e6, 1e5))
-    assert len(longest) == COUNT_BYTES and len(pw.pack_item(pw.CopyOf(1, 1, 1.0))) == COPY_BYTES
+    assert len(longest) == COUNT_BYTES and len(pw.pack_item(pw.BucketCopy(1, 1, 1.0))) == COPY_BYTES
     assert pw.unpack(bytes([pw.VERSION]) + longest) == [
         pw.Count(1 << 63, 255, 1 << 31, 1e6, 1e5)]
 
