--- a/larklb/decide.py
+++ b/larklb/decide.py
@@ -398,7 +398,7 @@
         for item in items:
             match item:
                 case pw.Loads(((pw.INBOX_RATE_ID, allowed), *_)):
-                    self.pace.record_allowance(now, event.sender, allowed / pw.SIXTEENTHS)
+                    self.pace.record_allowance(now, event.sender, allowed / pw.STEPS_PER_UNIT)
                 case pw.Ask():
                     self._on_ask(now, event.sender, item)
                 case pw.Verdict():
--- a/larklb/lab/spread.py
+++ b/larklb/lab/spread.py
@@ -165,7 +165,7 @@
         for item in pw.unpack(data):
             match item:
                 case pw.Loads(((pw.INBOX_RATE_ID, allowed), *_)):
-                    x.pace.record_allowance(self.now, sender, allowed / pw.SIXTEENTHS)
+                    x.pace.record_allowance(self.now, sender, allowed / pw.STEPS_PER_UNIT)
                 case pw.Ask():
                     x.outbox.send(sender, pw.Verdict(item.number, True, 1.0, 0))
                     self._flush(x, sender)
--- a/larklb/settings.py
+++ b/larklb/settings.py
@@ -1,4 +1,4 @@
-"""What an instance is told: the EDGE_* variables and the JSON configuration, checked once."""
+"""Configuration of an instance: the EDGE_* variables, its JSON file and the operator's TOML file."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 
 class ConfigError(Exception):
-    """The configuration cannot be used; the text is one plain line."""
+    """The configuration is unusable; the message is one line that states why."""
 
 
 class Instance(msgspec.Struct, rename="camel"):
-    """One execute node as discovery writes it."""
+    """An execute node in the form that discovery sends."""
 
     instance_id: str
     host_port: str
@@ -30,7 +30,7 @@
 
 
 class MachineList(msgspec.Struct):
-    """A machine list, whole (``reset``) or the changes since another one."""
+    """A list of execute nodes: complete (``reset``), or the changes since an earlier list."""
 
     generation: int
     reset: bool = False
@@ -38,11 +38,15 @@
 
 
 class Limits(msgspec.Struct):
+    """Limits of the process: memory in MB and the number of sockets."""
+
     memory_mb: int = 192
     sockets: int = 1024
 
 
 class _File(msgspec.Struct):
+    """The JSON configuration file."""
+
     settings: dict[str, Any]
     name: str = ""
     listen: str = ""
@@ -56,7 +60,10 @@
 
 
 class Config(msgspec.Struct, frozen=True):
-    """All of it, in the form that the program uses."""
+    """The configuration of an instance after validation.
+
+    ``dial_timeout`` and ``conn_idle`` are in ms.
+    """
 
     name: str
     listen: tuple[str, int]
@@ -70,34 +77,40 @@
     dial_timeout: float
     conn_idle: float
     memory_mb: int = 192
-    keys: frozenset[str] = frozenset()         # of the file, those that a later one must have too
-    admin: tuple[str, int] | None = None      # the second address, for the operators' staff
+    # Keys of the file; a file that is loaded later must have them too.
+    keys: frozenset[str] = frozenset()
+    # The second address, for the operators' staff.
+    admin: tuple[str, int] | None = None
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """Host and port of ``host:port`` or ``[v6]:port``."""
+    """Returns the host and port of ``host:port`` or ``[v6]:port``.  Raises ConfigError for any other text."""
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isascii() or not port.isdigit() or not 0 < int(port) < 65536:
-        raise ConfigError(f"{text!r} is no host:port")
+        raise ConfigError(f"{text!r} must be host:port")
     return host.strip("[]"), int(port)
 
 
 def _keys(data: bytes) -> frozenset[str]:
-    """What a file has: its keys, those of its settings and of the objects in these; but for the list."""
-    whole = msgspec.json.decode(data, type=dict[str, Any])
-    settings = whole["settings"]
-    parts = {f"settings.{k}": v for k, v in settings.items()}
-    inner = {f"{k}.{i}" for k, v in parts.items() if isinstance(v, dict) for i in v}
-    return frozenset({*whole, *parts, *inner} - {"known"})
-
-
-def load(env: Mapping[str, str] = os.environ, before: frozenset[str] = frozenset()) -> Config:
-    """The instance's configuration; EDGE_NAME, _LISTEN, _DISCOVERY and _ADMIN win over the file.
-
-    ``before`` are the keys of the file that holds now: one that lacks any of them has been cut."""
+    """Returns the keys of a file, of its settings and of the objects in these, except the machine list."""
+    content = msgspec.json.decode(data, type=dict[str, Any])
+    settings = content["settings"]
+    qualified = {f"settings.{key}": value for key, value in settings.items()}
+    nested = {f"{key}.{inner_key}" for key, value in qualified.items() if isinstance(value, dict)
+              for inner_key in value}
+    return frozenset({*content, *qualified, *nested} - {"known"})
+
+
+def load(env: Mapping[str, str] = os.environ, required_keys: frozenset[str] = frozenset()) -> Config:
+    """Returns the configuration of the instance from the file that EDGE_CONFIG names.
+
+    EDGE_NAME, EDGE_LISTEN, EDGE_DISCOVERY and EDGE_ADMIN take precedence over the file.  ``required_keys``
+    are the keys of the file in force: a file that lacks any of them has been truncated.  Raises ConfigError
+    if the configuration is unusable.
+    """
     path = env.get("EDGE_CONFIG", "")
     if not path:
-        raise ConfigError("EDGE_CONFIG names no configuration file")
+        raise ConfigError("EDGE_CONFIG does not name a configuration file")
     try:
         data = Path(path).read_bytes()
         raw = msgspec.json.decode(data, type=_File)
@@ -106,59 +119,68 @@
         raise ConfigError(f"{path}: {error.strerror}") from error
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         raise ConfigError(f"{path}: {error}") from error
-    if lacking := sorted(before - keys):
-        raise ConfigError(f"{path}: {lacking[0]} is missing")
+    if missing := sorted(required_keys - keys):
+        raise ConfigError(f"{path}: {missing[0]} is missing")
     try:
         settings = settings_from_wire(raw.settings)
         limits = raw.settings["limits"]
-        dial, idle = float(limits.get("dial_timeout") or 250.0), float(limits.get("conn_idle") or 30000.0)
+        dial_timeout, conn_idle = (
+            float(limits.get("dial_timeout") or 250.0), float(limits.get("conn_idle") or 30000.0))
     except (KeyError, IndexError, TypeError, ValueError, AttributeError) as error:
         raise ConfigError(f"{path}: settings: {type(error).__name__}: {error}") from error
     try:
         seed = int(raw.seed, 16)
     except ValueError as error:
-        raise ConfigError(f"{path}: seed {raw.seed!r} is no hex number") from error
+        raise ConfigError(f"{path}: seed {raw.seed!r} is not a hex number") from error
     peers = tuple(parse_address(peer) for peer in raw.peers)
     admin = env.get("EDGE_ADMIN") or raw.admin
     if settings.can_tell and settings.gateways > 1 and len(peers) != settings.gateways:
-        raise ConfigError(f"{path}: {len(peers)} peers for {settings.gateways} limiters")
+        raise ConfigError(f"{path}: {len(peers)} peers are listed for {settings.gateways} limiters")
     if raw.limits.sockets < 64:
-        raise ConfigError(f"{path}: {raw.limits.sockets} sockets are too few")
+        raise ConfigError(f"{path}: {raw.limits.sockets} sockets are too few: 64 is the minimum")
     return Config(
         name=env.get("EDGE_NAME") or raw.name or "limiter",
         listen=parse_address(env.get("EDGE_LISTEN") or raw.listen),
         discovery=parse_address(env.get("EDGE_DISCOVERY") or raw.discovery), seed=seed,
         sockets=min(raw.limits.sockets, 1024), peers=peers,
         peer_listen=parse_address(raw.peer_listen) if raw.peer_listen else None,
-        known=raw.known, settings=settings, dial_timeout=dial, conn_idle=idle,
+        known=raw.known, settings=settings, dial_timeout=dial_timeout, conn_idle=conn_idle,
         memory_mb=raw.limits.memory_mb, keys=keys, admin=parse_address(admin) if admin else None)
 
 
 class StoreEntry(msgspec.Struct, forbid_unknown_fields=True):
+    """The shared store: its URL and the prefix of the keys."""
+
     url: str
     prefix: str = "larklb"
 
 
 class PlansEntry(msgspec.Struct, forbid_unknown_fields=True):
-    """Where the catalogue of plan versions is, as a path from the operator's file."""
+    """The catalogue of plan versions: its path, relative to the operator's file."""
 
     file: str
 
 
 class QuotaEntry(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """Which side quotas err on while limiters cannot hear each other, and whether that is settled."""
+    """Which way quotas err while limiters can't reach each other (``err``: "quota" or "service").
+
+    ``settle`` states whether the units admitted meanwhile are settled afterwards.
+    """
 
     err: str = "service"
     settle: bool = True
 
     def reserve(self) -> float:
-        """How far a share may grow with traffic that moves: ``quota`` 0, ``service`` 1."""
+        """Returns how far a share may grow with traffic that moves: 0 for "quota", 1 for "service"."""
         return {"quota": 0.0, "service": 1.0}[self.err]
 
 
 class LimitsEntry(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """What all limiters together may do, 0 for no limit: attempts at once at one execute node, and as many
-    connections to it; further attempts for each first one."""
+    """Limits for all limiters together; 0 means no limit.
+
+    ``node_attempts`` limits concurrent attempts at one execute node, and the connections to it.
+    ``further_attempts`` limits the further attempts per first attempt.
+    """
 
     node_attempts: int = 0
     further_attempts: float = 0.0
@@ -167,10 +189,11 @@
 class CustodyEntry(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
     """Custody of jobs that must not run twice, over TCP at the limiters' ``peers`` addresses.
 
-    ``keep_s``: a record is kept so long after its last word; ``most_mb`` for all records of an instance;
-    ``marked``: submitters mark each further try of a key (X-Repeat: 1), so a try without it is the first;
-    ``lost``: where too few custodians can say, a first try is served without custody ("serve") or turned
-    away ("refuse")."""
+    A record is kept for ``keep_s`` after its last message, and all records of an instance take at most
+    ``most_mb``.  With ``marked`` submitters mark each further try of a key (X-Repeat: 1), so a try without
+    the mark is the first.  ``lost`` states what happens to a first try while too few custodians can answer:
+    it is served without custody ("serve") or rejected ("refuse").
+    """
 
     keep_s: float = 30.0
     most_mb: float = 16.0
@@ -179,15 +202,18 @@
 
 
 class StateEntry(msgspec.Struct, forbid_unknown_fields=True):
-    """Where instances keep what outlives them, each in a folder of its own; ``sync_ms`` between syncs."""
+    """The folder of the instances' durable state, a subfolder for each, and the time between syncs."""
 
     folder: str
     sync_ms: float = 500.0
 
 
 class ReservationsEntry(msgspec.Struct, forbid_unknown_fields=True):
-    """What may be reserved: ``fleet_share`` of ``fleet_rate`` units a second (0: no bound) by all customers,
-    and by one ``customer_share`` of its plan's rate."""
+    """Bounds of reservations.
+
+    All customers together may reserve ``fleet_share`` of ``fleet_rate`` units per second (0: no bound), and
+    one customer ``customer_share`` of its plan's rate.
+    """
 
     fleet_rate: float = 0.0
     fleet_share: float = 0.3
@@ -195,10 +221,12 @@
 
 
 class LedgerEntry(msgspec.Struct, forbid_unknown_fields=True):
-    """Use is told apart by periods, sealed every ``seal_s``; at most ``most_mb`` wait to be acknowledged.
+    """The ledger of use, which is counted per period of ``period_s`` and sealed every ``seal_s``.
 
-    The log is written anew, shorter, when it has ``rewrite_mb``.  Where the instances share the folder of
-    [state], what one that has been away for ``adopt_s`` counted is exported by another; 0: only by itself."""
+    At most ``most_mb`` wait for acknowledgement, and the log is compacted when it reaches ``rewrite_mb``.
+    Where the instances share the folder of [state], another instance exports the counts of one that has been
+    away for ``adopt_s``; 0 means that each instance exports only its own.
+    """
 
     period_s: int = 3600
     seal_s: float = 60.0
@@ -208,7 +236,7 @@
 
 
 class ExportEntry(msgspec.Struct, forbid_unknown_fields=True):
-    """Where use is brought: a receiver's ``url`` (``ca``: certificates to trust) or a ``folder``."""
+    """Where use is exported: to a receiver's ``url`` (``ca``: certificates to trust) or into a ``folder``."""
 
     url: str = ""
     ca: str = ""
@@ -217,20 +245,24 @@
 
 
 class ZonesEntry(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """Whether zones that fail are left by the fleet (``leave``); ``regions`` are groups of zones by name: of
-    which most are lost, it is left as a whole."""
+    """Whether the fleet evacuates failing zones (``leave``).
+
+    ``regions`` are named groups of zones: a region that has lost most of its zones is evacuated as a whole.
+    """
 
     leave: bool = True
     regions: dict[str, list[str]] = {}
 
     def of_zones(self) -> dict[str, str]:
-        """The region of each zone that has one."""
+        """Returns the region of each zone that belongs to one."""
         return {zone: region for region, zones in self.regions.items() for zone in zones}
 
 
 class InstanceEntry(msgspec.Struct, forbid_unknown_fields=True):
-    """One instance in an operator's file; ``config`` and ``admin`` (its socket) are paths from that file;
-    ``zone`` is where it stands."""
+    """An instance in an operator's file.
+
+    ``config`` and ``admin`` (its socket) are paths relative to that file; ``zone`` is the instance's zone.
+    """
 
     name: str
     config: str
@@ -240,7 +272,7 @@
 
 
 class Operator(msgspec.Struct, forbid_unknown_fields=True):
-    """An operator's file: the instances that an agent manages, and what they have that the platform lacks."""
+    """An operator's file: the instances of an agent, and settings that the platform does not have."""
 
     instance: list[InstanceEntry]
     store: StoreEntry | None = None
@@ -255,41 +287,47 @@
     export: ExportEntry | None = None
 
     def find_problem(self) -> str:
-        """What makes no sense in it, in one line; empty if all does."""
+        """Returns the first problem of the file in one line, or an empty text if there is none."""
         if self.quota.err not in ("quota", "service"):
             return 'quota: err is either "quota" or "service"'
         if not (0 <= self.limits.node_attempts <= 65535 and 0 <= self.limits.further_attempts <= 10):
             return "limits: the figures make no sense"
         if len(self.zones.of_zones()) < sum(map(len, self.zones.regions.values())):
             return "zones: a zone is in one region at the most"
-        c = self.custody
-        if c is not None and not (c.keep_s > 0 and 0.01 <= c.most_mb <= 1024
-                                  and c.lost in ("serve", "refuse")):
+        custody = self.custody
+        if custody is not None and not (custody.keep_s > 0 and 0.01 <= custody.most_mb <= 1024
+                                        and custody.lost in ("serve", "refuse")):
             return 'custody: keep_s, most_mb or lost ("serve" or "refuse") makes no sense'
-        r, e, s, x = self.reservations, self.ledger, self.state, self.export
-        if (r is not None or e is not None) and s is None:
+        reservations, ledger, state, export = self.reservations, self.ledger, self.state, self.export
+        if (reservations is not None or ledger is not None) and state is None:
             return "reservations and a ledger need a [state] folder"
-        if r is not None and not (r.fleet_rate >= 0 and 0 <= r.fleet_share <= 1 and r.customer_share >= 0):
+        if reservations is not None and not (
+                reservations.fleet_rate >= 0 and 0 <= reservations.fleet_share <= 1
+                and reservations.customer_share >= 0):
             return "reservations: the shares make no sense"
-        if e is not None and not (1 <= e.period_s <= 31 * 86400 and e.seal_s > 0 and e.most_mb > 0
-                              and e.rewrite_mb > 0 and (e.adopt_s == 0 or e.adopt_s >= 0.5)):
+        if ledger is not None and not (1 <= ledger.period_s <= 31 * 86400 and ledger.seal_s > 0
+                                       and ledger.most_mb > 0 and ledger.rewrite_mb > 0
+                                       and (ledger.adopt_s == 0 or ledger.adopt_s >= 0.5)):
             return "ledger: the figures make no sense"
-        if s is not None and not 10 <= s.sync_ms <= 60000:
+        if state is not None and not 10 <= state.sync_ms <= 60000:
             return "state: sync_ms is not between 10 and 60000"
-        if x is not None and (e is None or bool(x.url) == bool(x.folder) or not x.most_wait_s >= 0.1):
+        if export is not None and (ledger is None or bool(export.url) == bool(export.folder)
+                                   or not export.most_wait_s >= 0.1):
             return "export: it needs a [ledger], either a url or a folder, and a most_wait_s of 0.1 or more"
-        if any((e.admin == "") != (self.instance[0].admin == "") for e in self.instance):
+        if any((entry.admin == "") != (self.instance[0].admin == "") for entry in self.instance):
             return "either all instances have an admin address or none has"
         return ""
 
     def instance_entry(self, name: str) -> InstanceEntry:
+        """Returns the instance of that name.  Raises ConfigError if there is none."""
         for entry in self.instance:
             if entry.name == name:
                 return entry
-        raise ConfigError(f"the operator's file names no instance {name!r}")
+        raise ConfigError(f"the operator's file has no instance {name!r}")
 
 
 def load_operator(path: Path) -> Operator:
+    """Returns the operator's file at ``path``.  Raises ConfigError if it is unusable."""
     try:
         operator = msgspec.toml.decode(path.read_bytes(), type=Operator)
     except OSError as error:
@@ -298,10 +336,10 @@
         raise ConfigError(f"{path}: {str(error).splitlines()[0]}") from error
     names = [entry.name for entry in operator.instance]
     if not names or len(set(names)) < len(names):
-        raise ConfigError(f"{path}: instances need names of their own")
+        raise ConfigError(f"{path}: there must be an instance, and their names must be unique")
     for entry in operator.instance:
         if entry.grpc:
             parse_address(entry.grpc)
-    if why := operator.find_problem():
-        raise ConfigError(f"{path}: {why}")
+    if problem := operator.find_problem():
+        raise ConfigError(f"{path}: {problem}")
     return operator
--- a/larklb/settings_mapping.py
+++ b/larklb/settings_mapping.py
@@ -1,4 +1,4 @@
-"""The settings as the simulator and the platform tell them, made into the module's own."""
+"""Mapping of the settings that the simulator and the platform send to ``interface.Settings``."""
 
 from __future__ import annotations
 
@@ -9,40 +9,45 @@
 
 from larklb import interface as io
 
-_REPEAT = {"repeatable": io.RepeatPolicy.SAFE, "by_key": io.RepeatPolicy.KEYED, "once": io.RepeatPolicy.NEVER}
+_REPEAT_POLICIES = {"repeatable": io.RepeatPolicy.SAFE, "by_key": io.RepeatPolicy.KEYED,
+                    "once": io.RepeatPolicy.NEVER}
 
 
 def positive_number(value: Any, name: str) -> float:
-    """A finite number above 0; ValueError for all else, a text or ``true`` among it."""
-    number = isinstance(value, int | float) and not isinstance(value, bool)
-    if not number or not math.isfinite(value) or value <= 0:
-        raise ValueError(f"{name} is no number above 0: {value!r}")
+    """Returns a finite number above 0.  Raises ValueError for anything else, including texts and booleans."""
+    is_number = isinstance(value, int | float) and not isinstance(value, bool)
+    if not is_number or not math.isfinite(value) or value <= 0:
+        raise ValueError(f"{name} must be a number above 0: {value!r}")
     return float(value)
 
 
 def settings_for_reload(old: io.Settings, new: io.Settings, topics: Collection[str]) -> io.Settings:
-    """``new`` as it can be taken over by a limiter that runs under ``old``; ValueError where it cannot.
+    """Returns ``new`` in a form that a limiter running with ``old`` can adopt without a restart.
 
-    Which limiter this is, among how many, and the clock's tick stay until a restart.  Plans keep their
-    places, by which buckets and peers know them: those that have vanished stay in theirs, new ones come
-    behind.  ``topics`` are the classes that have ever been there.
+    The limiter's number, the number of limiters and the clock's tick stay until a restart.  Plans keep their
+    positions, by which buckets and peers identify them: removed plans stay in place, new ones are appended.
+    ``topics`` are all classes that the limiter has had so far.  Raises ValueError if there have been too many
+    classes and plans.
     """
-    figures = {p.name: p for p in new.plans}
-    plans = [figures.pop(p.name, p) for p in old.plans] + list(figures.values())
+    new_plans = {p.name: p for p in new.plans}
+    plans = [new_plans.pop(p.name, p) for p in old.plans] + list(new_plans.values())
     classes = {*topics, *(c.name for c in new.classes)}
     if len(classes) + len(plans) > io.MAX_TOPICS:
-        raise ValueError("too many classes and plans have come and gone: a restart is needed")
+        raise ValueError("too many classes and plans have been added and removed: a restart is needed")
     return replace(new, plans=tuple(plans), number=old.number, gateways=old.gateways, tick=old.tick)
 
 
 def settings_from_wire(raw: dict[str, Any]) -> io.Settings:
-    """The module's settings from those of the wire; keys that are not known are passed over."""
+    """Returns the settings from those of the wire format; unknown keys are ignored.
+
+    Raises KeyError, TypeError or ValueError if a key is missing or a value is invalid.
+    """
     limits, safety = raw["limits"], raw["safety"]
     family, charges = raw.get("family_info", {}), raw.get("charges", {})
     classes = tuple(io.ServiceClass(
         name=c["name"], aim=positive_number(c["aim"], "aim"),
         deadline=positive_number(c["deadline"], "deadline"), worth=c["gain"],
-        late_worth=c.get("late_worth", 0.0), repeat=_REPEAT[c["semantics"]],
+        late_worth=c.get("late_worth", 0.0), repeat=_REPEAT_POLICIES[c["semantics"]],
         group=io.DedupScope(c.get("group", "all")), window=c.get("window", 0.0)) for c in raw["classes"])
     plans = tuple(io.Plan(
         name=t["name"], rate=t.get("quota_rate", 0.0), burst=t.get("depth", 0.0),
