--- a/tests/test_custody.py
+++ b/tests/test_custody.py
@@ -1,4 +1,4 @@
-"""Custody of jobs that must not run twice: the model of all orders, the custodian, and lost processes."""
+"""Custody of jobs that must not run twice: exhaustive exploration, unit tests, and lost processes."""
 
 from __future__ import annotations
 
@@ -34,53 +34,54 @@
 from larklb.lab.yard import Yard, ask, http, job
 from tests.test_usage import larklb
 
-# Six limiters and their nodes keep the time of one process: no other such day may run beside it.
+# Each run times six limiters and their nodes in one process, so that no two of them may run in parallel.
 pytestmark = pytest.mark.xdist_group("rig")
 
 CUSTODY = "[custody]\n"
-STRICT = '[custody]\nlost = "refuse"\n'          # on a machine that is slow to answer, too
+# Jobs without custody are refused, even if a slow machine delays the custodians.
+STRICT = '[custody]\nlost = "refuse"\n'
 
 
 @pytest.mark.parametrize("start", STARTS)
-def test_no_order_of_loss_kills_and_rests_runs_a_job_twice(start: str) -> None:
+def test_no_order_of_loss_kills_and_pauses_runs_a_job_twice(start: str) -> None:
     assert explored(3, lambda: World(start)) > 300
 
 
-class NoFence(HolderSession):
+class IgnoresLease(HolderSession):
     def may_send(self, now: float) -> bool:
         return True
 
 
-class LongLease(HolderSession):
-    def count_kept(self, custodian: int, word: Reply | None) -> bool | None:
-        good = super().count_kept(custodian, word)
-        if good:
+class ExtendsLease(HolderSession):
+    def count_kept(self, custodian: int, reply: Reply | None) -> bool | None:
+        stored = super().count_kept(custodian, reply)
+        if stored:
             self.lease_until = self.asked_at + 3 * LEASE_MS
-        return good
+        return stored
 
 
 class VotesTwice(Custodian):
-    def _claim(self, now: float, c: Claim) -> Reply:
-        word, slot = super()._claim(now, c), self.keys[c.key]
-        if word.kind in (ReplyKind.SUPERSEDED, ReplyKind.BUSY):
-            slot.term, slot.holder, slot.start, slot.last_heard_at = c.term, c.claimant, c.start, now
-            return Reply(ReplyKind.GIVEN, c.term, 0.0, self.current_record(now, slot))
-        return word
+    def _claim(self, now: float, claim: Claim) -> Reply:
+        reply, job = super()._claim(now, claim), self.keys[claim.key]
+        if reply.kind in (ReplyKind.SUPERSEDED, ReplyKind.BUSY):
+            job.term, job.holder, job.start, job.last_heard_at = claim.term, claim.claimant, claim.start, now
+            return Reply(ReplyKind.GIVEN, claim.term, 0.0, self.current_record(now, job))
+        return reply
 
 
-class AnyTerm(Custodian):
-    def _keep(self, now: float, r: Record) -> Reply:
-        slot = self.keys.get(r.key)
+class AcceptsAnyTerm(Custodian):
+    def _keep(self, now: float, record: Record) -> Reply:
+        job = self.keys.get(record.key)
         return (
-            Reply(ReplyKind.KEPT, r.term)
-            if slot is not None and r.term < slot.term
-            else super()._keep(now, r)
+            Reply(ReplyKind.KEPT, record.term)
+            if job is not None and record.term < job.term
+            else super()._keep(now, record)
         )
 
 
-class NeverNew(Custodian):
-    def __init__(self, number: int, now: float, keep_ms: float, most_bytes: int) -> None:
-        super().__init__(number, now - 1e9, keep_ms, most_bytes)
+class IgnoresRestart(Custodian):
+    def __init__(self, number: int, now: float, keep_ms: float, max_bytes: int) -> None:
+        super().__init__(number, now - 1e9, keep_ms, max_bytes)
 
 
 def of(kind: type[Custodian]) -> dict[str, Any]:
@@ -88,12 +89,13 @@
 
 
 @pytest.mark.parametrize(("start", "fault"), [
-    ("about to send, and taken over", {"hand": NoFence}),
-    ("about to send, and taken over", {"hand": LongLease}),
-    ("claimed", of(VotesTwice)), ("two claims", of(AnyTerm)), ("sent and long away", of(NeverNew)),
-    ("sent and long away", {"careless": "sends first"}), ("answered", {"careless": "passes on"}),
+    ("about to send, and taken over", {"hand": IgnoresLease}),
+    ("about to send, and taken over", {"hand": ExtendsLease}),
+    ("claimed", of(VotesTwice)), ("two claims", of(AcceptsAnyTerm)),
+    ("sent and long away", of(IgnoresRestart)), ("sent and long away", {"careless": "sends first"}),
+    ("answered", {"careless": "passes on"}),
     ("sent and away", {"careless": "forgets"})])
-def test_the_model_finds_each_fault_put_in(start: str, fault: dict[str, Any]) -> None:
+def test_the_exploration_finds_each_seeded_fault(start: str, fault: dict[str, Any]) -> None:
     with pytest.raises(FoundError, match="ran 2 times|two holders|another was told"):
         explored(4, lambda: World(start, **fault))
 
@@ -106,7 +108,7 @@
     return Record(5, 1, term, step, 7, 1, state, **(values | more))
 
 
-def test_a_custodian_gives_a_higher_term_only_once_the_holder_is_lost() -> None:
+def test_a_custodian_grants_a_higher_term_only_once_the_holder_is_lost() -> None:
     c, now = Custodian(0, -1e6, KEEP_MS, 1 << 20), 0.0
     assert c.handle(now, Claim(5, 1, 1, 7, 1, False)).kind is ReplyKind.GIVEN
     assert c.handle(now, Keep(record(1, 1))).kind is ReplyKind.KEPT
@@ -127,18 +129,19 @@
     c = Custodian(0, -1e6, KEEP_MS, 1 << 20)
     c.handle(0.0, Claim(5, 1, 1, 7, 100, False))
     c.handle(0.0, Keep(Record(5, 1, 1, 1, 7, 100, JobState.SENT, 4000.0)))
-    c.handle(1.0, Claim(6, 1, 1, 7, 200, False))                 # it asks for another job, as another process
+    # A claim for another job shows that the holder is another process now.
+    c.handle(1.0, Claim(6, 1, 1, 7, 200, False))
     assert c.handle(2.0, Claim(5, 1, 2, 8, 1, False)).kind is ReplyKind.GIVEN
 
 
-def test_a_new_custodian_votes_on_first_tries_alone_until_nothing_older_can_be() -> None:
+def test_a_restarted_custodian_votes_only_on_first_tries_until_its_retention_time_has_passed() -> None:
     c = Custodian(0, 0.0, KEEP_MS, 1 << 20)
     assert c.handle(1.0, Claim(5, 1, 1, 7, 1, False)).kind is ReplyKind.UNSURE
     assert c.handle(1.0, Claim(6, 1, 1, 7, 1, True)).kind is ReplyKind.GIVEN
     assert c.handle(KEEP_MS, Claim(5, 1, 1, 7, 1, False)).kind is ReplyKind.GIVEN
 
 
-def test_what_there_is_no_room_for_is_told_and_what_is_over_is_forgotten() -> None:
+def test_records_beyond_the_memory_limit_are_refused_and_old_ones_are_forgotten() -> None:
     c = Custodian(0, -1e6, KEEP_MS, 4 * cu.RECORD_OVERHEAD_BYTES)
     body = cu.Content("r", b"POST", b"/", (), b"x" * 2000, "s", "p", "c", 1.0, 0, 1)
     assert c.handle(0.0, Claim(5, 1, 1, 7, 1, False)).kind is ReplyKind.GIVEN
@@ -153,7 +156,7 @@
     assert not c.keys and c.size == 0
 
 
-def test_groups_are_even_and_lie_in_different_zones() -> None:
+def test_groups_are_spread_evenly_and_over_different_zones() -> None:
     zones = {i: "abc"[i % 3] for i in range(9)}
     members: Counter[int] = Counter()
     for key in range(600):
@@ -168,14 +171,15 @@
 
 
 class Racks:
-    """What ran at the nodes of a yard, each in a rack that drops repeats."""
+    """Counts what runs at the nodes of a yard; each node is in a rack that suppresses repeated keys."""
 
     def __init__(self, yard: Yard, work: float, racks: int = 8) -> None:
         self.ran: Counter[str] = Counter()
         self.reached: Counter[str] = Counter()
-        self.known: dict[tuple[int, str], bytes] = {}
+        self.answers: dict[tuple[int, str], bytes] = {}
         self.work = work
-        self.gate = asyncio.Event()            # until it is set nothing is answered
+        # Nothing is answered until it is set.
+        self.gate = asyncio.Event()
         self.gate.set()
         for i, node in enumerate(yard.nodes):
             node.cell = i % racks
@@ -185,17 +189,17 @@
         async def reply(headers: dict[str, str], body: bytes) -> bytes:
             key = headers["idempotency-key"]
             self.reached[key] += 1
-            if (cell, key) not in self.known:
+            if (cell, key) not in self.answers:
                 self.ran[key] += 1
-                self.known[cell, key] = http(200, b"done " + headers["x-correlation-id"].encode())
+                self.answers[cell, key] = http(200, b"done " + headers["x-correlation-id"].encode())
             await self.gate.wait()
             await asyncio.sleep(self.work)
-            return self.known[cell, key]
+            return self.answers[cell, key]
         return reply
 
 
 class Orders:
-    """Submitters of orders, one key each."""
+    """Clients that submit orders, with a key for each order."""
 
     def __init__(self, yard: Yard) -> None:
         self.yard, self.keys = yard, 0
@@ -215,9 +219,9 @@
             return 0, b""
         return status, answer
 
-    async def patient(self, limiter: int, key: str, number: int, repeat: bool = True,
+    async def order_with_retries(self, limiter: int, key: str, number: int, repeat: bool = True,
                       body: bytes = b"") -> tuple[int, bytes]:
-        """The same again where nothing of it was sent, as on a machine that is slow to answer."""
+        """Repeat an order as long as it is refused unsent, which may happen on a slow machine."""
         status, answer, until = 503, b"", time.monotonic() + 6.0
         while status == 503 and time.monotonic() < until:
             status, answer = await self.order(limiter, key, number, repeat, body)
@@ -239,8 +243,10 @@
 
 
 async def killed(yard: Yard, nodes: Racks, orders: Orders) -> dict[str, int]:
-    """Forty orders at one limiter, which is killed with them in hand; each that it had comes back by another.
-    How those ended."""
+    """Kill a limiter that holds forty orders, and repeat each order at another limiter.
+
+    Returns the status of the repeated orders by key.
+    """
     keys = [f"{i:032x}" for i in range(40)]
     nodes.gate.clear()
     tasks = [asyncio.ensure_future(orders.order(0, key, i)) for i, key in enumerate(keys)]
@@ -251,7 +257,7 @@
     nodes.gate.set()
     broken = [key for key, (status, _) in zip(keys, await asyncio.gather(*tasks), strict=True) if not status]
     assert len(broken) >= 20, "it had them in hand"
-    again = [orders.patient(1 + i % 3, key, 100 + i) for i, key in enumerate(broken)]
+    again = [orders.order_with_retries(1 + i % 3, key, 100 + i) for i, key in enumerate(broken)]
     return {key: status for key, (status, _) in zip(broken, await asyncio.gather(*again), strict=True)}
 
 
@@ -267,7 +273,7 @@
     held(tmp_path, act, work=0.1, racks=racks, custody=STRICT)
 
 
-def test_without_custody_they_run_twice(tmp_path: Path) -> None:
+def test_without_custody_the_orders_run_twice(tmp_path: Path) -> None:
     async def act(yard: Yard, nodes: Racks, orders: Orders) -> None:
         ends = await killed(yard, nodes, orders)
         assert sum(nodes.ran[key] > 1 for key in ends) > len(ends) / 2
@@ -276,8 +282,8 @@
 
 @pytest.mark.parametrize("step", ["before copy", "before send", "after copy", "after send", "answer read",
                                   "answer kept", "answer passed on"])
-def test_a_holder_that_dies_at_any_step_leaves_the_job_to_others(tmp_path: Path, step: str) -> None:
-    """What it had passed on stays what it was; what it had not is finished, and runs once."""
+def test_a_job_runs_once_if_its_holder_dies_at_any_step(tmp_path: Path, step: str) -> None:
+    """An answer already passed on does not change; any other job is finished by others and runs once."""
     async def act(yard: Yard, nodes: Racks, orders: Orders) -> None:
         first, _ = await orders.order(0, "a" * 32, 1)
         assert first == (200 if step == "answer passed on" else 0)
@@ -287,11 +293,13 @@
     held(tmp_path, act, work=0.1, environment={"LARKLB_FAULT": f"{step}:1"})
 
 
-def test_one_that_was_stopped_past_its_lease_sends_nothing_when_it_wakes(tmp_path: Path) -> None:
-    """It is stopped before its job has left: nodes are full.  Another finishes it; the one that wakes has an
-    answer for its submitter at once, and sends nothing."""
+def test_a_holder_that_was_stopped_past_its_lease_sends_nothing_when_resumed(tmp_path: Path) -> None:
+    """The holder is stopped with a job in hand, and another limiter finishes the job.
+
+    The resumed holder answers its client at once and sends nothing.
+    """
     async def act(yard: Yard, nodes: Racks, orders: Orders) -> None:
-        mine = asyncio.ensure_future(orders.order(0, "b" * 32, 1))
+        first_try = asyncio.ensure_future(orders.order(0, "b" * 32, 1))
         await asyncio.sleep(0.25)
         process = yard.limiters[0].process
         assert process is not None
@@ -302,13 +310,13 @@
         reached = nodes.reached["b" * 32]
         process.send_signal(signal.SIGCONT)
         woke = time.monotonic()
-        first, given = await mine
+        first, given = await first_try
         assert time.monotonic() - woke < 1.5 and (first == 502 or given == answer)
         assert nodes.reached["b" * 32] == reached and nodes.ran["b" * 32] == 1
     held(tmp_path, act)
 
 
-def test_a_submitter_that_comes_back_through_three_limiters_at_once_joins_its_job(tmp_path: Path) -> None:
+def test_retries_at_three_limiters_at_once_join_the_running_job(tmp_path: Path) -> None:
     async def act(yard: Yard, nodes: Racks, orders: Orders) -> None:
         first = asyncio.ensure_future(orders.order(0, "c" * 32, 1))
         await asyncio.sleep(0.15)
@@ -322,19 +330,19 @@
     held(tmp_path, act, work=0.5)
 
 
-def test_custodians_that_start_anew_in_the_middle_do_not_make_it_run_twice(tmp_path: Path) -> None:
-    """Two of three have forgotten: nobody can say, so a repeated try is turned away, and runs nothing."""
+def test_restarted_custodians_do_not_make_a_job_run_twice(tmp_path: Path) -> None:
+    """With two of three custodians restarted nobody can vote, so that a repeated try is refused unsent."""
     async def act(yard: Yard, nodes: Racks, orders: Orders) -> None:
         key = cu.key_of(f"{7:016x}", "place-order", b"e" * 32)
         group = cu.group_of(key, 4)
         holder = next(i for i in range(4) if i not in group)
         nodes.gate.clear()
-        mine = asyncio.ensure_future(orders.order(holder, "e" * 32, 1))
+        first_try = asyncio.ensure_future(orders.order(holder, "e" * 32, 1))
         await asyncio.sleep(0.25)
         await asyncio.gather(*(yard.limiters[i].stop(signal.SIGKILL) for i in group[:2]))
         await asyncio.gather(*(yard.limiters[i].start() for i in group[:2]))
         await yard.limiters[holder].stop(signal.SIGKILL)
-        assert (await mine)[0] == 0
+        assert (await first_try)[0] == 0
         status, _ = await orders.order(group[0], "e" * 32, 2, repeat=True)
         assert status == 503 and nodes.ran["e" * 32] == 1
         nodes.gate.set()
@@ -343,7 +351,7 @@
 
 
 async def inherited(yard: Yard, but: set[int]) -> int:
-    """The limiter that has taken over a job."""
+    """Return the limiter that has taken over a job."""
     for _ in range(200):
         for limiter in yard.limiters:
             if limiter.number not in but and (await limiter.counters()).get("custody.inherited"):
@@ -353,25 +361,25 @@
 
 
 @pytest.mark.parametrize("how", [signal.SIGKILL, signal.SIGTERM])
-def test_an_heir_that_ends_in_the_middle_has_an_heir_or_finishes(tmp_path: Path, how: signal.Signals) -> None:
-    """Killed, the next custodian goes on; told to stop, it finishes what it took over, and exits with 0."""
+def test_a_job_survives_the_end_of_its_successor(tmp_path: Path, how: signal.Signals) -> None:
+    """If killed, the next custodian goes on; if terminated, it finishes the job and exits with 0."""
     async def act(yard: Yard, nodes: Racks, orders: Orders) -> None:
         key = cu.key_of(f"{7:016x}", "place-order", b"a" * 32)
         holder = next(i for i in range(5) if i not in cu.group_of(key, 5))
-        mine = asyncio.ensure_future(orders.order(holder, "a" * 32, 1))
+        first_try = asyncio.ensure_future(orders.order(holder, "a" * 32, 1))
         await asyncio.sleep(0.3)
         await yard.limiters[holder].stop(signal.SIGKILL)
-        assert (await mine)[0] == 0
+        assert (await first_try)[0] == 0
         heir = await inherited(yard, {holder})
         status = await yard.limiters[heir].stop(how)
         assert status == (0 if how == signal.SIGTERM else -signal.SIGKILL)
         other = next(i for i in range(5) if i not in (holder, heir))
-        back, answer = await orders.patient(other, "a" * 32, 2)
+        back, answer = await orders.order_with_retries(other, "a" * 32, 2)
         assert (back, answer) == (200, b"done " + b"%016x" % 1) and nodes.ran["a" * 32] == 1
     held(tmp_path, act, work=0.9, limiters=5)
 
 
-def test_the_use_of_an_order_that_was_taken_over_is_counted_once(tmp_path: Path) -> None:
+def test_the_use_of_a_taken_over_order_is_counted_once(tmp_path: Path) -> None:
     async def act(yard: Yard, nodes: Racks, orders: Orders) -> None:
         ends = await killed(yard, nodes, orders)
         assert set(ends.values()) == {200}
@@ -383,10 +391,11 @@
     held(tmp_path, act, work=0.1, custody=STRICT + '[state]\nfolder = "var"\n[ledger]\n')
 
 
-def test_where_there_is_no_room_for_records_orders_are_served_without_custody(tmp_path: Path) -> None:
+def test_orders_are_served_without_custody_if_records_do_not_fit_in_memory(tmp_path: Path) -> None:
     async def act(yard: Yard, nodes: Racks, orders: Orders) -> None:
         body = b"x" * 3000
-        ends = await asyncio.gather(*(orders.patient(i % 4, f"{i:032x}", i, False, body) for i in range(60)))
+        ends = await asyncio.gather(*(
+            orders.order_with_retries(i % 4, f"{i:032x}", i, False, body) for i in range(60)))
         assert {status for status, _ in ends} == {200} and set(nodes.ran.values()) == {1}
         counts: Counter[str] = Counter()
         for limiter in yard.limiters:
@@ -395,7 +404,7 @@
     held(tmp_path, act, work=0.1, custody="[custody]\nmost_mb = 0.01\n")
 
 
-def test_what_is_no_question_of_a_limiter_is_closed_and_costs_nothing_else(tmp_path: Path) -> None:
+def test_malformed_custody_messages_only_close_their_connection(tmp_path: Path) -> None:
     async def act(yard: Yard, nodes: Racks, orders: Orders) -> None:
         for sent in (b"\x00\x00\x00\x05hello", b"\xff\xff\xff\xff", b"GET / HTTP/1.1\r\n\r\n",
                      b"\x00\x00\x01", b"\x00\x00\x00\x09half"):
@@ -408,35 +417,37 @@
     held(tmp_path, act, work=0.05)
 
 
-def test_a_reload_in_the_middle_changes_nothing_for_a_job_in_hand(tmp_path: Path) -> None:
+def test_a_reload_does_not_affect_a_running_job(tmp_path: Path) -> None:
     async def act(yard: Yard, nodes: Racks, orders: Orders) -> None:
-        mine = asyncio.ensure_future(orders.order(0, "a" * 32, 1))
+        first_try = asyncio.ensure_future(orders.order(0, "a" * 32, 1))
         await asyncio.sleep(0.2)
         for limiter in yard.limiters:
             assert limiter.process is not None
             limiter.process.send_signal(signal.SIGHUP)
         await asyncio.sleep(0.1)
         back = await orders.order(1, "a" * 32, 2, repeat=True)
-        assert back == await mine and back[0] == 200 and nodes.reached["a" * 32] == 1
+        assert back == await first_try and back[0] == 200 and nodes.reached["a" * 32] == 1
     held(tmp_path, act)
 
 
-def test_a_holder_that_is_cut_off_and_one_that_takes_over_do_not_both_send(tmp_path: Path) -> None:
-    """Cut off from all others with an order in hand, whose submitter comes back on either side: the holder
-    answers its own, the others finish it, and the node's rack sees one execution."""
+def test_a_partitioned_holder_and_its_successor_do_not_both_send(tmp_path: Path) -> None:
+    """A holder is partitioned with an order in hand, and the client retries on both sides.
+
+    The holder answers its own client, the others finish the order, and the rack of the node runs it once.
+    """
     day = script.Script(words="", length=1.0, nodes=3, work=900.0, loss=0.0, operator=CUSTODY)
 
     async def go() -> None:
         async with Rig(day, tmp_path, 1) as rig:
             orders = Orders(rig.yard)
-            mine = asyncio.ensure_future(orders.order(0, "a" * 32, 1))
+            first_try = asyncio.ensure_future(orders.order(0, "a" * 32, 1))
             waits = asyncio.ensure_future(orders.order(0, "b" * 32, 2))
             await asyncio.sleep(0.35)
             cut = script.Fault(at=0.0, what="apart", who=("n0",), to=("n1", "n2", "n3", "n4", "n5"))
             heal = await rig._begin(cut)
-            there = asyncio.ensure_future(orders.patient(3, "a" * 32, 3))
+            there = asyncio.ensure_future(orders.order_with_retries(3, "a" * 32, 3))
             here = asyncio.ensure_future(orders.order(0, "b" * 32, 4, repeat=True))
-            ends = [status for status, _ in await asyncio.gather(mine, waits, there, here)]
+            ends = [status for status, _ in await asyncio.gather(first_try, waits, there, here)]
             heal()
             assert ends[2] == 200 and set(ends) <= {200, 502, 503}, ends
             assert not rig.cells.twice()
@@ -446,11 +457,11 @@
     asyncio.run(go())
 
 
-def test_an_operator_sees_who_has_a_job_and_who_keeps_it(tmp_path: Path) -> None:
+def test_operators_see_the_holder_and_the_custodians_of_a_job(tmp_path: Path) -> None:
     async def act(yard: Yard, nodes: Racks, orders: Orders) -> None:
         operator = str(yard.operator())
         nodes.gate.clear()
-        mine = asyncio.ensure_future(orders.order(2, "a" * 32, 1))
+        first_try = asyncio.ensure_future(orders.order(2, "a" * 32, 1))
         await asyncio.sleep(0.3)
         status, out = await larklb("fleet", "jobs", operator, "--key", "a" * 32, "--account", f"{7:016x}",
                                    "--class", "place-order", "--json")
@@ -459,7 +470,7 @@
         assert {r["state"] for r in rows} == {"sent"} and sorted(int(r["name"][1:]) for r in rows) == sorted(
             rows[0]["group"])
         nodes.gate.set()
-        assert (await mine)[0] == 200
+        assert (await first_try)[0] == 200
         status, out = await larklb("fleet", "jobs", operator)
         assert status == 0 and out.count("answered") == 3
         assert (await larklb("fleet", "jobs", operator, "--key", "zz"))[0] == 2
@@ -468,7 +479,7 @@
 
 @pytest.mark.parametrize(("text", "limiters"), [("[custody]\nkeep_s = 5.0\n", 4), (CUSTODY, 2),
                                                 ('[custody]\nlost = "maybe"\n', 4)])
-def test_custody_that_cannot_hold_is_turned_down_at_the_start(tmp_path: Path, text: str,
+def test_invalid_custody_settings_are_refused_at_the_start(tmp_path: Path, text: str,
                                                               limiters: int) -> None:
     async def go() -> None:
         yard = Yard(tmp_path, limiters, 1, more=text)
@@ -480,7 +491,7 @@
 
 
 @pytest.mark.parametrize("name", ["orders-killed", "orders-half-killed"])
-def test_a_day_of_kills_stops_and_cuts_runs_no_order_twice(tmp_path: Path, name: str) -> None:
+def test_kills_stops_and_partitions_run_no_order_twice(tmp_path: Path, name: str) -> None:
     day = script.load(name)
 
     async def go() -> None:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,8 +1,7 @@
-"""An instance in a process that may do less: the fleet's filter, as the standing fleet test describes it.
+"""An instance in a restricted process: child programs, fork, sendfile, splice and Unix sockets are refused.
 
-There, starting programs, fork, sendfile and splice are refused, and no Unix socket is reached.  The shim
-below refuses the same from inside Python at the start of the process, and says each refusal on stderr, so
-that a test can tell that the path was tried and not merely left out.
+The shim below refuses these calls from inside Python at the start of the process.  It prints each refusal to
+stderr, so that a test can tell that the call was attempted and not merely skipped.
 """
 
 from __future__ import annotations
@@ -43,9 +42,11 @@
 '''
 
 
-def test_an_instance_serves_where_no_unix_socket_is_reached_and_nothing_forks(tmp_path: Path) -> None:
-    """With a second address, the instance would meet the process before it at a Unix socket: refused, it
-    serves alone, said in one line, and a job is served as anywhere else."""
+def test_an_instance_serves_without_unix_sockets_and_fork(tmp_path: Path) -> None:
+    """With a second address, an instance contacts its predecessor at a Unix socket.
+
+    If that is refused, it logs one line, starts without the handover, and serves jobs as usual.
+    """
     (tmp_path / "shim").mkdir()
     (tmp_path / "shim" / "sitecustomize.py").write_text(textwrap.dedent(SHIM))
 
@@ -68,9 +69,12 @@
     asyncio.run(go())
 
 
-def test_a_start_sends_nothing_to_a_node_that_began_to_drain_after_its_configuration(tmp_path: Path) -> None:
-    """At a restart the configuration's list may be seconds old: the one node in it has begun to drain since,
-    and discovery answers late.  A job that comes at once must not reach that node."""
+def test_a_start_sends_nothing_to_a_node_that_drains_since_the_configuration(tmp_path: Path) -> None:
+    """At a restart the server list of the configuration may be some seconds old.
+
+    The only node in it has begun to drain since, and discovery answers late; a job that arrives at once must
+    not reach that node.
+    """
     async def go() -> None:
         yard = Yard(tmp_path, nodes=1)
         yard.discovery.tell(2, yard.nodes[0].entry("draining"))
@@ -82,8 +86,8 @@
     asyncio.run(go())
 
 
-def test_the_build_leaves_byte_code_of_the_sources_as_they_are(tmp_path: Path) -> None:
-    """Who runs an instance cannot write beside them: what is not compiled is compiled anew at each start."""
+def test_the_build_leaves_current_byte_code(tmp_path: Path) -> None:
+    """The user of an instance cannot write byte code, so stale code would be recompiled at each start."""
     build = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["build"]
     (tmp_path / ".venv" / "bin").mkdir(parents=True)
     (tmp_path / ".venv" / "bin" / "python").symlink_to(sys.executable)
@@ -93,7 +97,8 @@
     source, compiled = tmp_path / "larklb" / "part.py", []
     for at, text in enumerate(("A = 1\n", "A = 23\n")):
         source.write_text(text)
-        os.utime(source, (1e9 + at, 1e9 + at))             # compiled code is told apart by whole seconds
+        # Byte code is invalidated by the modification time in whole seconds.
+        os.utime(source, (1e9 + at, 1e9 + at))
         subprocess.run(["sh", "-c", build], cwd=tmp_path, check=True, timeout=60)
         compiled.append(Path(importlib.util.cache_from_source(str(source))).read_bytes())
     assert compiled[0] != compiled[1]
--- a/tests/test_fleet_decisions.py
+++ b/tests/test_fleet_decisions.py
@@ -1,4 +1,4 @@
-"""What limiters decide together, without any input or output: pace, reach, verdicts, members."""
+"""Decisions that limiters reach together, without I/O: pacing, server subsets, verdicts and members."""
 
 from __future__ import annotations
 
@@ -25,10 +25,10 @@
 INBOX, TICK, AIM, HALF = 60.0, 4.0, 1500.0, 4000.0
 
 
-# Pace -------------------------------------------------------------------------------------
+# Pacing -----------------------------------------------------------------------------------
 
 
-def test_seldom_words_wait_for_nothing_though_many_are_heard() -> None:
+def test_infrequent_messages_are_not_delayed_with_many_senders() -> None:
     pace, now = PeerPacer(INBOX, TICK, AIM), 0.0
     for _ in range(40):
         assert pace.next_send_at(now, 1, senders=14) == now
@@ -37,36 +37,37 @@
 
 
 @pytest.mark.parametrize("senders", [2, 5, 14, 40])
-def test_an_inbox_holds_what_all_send_at_their_most(senders: int) -> None:
-    """Each of them has a word at every moment, and hears the allowance late and not always."""
+def test_all_senders_at_their_maximum_do_not_overflow_an_inbox(senders: int) -> None:
+    """Each sender always has a message, and receives allowances late and not always."""
     chance = random.Random(senders)
     receiver = PeerPacer(INBOX, TICK, AIM)
     paces = [PeerPacer(INBOX, TICK, AIM) for _ in range(senders)]
-    came: list[float] = []
-    told: list[tuple[float, int, float]] = []
+    arrivals: list[float] = []
+    allowances: list[tuple[float, int, float]] = []
     for now in range(0, 20000, 4):
         for i, pace in enumerate(paces):
             if pace.next_send_at(float(now), 0, senders) <= now:
                 pace.record_sent(float(now), 0, senders)
                 receiver.record_arrival(float(now), i)
-                came.append(float(now))
+                arrivals.append(float(now))
                 if chance.random() < 0.9:
-                    told.append((now + chance.uniform(2.0, 78.0), i, receiver.allowance(float(now), i)))
-        for at, i, allowed in [t for t in told if t[0] <= now]:
+                    allowances.append((now + chance.uniform(2.0, 78.0), i, receiver.allowance(float(now), i)))
+        for at, i, allowed in [a for a in allowances if a[0] <= now]:
             paces[i].record_allowance(at, 0, allowed)
-        told = [t for t in told if t[0] > now]
-    seconds = [sum(s <= t < s + 1000 for t in came) for s in range(0, 20000, 1000)]
+        allowances = [a for a in allowances if a[0] > now]
+    seconds = [sum(s <= t < s + 1000 for t in arrivals) for s in range(0, 20000, 1000)]
     assert seconds[0] <= INBOX * INBOX_FRACTION * 2 + senders, "before the first allowances have come"
     assert max(seconds[3:]) <= INBOX and min(seconds[3:]) >= 0.4 * INBOX, seconds
 
 
-def test_one_who_has_much_to_say_may_use_what_the_others_leave() -> None:
+def test_a_busy_sender_may_use_the_capacity_that_others_leave() -> None:
     busy, receiver = PeerPacer(INBOX, TICK, AIM), PeerPacer(INBOX, TICK, AIM)
     sent = 0
     for now in range(0, 10000, 4):
         for i in range(1, 15):
             if now % 1000 == i * 60:
-                receiver.record_arrival(float(now), i)            # one a second of each of the others
+                # One message a second from each of the others.
+                receiver.record_arrival(float(now), i)
         if busy.next_send_at(float(now), 0, senders=14) <= now:
             busy.record_sent(float(now), 0, senders=14)
             receiver.record_arrival(float(now), 0)
@@ -75,7 +76,7 @@
     assert sent / 10.0 > 2 * INBOX * INBOX_FRACTION / 14
 
 
-def test_an_allowance_that_was_told_long_ago_counts_no_more() -> None:
+def test_an_allowance_expires() -> None:
     pace = PeerPacer(INBOX, TICK, AIM)
     pace.record_allowance(0.0, 1, 40.0)
     assert pace.rate(1000.0, 1, senders=14) == 40.0
@@ -83,7 +84,7 @@
     assert pace.reports_allowance(1) and not pace.reports_allowance(2)
 
 
-def test_a_lost_ask_goes_again_as_soon_as_its_answer_is_overdue() -> None:
+def test_a_request_is_retried_once_its_answer_is_overdue() -> None:
     pace, now = PeerPacer(INBOX, TICK, AIM), 0.0
     first = pace.start_request(now, 0, 1, 525.0)
     pace.record_answer(now + 40.0, 0)
@@ -106,8 +107,8 @@
     assert not pace.peers and not pace.pending and not pace.inbox_by_peer
 
 
-def test_who_hears_nobody_any_more_waits_for_no_answer() -> None:
-    """Before, each job of a limiter that was cut off waited for the patience of an ask of its own."""
+def test_a_limiter_that_is_cut_off_does_not_wait_for_answers() -> None:
+    """Each job of a limiter that was cut off used to wait for the timeout of a request of its own."""
     pace, now = PeerPacer(INBOX, TICK, AIM), 0.0
     for n in range(1000):
         now += 40.0
@@ -125,7 +126,7 @@
     assert not lonely.is_cut_off(5000.0), "who seldom hears a word misses none"
 
 
-# Reach ------------------------------------------------------------------------------------
+# Subsets ----------------------------------------------------------------------------------
 
 
 def coverage(limiters: int, servers: int, seed: int = 1) -> list[int]:
@@ -139,7 +140,7 @@
 
 
 @pytest.mark.parametrize(("limiters", "servers"), [(12, 40), (60, 60), (200, 106), (200, 200), (500, 150)])
-def test_every_server_is_covered_and_none_gets_more_than_its_part(limiters: int, servers: int) -> None:
+def test_the_subsets_cover_all_servers_evenly(limiters: int, servers: int) -> None:
     count = coverage(limiters, servers)
     mean = sum(count) / servers
     assert min(count) >= min(MIN_LIMITERS_PER_SERVER, limiters) * 0.6 and max(count) <= 1.4 * mean + 1, (
@@ -149,12 +150,12 @@
 
 
 @pytest.mark.parametrize("limiters", [1, 3, MIN_LIMITERS_PER_SERVER])
-def test_in_a_small_fleet_each_sends_to_all(limiters: int) -> None:
+def test_in_a_small_fleet_each_limiter_sends_to_all_servers(limiters: int) -> None:
     assert coverage(limiters, 50) == [limiters] * 50
 
 
 @pytest.mark.parametrize(("limiters", "servers"), [(1, 5), (3, 40), (9, 7), (60, 60), (200, 106), (500, 150)])
-def test_the_parts_of_what_a_cold_server_stands_make_up_the_whole(limiters: int, servers: int) -> None:
+def test_the_shares_of_a_cold_server_add_up_to_its_capacity(limiters: int, servers: int) -> None:
     digests = random.Random(3).sample(range(1, 65536), servers)
     whole = [0.0] * servers
     for i in range(limiters):
@@ -166,7 +167,7 @@
     assert whole == pytest.approx([1.0] * servers)
 
 
-def test_a_server_that_goes_moves_at_most_two_of_a_reach() -> None:
+def test_a_removed_server_changes_at_most_two_entries_of_a_subset() -> None:
     digests = random.Random(2).sample(range(1, 65536), 100)
     for i in range(200):
         reach = Reach(i, 200)
@@ -177,7 +178,7 @@
             assert len(after - before) <= 2
 
 
-def test_the_reach_follows_traffic_up_at_once_and_down_late() -> None:
+def test_the_subset_grows_at_once_and_shrinks_late() -> None:
     reach, now = Reach(3, 200), 0.0
     assert reach.needed_size(100) == MIN_SERVERS
     for _ in range(100):
@@ -201,11 +202,12 @@
     return Finding(subject, topic, slow, age, observer, stamp)
 
 
-def test_one_observer_condemns_nobody_and_two_do() -> None:
+def test_a_verdict_takes_two_other_observers() -> None:
     v = Verdicts(0, 20, HALF)
     for stamp in range(100, 120):
         v.receive(0.0, 1, finding(1, 12.0, stamp))
-        v.receive(0.0, 2, finding(1, 12.0, stamp))           # by a roundabout way: still one observer
+        # Relayed by another limiter, it is still the finding of one observer.
+        v.receive(0.0, 2, finding(1, 12.0, stamp))
     assert v.verdict(0.0, 7, 1) == 1.0
     v.record_evidence(0.0, 7, 1, 12.0)
     assert v.verdict(0.0, 7, 1) == 1.0, "one's own evidence is no word of others"
@@ -215,13 +217,13 @@
     assert v.verdict(0.0, 7, 2) == 1.0, "a node that fails for one class fails for that class"
 
 
-def test_in_a_fleet_of_three_the_word_of_one_counts() -> None:
+def test_in_a_fleet_of_three_one_observer_suffices() -> None:
     v = Verdicts(0, 3, HALF)
     v.receive(0.0, 1, finding(1))
     assert v.verdict(0.0, 7, 1) == 8.0
 
 
-def test_loss_repeats_and_order_leave_the_same_verdict() -> None:
+def test_duplicates_and_order_do_not_change_a_verdict() -> None:
     news = [finding(1, 8.0, 100), finding(1, 1.0, 105), finding(2, 6.0, 101), finding(3, 9.0, 102),
             finding(3, 4.0, 104)]
     found = set()
@@ -233,10 +235,11 @@
     assert found == {(4.0, ((1, 105), (2, 101), (3, 104)))}
 
 
-def test_a_former_incarnation_is_not_heard_and_stamps_wrap() -> None:
+def test_findings_of_a_former_incarnation_are_ignored_and_stamps_wrap() -> None:
     v = Verdicts(0, 20, HALF)
     v.receive(0.0, 1, finding(1, 1.0, 5))
-    v.receive(0.0, 2, finding(1, 12.0, 65500))               # what it said before: an old process that woke
+    # An older stamp: a delayed finding, or an old process that was stopped and resumed.
+    v.receive(0.0, 2, finding(1, 12.0, 65500))
     v.receive(0.0, 2, finding(2, 12.0, 5))
     assert v.verdict(0.0, 7, 1) == 1.0
     assert is_newer_stamp(5, 65500) and not is_newer_stamp(65500, 5) and not is_newer_stamp(5, 5)
@@ -244,7 +247,7 @@
     assert 0 not in v.findings[7, 1], "of one's own former self"
 
 
-def test_what_as_many_have_found_good_since_is_void() -> None:
+def test_later_good_findings_of_a_quorum_void_bad_ones() -> None:
     v = Verdicts(0, 20, HALF)
     for observer in (1, 2, 3):
         v.receive(1000.0, observer, finding(observer, 12.0, 100, age=500.0))
@@ -257,13 +260,13 @@
     assert v.verdict(1400.0, 7, 1) > BAD_SLOWNESS, "and it failed again"
 
 
-def test_an_observer_that_finds_all_bad_doubts_itself_and_takes_back_what_it_told() -> None:
+def test_an_observer_that_finds_most_subjects_bad_retracts_its_findings() -> None:
     v = Verdicts(0, 20, HALF)
     for subject in range(10):
         v.record_evidence(float(subject), subject, 1, 12.0)
     assert all(here[0].slowness < BAD_SLOWNESS for here in v.findings.values())
-    told = list(v.findings_for(10.0, 5, 20))
-    assert told and all(f.slowness < BAD_SLOWNESS for f in told)
+    sent = list(v.findings_for(10.0, 5, 20))
+    assert sent and all(f.slowness < BAD_SLOWNESS for f in sent)
     sure = Verdicts(0, 20, HALF)
     for subject in range(10):
         sure.record_evidence(float(subject), subject, 1, 12.0 if subject in (3, 5) else 1.0)
@@ -271,7 +274,7 @@
     assert SELF_SUSPICION_MIN_SUBJECTS > 2, "two bad nodes that were looked at alone are no reason to doubt"
 
 
-def test_a_finding_is_told_to_each_peer_once_and_to_so_many_messages() -> None:
+def test_a_finding_is_sent_once_to_a_peer_and_in_a_limited_number_of_messages() -> None:
     v = Verdicts(0, 200, HALF)
     v.receive(0.0, 9, finding(3))
     assert not list(v.findings_for(0.0, 9, 6)) and not list(v.findings_for(0.0, 3, 6)), "they know"
@@ -282,8 +285,8 @@
     assert [f.stamp for f in v.findings_for(0.0, 199, 6)] == [101]
 
 
-def test_in_a_small_fleet_a_finding_is_done_with_once_all_know_it() -> None:
-    """It stayed with each of four limiters for half a minute, and was gone through with each message."""
+def test_in_a_small_fleet_a_finding_is_not_sent_once_all_have_it() -> None:
+    """It used to stay queued for half a minute, and was checked again for each message."""
     v = Verdicts(0, 4, HALF)
     v.record_evidence(0.0, 7, 1, 12.0)
     v.receive(0.0, 2, finding(2))
@@ -292,7 +295,7 @@
     assert not list(v.findings_for(0.0, 1, 6)) and not v.unsent and not v.has_severe_unsent(0.0)
 
 
-def test_a_finding_that_stays_bad_is_told_anew_and_its_end_too() -> None:
+def test_a_lasting_bad_finding_is_repeated_and_its_end_is_reported() -> None:
     v = Verdicts(0, 20, HALF)
     stamps: set[int] = set()
     for now in range(0, 4000, 50):
@@ -305,7 +308,7 @@
     assert not v.findings and not v.current and not v.unsent and not v.own_evidence
 
 
-def test_what_is_kept_of_findings_is_bounded() -> None:
+def test_the_number_of_stored_findings_is_bounded() -> None:
     v = Verdicts(0, 500, HALF)
     for subject in range(3 * MAX_SUBJECTS):
         v.receive(0.0, 9, finding(1, 12.0, 1, subject))
@@ -338,7 +341,7 @@
     assert not m.is_silent(now + 10.0, 1)
 
 
-def test_a_limiter_that_hears_nobody_tells_no_one_that_they_are_silent() -> None:
+def test_a_limiter_that_hears_from_nobody_reports_nobody_as_silent() -> None:
     v = Verdicts(0, 20, HALF)
     m = Members(0, 20, {}, v)
     for peer in range(1, 8):
@@ -349,6 +352,7 @@
     alive = Members(0, 20, {4: 200.0}, Verdicts(0, 20, HALF))
     for peer in range(1, 8):
         alive.record_message(400.0, peer)
-    alive.record_no_answer(600.0, 4, 100.0)             # it was heard since it was asked: words get lost
+    # A message arrived after the request was sent, so only messages were lost.
+    alive.record_no_answer(600.0, 4, 100.0)
     alive.record_no_answer(600.0, 3, 100.0)
     assert [f.subject for f in alive.verdicts.findings_for(600.0, 9, 20)] == [3]
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -1,4 +1,4 @@
-"""Slots of the fleet's limits, lent for a time: the model of all orders, the figures, and real processes."""
+"""Leased slots of the fleet limits: exhaustive exploration, unit tests, and runs with real processes."""
 
 from __future__ import annotations
 
@@ -21,71 +21,71 @@
 from tests.conftest import Bed
 from tests.test_usage import larklb
 
-# Six limiters and their nodes keep the time of one process: no other such day may run beside it.
+# Each run times six limiters and their nodes in one process, so that no two of them may run in parallel.
 pytestmark = pytest.mark.xdist_group("rig")
 
 Make = Callable[[int, float], FleetLimits]
 
 
 @pytest.mark.parametrize("start", STARTS)
-def test_no_order_of_words_restarts_and_time_lends_more_than_the_limit(start: str) -> None:
+def test_no_order_of_messages_and_restarts_exceeds_the_limit(start: str) -> None:
     assert explored(3, lambda: World(start)) > 500
 
 
-class Forgetful(Lender):
-    """Lends at once after a start."""
+class LendsAfterRestart(Lender):
+    """Lends at once after a restart."""
 
-    def __init__(self, now: float, over_ms: float, others: int) -> None:
-        super().__init__(now, over_ms, others)
+    def __init__(self, now: float, release_after_ms: float, others: int) -> None:
+        super().__init__(now, release_after_ms, others)
         self.recovering_until = now
 
 
-class Hasty(Lender):
-    """Takes a share to be over while attempts begun under it are out."""
+class IgnoresRunningAttempts(Lender):
+    """Takes a lease to be over while attempts begun under it are in flight."""
 
-    def __init__(self, now: float, over_ms: float, others: int) -> None:
+    def __init__(self, now: float, release_after_ms: float, others: int) -> None:
         super().__init__(now, LEASE_MS, others)
-        self.recovering_until = now + over_ms
+        self.recovering_until = now + release_after_ms
 
 
-class Careless(Lender):
-    """Counts what it told last, though the holder may not have heard it."""
+class CountsLastOfferOnly(Lender):
+    """Reserves only the last offer, although the holder may not have received it."""
 
-    def handle_request(self, now: float, holder: int, want: LeaseRequest, pool: int) -> LeaseReply | None:
-        share = super().handle_request(now, holder, want, pool)
-        if share is not None:
-            grant = self.grants[want.subject][holder]
+    def handle_request(self, now: float, holder: int, request: LeaseRequest, pool: int) -> LeaseReply | None:
+        reply = super().handle_request(now, holder, request, pool)
+        if reply is not None:
+            grant = self.grants[request.subject][holder]
             grant.offers, grant.used = grant.offers[-1:], 0
-        return share
+        return reply
 
 
-class Endless(FleetLimits):
-    """Goes by a share for good."""
+class NeverExpires(FleetLimits):
+    """Keeps a lease forever."""
 
-    def receive_reply(self, now: float, share: LeaseReply) -> None:
-        super().receive_reply(now, share)
-        if share.subject in self.held:
-            self.held[share.subject].expires_at = 1e18
+    def receive_reply(self, now: float, reply: LeaseReply) -> None:
+        super().receive_reply(now, reply)
+        if reply.subject in self.held:
+            self.held[reply.subject].expires_at = 1e18
 
 
-class FromTheAnswer(FleetLimits):
-    """Counts a share from when its answer came."""
+class CountsFromReply(FleetLimits):
+    """Counts a lease from the receipt of the reply."""
 
-    def receive_reply(self, now: float, share: LeaseReply) -> None:
-        super().receive_reply(now, share)
-        held = self.held.get(share.subject)
-        if held is not None and held.adopted == share.number:
+    def receive_reply(self, now: float, reply: LeaseReply) -> None:
+        super().receive_reply(now, reply)
+        held = self.held.get(reply.subject)
+        if held is not None and held.adopted == reply.number:
             held.expires_at = now + LEASE_MS
 
 
-class AnyOrder(FleetLimits):
-    """Goes by whatever came last."""
+class AdoptsAnyReply(FleetLimits):
+    """Adopts whatever reply arrives last."""
 
-    def receive_reply(self, now: float, share: LeaseReply) -> None:
-        held = self.held.get(share.subject)
-        if held is not None and held.adopted != share.number:
-            held.number = share.number
-            super().receive_reply(now, share)
+    def receive_reply(self, now: float, reply: LeaseReply) -> None:
+        held = self.held.get(reply.subject)
+        if held is not None and held.adopted != reply.number:
+            held.number = reply.number
+            super().receive_reply(now, reply)
 
 
 def lending(kind: type[Lender]) -> Make:
@@ -101,16 +101,16 @@
 
 
 @pytest.mark.parametrize(("start", "make"), [
-    ("lent", lending(Forgetful)), ("lent", lending(Careless)), ("lent a while ago", lending(Hasty)),
-    ("lent long ago", holding(Endless)), ("told long ago", holding(FromTheAnswer)),
-    ("told twice", holding(AnyOrder))])
-def test_the_model_finds_each_fault_put_in(start: str, make: Make) -> None:
+    ("lent", lending(LendsAfterRestart)), ("lent", lending(CountsLastOfferOnly)),
+    ("lent a while ago", lending(IgnoresRunningAttempts)), ("lent long ago", holding(NeverExpires)),
+    ("told long ago", holding(CountsFromReply)), ("told twice", holding(AdoptsAnyReply))])
+def test_the_exploration_finds_each_seeded_fault(start: str, make: Make) -> None:
     with pytest.raises(FoundError, match="attempts are out"):
         explored(4, lambda: World(start, make))
 
 
 @pytest.mark.parametrize(("limiters", "most"), [(1, 1), (3, 7), (9, 40), (200, 64), (200, 500)])
-def test_bases_and_what_is_lent_make_up_the_limit(limiters: int, most: int) -> None:
+def test_base_slots_and_lent_slots_add_up_to_the_limit(limiters: int, most: int) -> None:
     of = [FleetLimits(i, limiters, 0.0, LONGEST, most) for i in range(limiters)]
     for node in (1, 777, 65535):
         bases = [x.base(node, x.number) for x in of]
@@ -119,16 +119,17 @@
         assert len({x.lender_of(node) for x in of}) == 1
 
 
-def test_shares_follow_demand_and_are_lent_anew_once_a_holder_is_lost() -> None:
+def test_slots_follow_demand_and_those_of_a_lost_holder_are_lent_again() -> None:
     lender, at = Lender(-1e6, LEASE_MS + LONGEST, 3), 0.0
     first = lender.handle_request(at, 1, LeaseRequest(5, 1, 0, 0, 0, 30), 30)
     assert first is not None and first.slots == 30
-    for _ in range(6):                        # two who want alike, and one who wants a fifth of that
+    # Two holders want the same, and a third one a fifth of that.
+    for _ in range(6):
         at += 500.0
-        told = [lender.handle_request(at, h, LeaseRequest(5, int(at), int(at) - 500, 0, 0, wanted), 30)
-                for h, wanted in ((1, 30), (2, 30), (3, 6))]
-        assert all(share is not None for share in told)
-    slots = [share.slots for share in told if share is not None]
+        replies = [lender.handle_request(at, h, LeaseRequest(5, int(at), int(at) - 500, 0, 0, wanted), 30)
+                   for h, wanted in ((1, 30), (2, 30), (3, 6))]
+        assert all(reply is not None for reply in replies)
+    slots = [reply.slots for reply in replies if reply is not None]
     assert 13 <= slots[0] <= 14 and 13 <= slots[1] <= 14 and 2 <= slots[2] <= 3 and sum(slots) <= 30
     at += LEASE_MS + LONGEST - 1.0
     kept = lender.handle_request(at, 2, LeaseRequest(5, int(at), int(at) - 500, 0, 0, 30), 30)
@@ -139,8 +140,8 @@
     assert not lender.grants
 
 
-def test_the_module_sends_no_more_to_a_server_than_its_slots() -> None:
-    """Four gateways, one server: jobs that find no slot wait, and go once a share comes."""
+def test_no_more_attempts_go_to_a_server_than_there_are_slots() -> None:
+    """Four gateways, one server: jobs that find no slot wait, and are sent once a lease is granted."""
     b = Bed(gateways=4, servers=1)
     for i, g in b.gateways.items():
         g.limits = FleetLimits(i, 4, -1e6, 4000.0, 8)
@@ -160,27 +161,28 @@
     assert len([a for a in b.of(io.Send) if a.request.startswith("s")]) == 1
 
 
-def test_a_lender_that_started_anew_lends_once_all_have_told_it_what_they_have() -> None:
+def test_a_restarted_lender_lends_once_all_have_reported_their_holdings() -> None:
     lender, others = Lender(0.0, LEASE_MS + LONGEST, 2), [FleetLimits(i, 3, 0.0, LONGEST, 8) for i in (1, 2)]
     nodes = [n for n in range(1, 500) if others[0].lender_of(n) == 0][:2]
     for held in (others[0]._held(n) for n in nodes):
         held.slots, held.expires_at = 2, 9e9
-    told = list(others[0].report_holdings(100.0, 0, lambda node: 0))
-    assert [w.subject for w in told] == [*nodes, 0]
-    for want in (told[0], LeaseRequest(499, 101, 0, 0, 0, 1), told[2]):              # the second word is lost
-        lender.handle_request(150.0, 1, want, 4)
-    for want in others[1].report_holdings(100.0, 0, lambda node: 0):
-        lender.handle_request(150.0, 2, want, 4)
+    reports = list(others[0].report_holdings(100.0, 0, lambda node: 0))
+    assert [r.subject for r in reports] == [*nodes, 0]
+    # The second report is lost.
+    for request in (reports[0], LeaseRequest(499, 101, 0, 0, 0, 1), reports[2]):
+        lender.handle_request(150.0, 1, request, 4)
+    for request in others[1].report_holdings(100.0, 0, lambda node: 0):
+        lender.handle_request(150.0, 2, request, 4)
     assert lender.reported == {2}, "another node's ask does not make up for it"
     first = lender.handle_request(151.0, 2, LeaseRequest(nodes[1], 151, 0, 0, 0, 4), 4)
     assert first is not None and first.slots == 0
-    for want in others[0].report_holdings(200.0, 0, lambda node: 0):
-        lender.handle_request(250.0, 1, want, 4)
+    for request in others[0].report_holdings(200.0, 0, lambda node: 0):
+        lender.handle_request(250.0, 1, request, 4)
     then = lender.handle_request(251.0, 2, LeaseRequest(nodes[1], 251, 151, 0, 0, 4), 4)
     assert lender.reported == {1, 2} and then is not None and then.slots == 2, "the first has the others"
 
 
-def test_further_attempts_keep_their_part_of_the_first_ones() -> None:
+def test_further_attempts_stay_within_a_fraction_of_the_first_ones() -> None:
     limits = FleetLimits(0, 3, 0.0, LONGEST, further_fraction=0.2)
     further = 0
     for _ in range(500):
@@ -202,7 +204,7 @@
     return asyncio.run(go())
 
 
-def test_limits_at_nodes_hold_while_limiters_are_killed_stopped_and_cut_off(tmp_path: Path) -> None:
+def test_node_limits_hold_while_limiters_are_killed_stopped_and_partitioned(tmp_path: Path) -> None:
     said: list[str] = []
 
     async def look(now: float) -> None:
@@ -221,7 +223,7 @@
         assert len({v["lender"] for v in slots if v["node"] == node}) == 1
 
 
-def test_what_the_limits_keep_is_stated(tmp_path: Path) -> None:
+def test_the_bounds_of_the_limits_are_printed(tmp_path: Path) -> None:
     async def go() -> None:
         yard = Yard(tmp_path, 3, more="[limits]\nnode_attempts = 40\nfurther_attempts = 0.2\n")
         for limiter in yard.limiters:
@@ -232,18 +234,18 @@
         assert rows["attempts at a node, 40 at once, 20 of them lent"]["over"] == 0
         assert rows["attempts at a node: a lost limiter's share is lent anew"]["noticed"] == LEASE_MS + 5000
         assert rows["further attempts, 0.2 for each first one"]["over"] == 10 * le.MAX_FURTHER_TOKENS
-        told = yard.operator().read_text()
-        (tmp_path / "operator.toml").write_text("[limits]\nnode_attempts = -1\n" + told)
+        settings = yard.operator().read_text()
+        (tmp_path / "operator.toml").write_text("[limits]\nnode_attempts = -1\n" + settings)
         assert (await larklb("fleet", "bound", str(tmp_path / "operator.toml")))[0] == 2
     asyncio.run(go())
 
 
-def test_without_limits_the_same_day_goes_beyond_them(tmp_path: Path) -> None:
+def test_without_limits_the_same_scenario_exceeds_them(tmp_path: Path) -> None:
     audit = played("limits", tmp_path, operator="", fault=(), length=4.0)
     assert audit.figures["at once"] > 9 and audit.figures["links"] > 11, audit.figures
 
 
-def test_further_attempts_of_the_fleet_stay_within_their_budget(tmp_path: Path) -> None:
+def test_further_attempts_of_a_fleet_stay_within_their_budget(tmp_path: Path) -> None:
     audit = played("further", tmp_path)
     assert not audit.off(script.load("further")), audit.figures
     without = played("further", tmp_path, operator="")
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -1,5 +1,7 @@
-"""Leaving a zone that fails, as a fleet, and returning by steps: the decisions, a plain model beside them,
-simulated days, and days of real processes with faults between them."""
+"""Evacuation of failed zones by the fleet, and the return by steps.
+
+The decisions are tested directly, against a reference model, in simulations, and with real processes.
+"""
 
 from __future__ import annotations
 
@@ -32,7 +34,7 @@
 from tests.conftest import Bed
 from tests.test_usage import larklb
 
-# Six limiters and their nodes keep the time of one process: no other such day may run beside it.
+# Each run times six limiters and their nodes in one process, so that no two of them may run in parallel.
 pytestmark = pytest.mark.xdist_group("rig")
 
 HALF = 4000.0
@@ -46,7 +48,7 @@
 
 
 def fail(zones: Zones, now: float, name: str, count: int = 3) -> None:
-    """Some nodes of a zone fail, and another zone's serve."""
+    """Record failures at some nodes of a zone and successes in another zone."""
     other = next(z for z in "abc" if z != name)
     for n in range(count):
         zones.record_outcome(now, other, 100 * "abc".index(other) + n, True)
@@ -63,10 +65,10 @@
     return zones.by_name[name].state
 
 
-# The decisions ------------------------------------------------------------------------------
+# Decisions ----------------------------------------------------------------------------------
 
 
-def test_one_bad_node_is_no_zone_and_neither_is_what_fails_everywhere() -> None:
+def test_one_bad_node_and_failures_everywhere_are_no_lost_zone() -> None:
     zones = made()
     for at in range(5):
         fail(zones, 100.0 * at, "b", 1)
@@ -79,7 +81,7 @@
     assert not zones.reduced_fractions, "its own link, or a load that slows all alike"
 
 
-def test_some_nodes_served_are_a_zone_that_is_there() -> None:
+def test_a_zone_with_some_serving_nodes_is_not_lost() -> None:
     zones = made()
     zones.record_outcome(5.0, "b", 105, True)
     fail(zones, 10.0, "b", 3)
@@ -88,8 +90,8 @@
     assert state(zones, "b") == "away"
 
 
-def test_a_node_that_is_another_process_now_says_nothing_of_its_zone() -> None:
-    """A rollout that replaces nodes is no zone."""
+def test_failures_of_a_restarted_node_do_not_count() -> None:
+    """A rollout that replaces nodes must not look like a lost zone."""
     zones = made()
     for n in range(3):
         zones.record_outcome(10.0, "a", n, True)
@@ -99,8 +101,8 @@
     assert state(zones, "b") == "home"
 
 
-def test_silence_counts_only_where_nothing_there_was_served_since() -> None:
-    """What takes several times as long is given up, too: a zone that is slow is not lost."""
+def test_timeouts_count_only_without_a_later_success() -> None:
+    """Slow attempts are given up, too: a slow zone must not look lost."""
     zones = made()
     zones.record_outcome(0.0, "a", 0, True)
     zones.record_outcome(0.0, "b", 105, True)
@@ -118,7 +120,7 @@
     assert state(zones, "b") == "away"
 
 
-def test_the_fleets_verdict_needs_two_others_and_most_of_those_who_know() -> None:
+def test_a_zone_verdict_needs_two_others_and_a_majority_of_recent_findings() -> None:
     zones = made()
     tell(zones, 10.0, 1, "b")
     assert state(zones, "b") == "home"
@@ -136,8 +138,8 @@
     assert state(zones, "b") == "home", "as many are served there"
 
 
-def test_who_is_served_there_stays_and_says_so() -> None:
-    """A cut that only some limiters see moves those alone."""
+def test_a_limiter_that_is_served_stays_and_reports_it() -> None:
+    """A partition that only some limiters see moves only those."""
     zones = made()
     for o in (1, 2, 3):
         tell(zones, 10.0, o, "b")
@@ -154,7 +156,7 @@
     assert state(zones, "b") == "away", "what it saw itself is too long ago"
 
 
-def test_the_fleet_is_never_left_with_too_little() -> None:
+def test_the_remaining_weight_never_falls_below_the_minimum() -> None:
     zones = made()
     for name in "abc":
         for o in (1, 2, 3):
@@ -168,7 +170,7 @@
     assert zones.by_name["a"].weight == 9.0
 
 
-def test_where_only_zones_that_were_left_have_nodes_all_are_at_home() -> None:
+def test_if_only_evacuated_zones_have_nodes_all_are_used() -> None:
     zones = made()
     for name in "ab":
         for o in (1, 2, 3):
@@ -180,11 +182,12 @@
     assert not zones.active and zones.capacity_fraction("a") == 1.0
 
 
-def test_it_returns_by_steps_and_a_failure_takes_a_step_back() -> None:
+def test_the_return_goes_by_steps_and_a_failure_takes_one_back() -> None:
     zones = made()
     fail(zones, 0.0, "b")
     assert zones.capacity_fraction("b") == 0.0
-    zones.record_outcome(1000.0, "b", 105, True)                       # a probe
+    # A successful probe.
+    zones.record_outcome(1000.0, "b", 105, True)
     assert state(zones, "b") == "returning" and zones.capacity_fraction("b") == 0.25
     step = zs.RETURN_MS / len(zones.steps)
     zones.evaluate(1000.0 + step)
@@ -196,7 +199,7 @@
     assert state(zones, "b") == "home" and zones.capacity_fraction("b") == 1.0
 
 
-def test_a_zone_that_flaps_is_left_alone_longer_and_longer_up_to_a_bound() -> None:
+def test_the_hold_of_a_flapping_zone_grows_up_to_a_bound() -> None:
     zones, holds = made(), []
     now = 0.0
     for _ in range(8):
@@ -213,7 +216,7 @@
     assert len(others) > 6, "not all at one moment"
 
 
-def test_few_probe_and_the_choice_moves_on() -> None:
+def test_few_limiters_probe_and_they_change_with_the_slot() -> None:
     gateways, probes = 200, []
     fleet = [made(i, gateways) for i in range(gateways)]
     for zones in fleet:
@@ -230,7 +233,7 @@
     assert len(set(probes)) > 0.7 * len(probes)
 
 
-def test_a_region_is_left_as_a_whole_once_most_of_its_zones_are_lost() -> None:
+def test_a_region_is_left_once_most_of_its_zones_are_lost() -> None:
     nodes = [(z, 100 * i + n, 1.0) for i, z in enumerate("abcde") for n in range(4)]
     zones = made(nodes=nodes)
     zones.configure(True, {"a": "west", "b": "west", "c": "west", "d": "east"})
@@ -241,7 +244,7 @@
     assert [zones.capacity_fraction(z) for z in "abcde"] == [0.0, 0.0, 0.0, 1.0, 1.0]
 
 
-def test_an_operators_word_goes_before_what_was_found_and_ends() -> None:
+def test_an_override_takes_precedence_and_expires() -> None:
     zones = made()
     assert not zones.override(0.0, "z", Override(True, 1.0, "?"))
     assert zones.override(0.0, "b", Override(True, 5000.0, "works on the rack"))
@@ -257,7 +260,7 @@
     assert zones.override(9003.0, "a", None) and state(zones, "a") == "away"
 
 
-def test_without_zones_or_with_leave_they_cost_and_change_nothing() -> None:
+def test_without_zones_or_if_disabled_nothing_is_recorded() -> None:
     for zones in (made(nodes=[("", n, 1.0) for n in range(9)]), made()):
         zones.configure(False, {})
         for n in range(9):
@@ -269,7 +272,7 @@
         assert not any(z.outcomes for z in zones.by_name.values())
 
 
-def test_the_walk_passes_over_what_was_left_and_all_others_stay() -> None:
+def test_excluded_servers_are_skipped_and_all_others_stay() -> None:
     digests = random.Random(1).sample(range(1, 65536), 120)
     reach = Reach(17, 200)
     before = reach.select(digests)
@@ -279,7 +282,7 @@
     assert [i for i in before if not left[i]] == after[:sum(not left[i] for i in before)]
 
 
-def test_a_rehearsal_serves_first_what_is_worth_most_for_its_work() -> None:
+def test_a_rehearsal_serves_the_most_valuable_work_first() -> None:
     asked = [Demand("read", "free", 6.0, 1.0), Demand("order", "paid", 3.0, 4.0)]
     assert [(r["class"], r["served"]) for r in simulate_capacity(asked, 6.0)] == [
         ("order", 1.0),
@@ -288,7 +291,7 @@
     assert [r["served"] for r in simulate_capacity(asked, 0.0)] == [0.0, 0.0]
 
 
-def test_times_and_differences_as_the_commands_read_them() -> None:
+def test_the_commands_parse_durations_and_find_differences() -> None:
     assert [seconds(t) for t in ("90", "90s", "1.5m", "2h")] == [90.0, 90.0, 90.0, 7200.0]
     for text in ("", "0", "25h", "-1s", "soon"):
         with pytest.raises(ValueError):
@@ -298,8 +301,8 @@
     assert not differences([{**r, "state": "returning"} for r in rows])
 
 
-def test_the_module_sends_nothing_to_a_zone_that_was_left_but_probes() -> None:
-    """And moves what is out there, once."""
+def test_an_evacuated_zone_receives_only_probes() -> None:
+    """Attempts in flight there are moved once."""
     bed = Bed(gateways=1, servers=0)
     bed.entries = tuple(io.Entry(f"s{i}", zone="abc"[i % 3]) for i in range(9))
     bed.gateways.clear()
@@ -323,8 +326,8 @@
     assert sent and not [n for n in sent if gateway.servers[n].entry.zone == "b"]
 
 
-def test_what_hangs_in_a_zone_that_was_left_does_not_make_the_rest_look_full() -> None:
-    """Inside a zone that is cut off, jobs were refused for want of room beside nodes that stood idle."""
+def test_attempts_stuck_in_an_evacuated_zone_do_not_use_up_capacity() -> None:
+    """In a partitioned zone, jobs used to be refused as if there were no capacity beside idle nodes."""
     bed = Bed(gateways=6, servers=0)
     bed.cut = True
     bed.entries = tuple(io.Entry(f"s{i}", zone="abc"[i % 3]) for i in range(9))
@@ -365,17 +368,18 @@
         assert zones & {"b"} == found
 
 
-# A plain model ------------------------------------------------------------------------------
+# Reference model ----------------------------------------------------------------------------
 
 
-class Plain:
-    """The verdict as the design states it, from every finding that was heard, in any order."""
+class ReferenceModel:
+    """The specified verdict, computed from all findings received, in any order."""
 
     def __init__(self) -> None:
-        self.heard: set[tuple[int, float, float]] = set()        # observer, when, how bad
+        # Observer, time and slowness of each finding.
+        self.received: set[tuple[int, float, float]] = set()
 
     def verdict(self, now: float, me: int, gateways: int) -> bool:
-        newest = {o: max(x for x in self.heard if x[0] == o) for o, _, _ in self.heard if o != me}
+        newest = {o: max(x for x in self.received if x[0] == o) for o, _, _ in self.received if o != me}
         quorum = 2 if gateways > 3 else 1
         well = sorted((at for _, at, slow in newest.values() if slow < BAD_SLOWNESS), reverse=True)
         since = well[quorum - 1] if len(well) >= quorum else -1.0
@@ -391,22 +395,24 @@
 
 
 def same_as_the_plain_model(told: list[tuple[int, int, bool, int]], order: random.Random) -> None:
-    """Findings told late, twice, never, or out of order: two limiters that heard the same agree with the
-    model, whatever the order."""
-    heard = [
+    """Check that two limiters with the same findings agree with the reference model.
+
+    The findings are delayed, duplicated, lost, or out of order.
+    """
+    received = [
         (o, at * 100.0, LOST_SLOWNESS if lost else 1.0) for o, at, lost, copies in told for _ in range(copies)
     ]
-    # An observer finds one thing at a time.
-    heard = list({(o, at): x for x in heard for o, at in [x[:2]]}.values()) * 2
-    now, plain = 8000.0, Plain()
-    plain.heard = set(heard)
+    # An observer has one finding at a time.
+    received = list({(o, at): x for x in received for o, at in [x[:2]]}.values()) * 2
+    now, model = 8000.0, ReferenceModel()
+    model.received = set(received)
     for _ in range(2):
-        order.shuffle(heard)
+        order.shuffle(received)
         verdicts = Verdicts(0, 9, HALF)
-        for o, at, slow in heard:
+        for o, at, slow in received:
             verdicts.receive(now, o, Finding(7, ZONE, slow, now - at, o, Verdicts.stamp(at)))
         verdicts.clean(now)
-        assert (verdicts.verdict(now, 7, ZONE) >= BAD_SLOWNESS) == plain.verdict(now, 0, 9)
+        assert (verdicts.verdict(now, 7, ZONE) >= BAD_SLOWNESS) == model.verdict(now, 0, 9)
 
 
 @given(Told, st.randoms(use_true_random=False))
@@ -416,12 +422,12 @@
     same_as_the_plain_model(told, order)
 
 
-def _no_order(stamp: int, than: int) -> bool:
+def _always_newer(stamp: int, than: int) -> bool:
     return True
 
 
-def _judge_all(self: Verdicts, now: float, name: vs.SubjectTopic) -> None:
-    """One who served no longer counts against those who found it lost."""
+def _ignore_good_findings(self: Verdicts, now: float, name: vs.SubjectTopic) -> None:
+    """Ignore good findings when counting those that find a zone lost."""
     bad = [
         k for o, k in self.findings.get(name, {}).items() if o != self.number and k.slowness >= BAD_SLOWNESS
     ]
@@ -432,12 +438,12 @@
 
 
 @pytest.mark.parametrize("fault", ["order", "quorum", "majority", "well"])
-def test_the_check_finds_a_seeded_fault(fault: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_reference_model_finds_a_seeded_fault(fault: str, monkeypatch: pytest.MonkeyPatch) -> None:
     patch: dict[str, Callable[[], None]] = {
-        "order": lambda: monkeypatch.setattr(vs, "is_newer_stamp", _no_order),
+        "order": lambda: monkeypatch.setattr(vs, "is_newer_stamp", _always_newer),
         "quorum": lambda: monkeypatch.setattr(vs, "QUORUM", 1),
         "majority": lambda: monkeypatch.setattr(vs, "ZONE_QUORUM_FRACTION", 0.01),
-        "well": lambda: monkeypatch.setattr(Verdicts, "_update_verdict", _judge_all)}
+        "well": lambda: monkeypatch.setattr(Verdicts, "_update_verdict", _ignore_good_findings)}
     patch[fault]()
     chance, found = random.Random(3), 0
     for _ in range(400):
@@ -450,13 +456,13 @@
     assert found
 
 
-# Simulated days -----------------------------------------------------------------------------
+# Simulations --------------------------------------------------------------------------------
 
 SMALL = Day(limiters=12, nodes=12, rate=10.0, length=9000.0, model=Model(cores=2))
 
 
 @pytest.mark.parametrize("what", ["refusing", "silent"])
-def test_a_lost_zone_is_left_together_and_returned_to_without_a_fall(what: str) -> None:
+def test_a_lost_zone_is_left_by_all_and_returned_to_without_overload(what: str) -> None:
     day = replace(SMALL, length=13_000.0, faults=(Fault(3000.0, 4000.0, "b", what),))
     net = play(day, 1)
     assert len(net.left["b"]) == 12 and max(net.left["b"].values()) - 3000.0 < 2500.0
@@ -469,8 +475,8 @@
 
 @pytest.mark.parametrize("fault", [Fault(3000.0, 4000.0, "b", "slow", times=2.5),
                                    Fault(3000.0, 4000.0, "b", half=True), None])
-def test_what_is_no_lost_zone_is_not_left(fault: Fault | None) -> None:
-    """Slow, half lost, or a release that replaces nodes everywhere at a loss of a tenth of the words."""
+def test_zones_that_are_not_lost_are_not_left(fault: Fault | None) -> None:
+    """A slow zone, half a zone, or a release that replaces all nodes while a tenth of messages is lost."""
     releases = () if fault else tuple((2000.0 + 300.0 * n, n) for n in range(12))
     day = replace(SMALL, faults=(fault,) if fault else (), releases=releases, loss=0.1)
     net = play(day, 2)
@@ -478,7 +484,7 @@
     assert net.served(0.0, 7000.0) > 0.97
 
 
-def test_a_node_of_the_model_queues_warms_up_and_falls() -> None:
+def test_a_simulated_node_queues_warms_up_and_fails_under_overload() -> None:
     model = Model(work=100.0, cores=1, cold_share=0.5, warm_ms=1000.0, tip=2.0, tip_ms=1000.0)
     node = Node("s", "a", model, random.Random(1))
     assert node.ask(0.0)[0] == "ok" and node.ask(0.0)[1] > 100.0
@@ -497,7 +503,7 @@
 
 
 def watched(name: str, folder: Path, operator: str = "") -> tuple[Audit, Seen]:
-    """A day of the rig, and each limiter's zones as it told them every half second."""
+    """Play a scenario on the rig, and sample the zones of each limiter every half second."""
     day, seen = script.load(name), []
 
     async def go() -> Audit:
@@ -515,18 +521,18 @@
 
 
 def away(seen: Seen, since: float, until: float, zone: str = "b") -> set[int]:
-    """Limiters that had left a zone at some look between two times."""
+    """Return the limiters that had left a zone in some sample between two times."""
     return {i for now, of in seen if since <= now < until for i, zones in of.items()
             if zones[zone]["state"] == "away"}
 
 
 def back(seen: Seen, zone: str = "b") -> set[int]:
-    """Limiters that use it wholly at the last look."""
+    """Return the limiters that use a zone fully in the last sample."""
     return {i for i, zones in seen[-1][1].items() if zones[zone]["part"] == 1.0}
 
 
 @pytest.mark.parametrize(("name", "at", "well"), [("zone-killed", 3.0, 7.0), ("zone-silent", 3.0, 7.0)])
-def test_a_zone_that_is_lost_is_left_by_all_and_used_again(name: str, at: float, well: float,
+def test_a_lost_zone_is_left_by_all_and_used_again(name: str, at: float, well: float,
                                                           tmp_path: Path) -> None:
     audit, seen = watched(name, tmp_path)
     assert away(seen, at, well) == set(range(6))
@@ -537,7 +543,7 @@
     assert audit.figures["cold times"] < 4.0
 
 
-def test_a_cut_off_zones_limiters_go_on_with_their_own_nodes(tmp_path: Path) -> None:
+def test_limiters_in_a_partitioned_zone_use_its_nodes(tmp_path: Path) -> None:
     audit, seen = watched("zone-cut", tmp_path)
     assert away(seen, 3.0, 8.0) >= {0, 2, 3, 5}
     assert not away(seen, 3.0, 7.0) & {1, 4}, "inside they are served there"
@@ -546,18 +552,18 @@
     assert back(seen) == set(range(6))
 
 
-def test_a_cut_that_some_see_moves_those_alone(tmp_path: Path) -> None:
+def test_a_partition_that_some_see_moves_only_those(tmp_path: Path) -> None:
     _, seen = watched("zone-some", tmp_path)
     assert away(seen, 3.0, 8.0) <= {0, 1} and away(seen, 3.0, 7.5)
 
 
 @pytest.mark.parametrize("name", ["zone-half", "zone-slow", "all-slow"])
-def test_what_is_no_lost_zone_is_left_by_nobody(name: str, tmp_path: Path) -> None:
+def test_zones_that_are_not_lost_are_left_by_nobody(name: str, tmp_path: Path) -> None:
     _, seen = watched(name, tmp_path)
     assert not any(away(seen, 0.0, 99.0, z) for z in "abc") and len(seen) > 10
 
 
-def test_a_zone_that_flaps_and_a_return_under_kills_and_a_release(tmp_path: Path) -> None:
+def test_a_flapping_zone_and_a_return_during_kills_and_a_release(tmp_path: Path) -> None:
     for name in ("flapping", "return"):
         (tmp_path / name).mkdir()
     audit, seen = watched("zone-flapping", tmp_path / "flapping")
@@ -567,7 +573,7 @@
     assert audit.figures["cold times"] < 4.0
 
 
-def test_an_operator_leaves_a_zone_and_it_ends_by_itself(tmp_path: Path) -> None:
+def test_an_override_by_an_operator_expires(tmp_path: Path) -> None:
     said: dict[str, tuple[int, str]] = {}
     day = replace_script("calm", 16.0)
 
@@ -603,7 +609,7 @@
     return msgspec.structs.replace(script.load(name), length=length, expect={})
 
 
-def test_the_model_plays_the_same_day_for_a_seed() -> None:
+def test_a_simulation_is_reproducible_for_a_seed() -> None:
     day = replace(SMALL, limiters=6, nodes=6, length=3000.0, faults=(Fault(1000.0, 1000.0, "b"),))
     first, second = (ZoneNet(day, 5) for _ in range(2))
     for net in (first, second):
