--- a/larklb/fleet/custody.py
+++ b/larklb/fleet/custody.py
@@ -162,7 +162,7 @@
 
 
 class Withdraw(msgspec.Struct, array_like=True, frozen=True, tag=3):
-    """Returns the vote for a claim that did not get two of them."""
+    """Gives back the only vote that an unsuccessful claim obtained."""
 
     key: int
     term: int
--- a/larklb/fleet/leases.py
+++ b/larklb/fleet/leases.py
@@ -314,8 +314,9 @@
     @staticmethod
     def _request(now: float, subject: int, held: HeldLease, used: int, wanted: int) -> LeaseRequest:
         held.reported_adopted, held.number = held.adopted, int(now) & 0xFFFFFFFF
-        return LeaseRequest(subject, held.number, held.adopted, held.slots if now < held.expires_at else 0,
-                    max(0, min(MAX_SLOTS, used)), max(0, min(MAX_SLOTS, wanted)))
+        return LeaseRequest(
+            subject, held.number, held.adopted, held.slots if now < held.expires_at else 0,
+            max(0, min(MAX_SLOTS, used)), max(0, min(MAX_SLOTS, wanted)))
 
     def report_holdings(
         self, now: float, peer: int, in_flight: Callable[[int], int]
--- a/larklb/fleet/pace.py
+++ b/larklb/fleet/pace.py
@@ -213,16 +213,16 @@
 
     # Requests and answers -----------------------------------------------------------------
 
-    def start_request(self, now: float, number: int, peer: int, give_up: float) -> float:
-        """Register the first try of request ``number``, to be given up after ``give_up`` ms.
+    def start_request(self, now: float, number: int, peer: int, timeout: float) -> float:
+        """Register the first try of request ``number``, given up after ``timeout`` ms.
 
         Returns the ms until its first retry is due.
         """
         if self.is_cut_off(now):
-            give_up = min(give_up, CUT_OFF_TIMEOUT_FACTOR * self._retry_timeout(peer, 1))
-        give_up = max(give_up, MIN_WAIT_TICKS * self.tick)
-        self.pending[number] = PendingRequest(peer, now, now + give_up)
-        return min(give_up, self._retry_timeout(peer, 1))
+            timeout = min(timeout, CUT_OFF_TIMEOUT_FACTOR * self._retry_timeout(peer, 1))
+        timeout = max(timeout, MIN_WAIT_TICKS * self.tick)
+        self.pending[number] = PendingRequest(peer, now, now + timeout)
+        return min(timeout, self._retry_timeout(peer, 1))
 
     def next_retry(self, now: float, number: int) -> float | None:
         """Register that a request was not answered in time.
