--- a/benchmarks/callers.py
+++ b/benchmarks/callers.py
@@ -31,7 +31,7 @@
 WEIGHT = 4.0               # of a server: its slots
 QUIET_MS = 1e7             # between changes, so that nobody flaps
 LOAD = 0.7                 # of all slots in use
-ROUNDS = 6                 # in which callers find their servers under bounds before a change
+MAX_TAKEOVER_CLAIMS = 6                 # in which callers find their servers under bounds before a change
 
 Order = Callable[[int], Iterator[str]]
 Build = Callable[[Mapping[str, float]], Order]
@@ -220,7 +220,7 @@
     made, used = time.perf_counter() - began, memory() - before
     load, at = dict.fromkeys(servers, 0.0), dict[int, str]()
     settle(of, load, at, callers)
-    for _ in range(ROUNDS):
+    for _ in range(MAX_TAKEOVER_CLAIMS):
         if not settle(of, load, at, callers):
             break
     busiest = max(load.values()) * number / count
@@ -233,7 +233,7 @@
     held = sum(s in gone for s in first.values())
     home = sum(of.rank(c, 1)[0] != s for c, s in first.items()) / max(1, held)
     leave = (settle(of, load, at, callers), had)
-    for _ in range(ROUNDS):
+    for _ in range(MAX_TAKEOVER_CLAIMS):
         if not settle(of, load, at, callers):
             break
     of.set_servers(3 * QUIET_MS, servers)
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -28,7 +28,7 @@
 from larklb.fleet import bound
 from larklb.fleet import custody as cu
 from larklb.lab.yard import CLASSES, ExecuteNode, Yard, ask, http, job
-from larklb.net.keeper import DUEL_MS, ROUNDS
+from larklb.net.keeper import CLAIM_BACKOFF_MS, MAX_TAKEOVER_CLAIMS
 
 LIMITERS, NODES, RACKS = 6, 9, 3
 RATE, WORK_S = 100.0, 0.3                  # orders a second; s that a node works at one
@@ -228,10 +228,11 @@
         if turn is cu.ClaimOutcome.ACQUIRED and hand.record is not None:
             keep = hand.keep(self.now, hand.record)
             self.round(hand, keep, functools.partial(self.kept, hand))
-        elif turn is cu.ClaimOutcome.RETRY and self.busy[hand.number] < ROUNDS:
+        elif turn is cu.ClaimOutcome.RETRY and self.busy[hand.number] < MAX_TAKEOVER_CLAIMS:
             self.busy[hand.number] += 1
             self.withdraw(hand)
-            self.at(self.now + self.chance.uniform(0.2, 1.0) * DUEL_MS, functools.partial(self.claim, hand))
+            self.at(self.now + self.chance.uniform(0.2, 1.0) * CLAIM_BACKOFF_MS,
+                    functools.partial(self.claim, hand))
         elif turn is not cu.ClaimOutcome.ACQUIRED:
             self.withdraw(hand)
             hand.step = -1
--- a/larklb/desk.py
+++ b/larklb/desk.py
@@ -42,7 +42,7 @@
 from larklb.wheel import Wheel
 
 if TYPE_CHECKING:
-    from larklb.net.keeper import Keeper
+    from larklb.net.keeper import CustodyKeeper
 
 log = logging.getLogger(__name__)
 
@@ -138,7 +138,7 @@
                                         operator.export.most_wait_s, config.seed)
         self.adopter = self._adopter(base) if self.exporter is not None else None
         self.core: Core | None = None
-        self.keeper: Keeper | None = None
+        self.keeper: CustodyKeeper | None = None
 
     def _adopter(self, base: Path) -> Adopter | None:
         """Takes up what others leave, where the operator's file has it so."""
--- a/larklb/gateway/listener.py
+++ b/larklb/gateway/listener.py
@@ -17,7 +17,7 @@
 from larklb.gateway.client_reader import ClientReader
 from larklb.gateway.errors import AddressError
 from larklb.gateway.servers import Reply
-from larklb.net.http import LateError, Link, TooLongError
+from larklb.net.http import Link, PeerTooSlowError, TooLongError
 from larklb.wheel import Wheel
 
 log = logging.getLogger("listener")
@@ -90,22 +90,22 @@
             if link.busy:
                 if isinstance(link.reader, ClientReader):
                     link.reader.poll_for_close(link.writer.get_extra_info("socket"))
-                if link.waits_since and now - link.waits_since > self.limits.idle_ms:
+                if link.waiting_since and now - link.waiting_since > self.limits.idle_ms:
                     # The body has stopped arriving.
-                    link.reader.give_up()
+                    link.reader.mark_too_slow()
                 continue
-            if link.more():
-                link.begun = link.begun or now
-                if now - link.begun > self.limits.head_ms:
-                    link.reader.give_up()
-            elif now - link.since > self.limits.idle_ms or self.draining and link.silent():
+            if link.has_unread_data():
+                link.partial_since = link.partial_since or now
+                if now - link.partial_since > self.limits.head_ms:
+                    link.reader.mark_too_slow()
+            elif now - link.since > self.limits.idle_ms or self.draining and link.received_nothing():
                 link.writer.close()
 
     def _make_room(self) -> bool:
         if len(self.connections) < self.max_connections:
             return True
         for link in self.connections:
-            if not link.busy and link.silent():
+            if not link.busy and link.received_nothing():
                 del self.connections[link]
                 link.abort()
                 return True
@@ -121,7 +121,7 @@
             if sock is not None:
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             while await self._serve_request(link):
-                link.busy, link.begun, link.new = False, 0.0, False
+                link.busy, link.partial_since, link.new = False, 0.0, False
                 link.since = self.wheel.now()
                 self.connections.pop(link, None)
                 # The order is by idle time, with the connection that has been idle longest first.
@@ -138,18 +138,18 @@
     async def _serve_request(self, link: Link) -> bool:
         """Reads a request and answers it; returns whether another request may follow on the connection."""
         try:
-            head = await link.head()
+            head = await link.read_head()
             if head is None:
                 return False
             link.busy = True
             if (link.length or 0) > self.limits.body_bytes:
                 raise TooLongError
             body = []
-            while (piece := await link.piece()) is not None:
+            while (piece := await link.read_chunk()) is not None:
                 body.append(piece)
-                if link.size > self.limits.body_bytes:
+                if link.body_bytes > self.limits.body_bytes:
                     raise TooLongError
-        except LateError:
+        except PeerTooSlowError:
             return await self._refuse(link, 408)
         except TooLongError:
             return await self._refuse(link, 413)
@@ -159,12 +159,12 @@
         close = reply.close or self.draining
         self._write(link, reply, close, head.method)
         await link.writer.drain()
-        return not close and not link.reader.ended() and link.again()
+        return not close and not link.reader.ended() and link.start_next_cycle()
 
     async def _refuse(self, link: Link, status: int) -> bool:
         """Answers a request that can't be read, if an answer is still possible; the connection then ends."""
         link.busy = True
-        if link.may_answer():
+        if link.can_respond():
             self._write(link, Reply(status), True, b"GET")
             await link.writer.drain()
             if status in _LINGERING_STATUSES:
@@ -202,7 +202,7 @@
 
     def active_requests(self) -> int:
         """Returns the number of connections with a request in progress."""
-        return sum(link.busy or link.more() for link in self.connections)
+        return sum(link.busy or link.has_unread_data() for link in self.connections)
 
     async def close(self) -> None:
         """Closes the address and all connections, and cancels the requests in progress."""
--- a/larklb/gateway/servers.py
+++ b/larklb/gateway/servers.py
@@ -17,7 +17,7 @@
 from larklb.admission.choice import ServerSelector, ServerState
 from larklb.admission.tries import AttemptOutcome
 from larklb.gateway.request_work import Attempt, RequestWork
-from larklb.net.http import LateError, Link, TooLongError, dial, finished
+from larklb.net.http import Link, PeerTooSlowError, TooLongError, await_connection, dial
 from larklb.wheel import Wheel
 
 # Longest body of an answer, all of which is buffered.
@@ -154,13 +154,19 @@
                 # not run.
                 continue
             del pool[index]
-            link.reader.on_end, link.reader.quiet = None, False
+            link.reader.on_end, link.reader.expect_silence = None, False
             return link
         return None
 
     def _put_back(self, server_id: str, link: Link, answer: h11.Response | None) -> None:
         server = self.selector.servers.get(server_id)
-        if server is None or server.draining or link.reader.ended() or link.more() or not link.again():
+        if (
+            server is None
+            or server.draining
+            or link.reader.ended()
+            or link.has_unread_data()
+            or not link.start_next_cycle()
+        ):
             self._close(link)
             return
         link.since = self.wheel.now()
@@ -168,7 +174,7 @@
         for header, value in answer.headers if answer is not None else ():
             if header == b"keep-alive" and (timeout := _KEEP_ALIVE_TIMEOUT.search(value)):
                 timeout_ms = min(timeout_ms, int(timeout[1]) * 1000.0 * IDLE_TIMEOUT_FRACTION)
-        link.reader.on_end, link.reader.quiet = lambda: self._close_idle(server_id, link), True
+        link.reader.on_end, link.reader.expect_silence = lambda: self._close_idle(server_id, link), True
         self.pools[server_id].append((link, link.since + timeout_ms))
 
     def _make_room(self) -> bool:
@@ -192,7 +198,7 @@
         dialling = attempt.dialling = asyncio.ensure_future(dial(host, int(port)))
         link = None
         try:
-            link = await finished(dialling, timeout_ms, self.wheel)
+            link = await await_connection(dialling, timeout_ms, self.wheel)
         finally:
             attempt.dialling = None
             if link is None:
@@ -255,7 +261,7 @@
         try:
             link.write(head, message.body)
             answer, body = await self._read_answer(link, head, message)
-        except (OSError, LateError, TooLongError, h11.RemoteProtocolError):
+        except (OSError, PeerTooSlowError, TooLongError, h11.RemoteProtocolError):
             answer, body = None, b""
         except BaseException:
             self._close(link)
@@ -295,13 +301,13 @@
 
         An answer that has another request's attempt id is discarded."""
         for _ in range(MAX_STRAY_ANSWERS + 1):
-            answer = await link.head()
+            answer = await link.read_head()
             if answer is None:
                 return None, b""
             body = []
-            while (piece := await link.piece()) is not None:
+            while (piece := await link.read_chunk()) is not None:
                 body.append(piece)
-                if link.size > MAX_ANSWER_BYTES:
+                if link.body_bytes > MAX_ANSWER_BYTES:
                     raise TooLongError
             attempt_ids = [value for header, value in answer.headers if header == b"x-attempt-id"]
             if not attempt_ids or attempt_ids == [message.id]:
--- a/larklb/net/bulk.py
+++ b/larklb/net/bulk.py
@@ -10,12 +10,13 @@
 from collections.abc import AsyncIterator, Callable
 from typing import Protocol
 
-from larklb.net.http import MOST_BULK, Link, TooLongError
+from larklb.net.http import MAX_BODY_BYTES, Link, TooLongError
 
-STALL = 20000.0            # ms without a piece given or taken, after which what flows is broken off
+# A body or answer in transfer is aborted when no chunk has been read or written for this long.
+STALL_TIMEOUT_MS = 20000.0
 
 
-class BrokenOffError(Exception):
+class UploadAbortedError(Exception):
     """The submitter has gone, or was given up, in the middle of its body."""
 
 
@@ -31,12 +32,12 @@
         self._whole: Callable[[], object] = bool
         self.spent = False
 
-    def tell(self, spent: Callable[[], object], whole: Callable[[], object]) -> None:
+    def set_callbacks(self, spent: Callable[[], object], whole: Callable[[], object]) -> None:
         """``spent`` is called when more than ``first`` is passed on: it cannot be sent again; ``whole`` with
         its last byte."""
         self._spent, self._whole = spent, whole
 
-    async def pieces(self) -> AsyncIterator[bytes]:
+    async def chunks(self) -> AsyncIterator[bytes]:
         """From the start on; once more than ``first`` has been taken there is no second time.
 
         OSError, LateError, RemoteProtocolError where the submitter fails, TooLongError beyond MOST_BULK."""
@@ -44,8 +45,8 @@
         yield self.first
         self.spent = True
         self._spent()
-        while (part := await self.link.piece()) is not None:
-            if self.link.size > MOST_BULK:
+        while (part := await self.link.read_chunk()) is not None:
+            if self.link.body_bytes > MAX_BODY_BYTES:
                 raise TooLongError
             yield part
         self._whole()
--- a/larklb/net/console.py
+++ b/larklb/net/console.py
@@ -18,7 +18,7 @@
 from larklb.operator_stats import stats
 from larklb.phase import Phase
 
-MOST_AT_ONCE = 12          # connections, and as many descriptors set aside for them
+MAX_CONSOLE_CONNECTIONS = 12          # connections, and as many descriptors set aside for them
 MOST_LINE = 64             # bytes of a call
 PATIENCE = 6000.0          # ms for a whole call; those who hold a connection without one stay out of the way
 ANSWERED = 2000.0          # ms in which an answer has to leave
@@ -42,7 +42,7 @@
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
         listening = socket.create_server((host, port), family=family, backlog=BACKLOG)
         self.server = await asyncio.start_server(self._connected, sock=listening, limit=MOST_LINE,
-                                                 backlog=MOST_AT_ONCE)
+                                                 backlog=MAX_CONSOLE_CONNECTIONS)
         listening.listen(BACKLOG)        # asyncio has one figure for what waits and what it takes in at once
 
     async def stop(self) -> None:
@@ -54,7 +54,7 @@
             await asyncio.wait(self.open)
 
     async def _connected(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if len(self.open) >= MOST_AT_ONCE:
+        if len(self.open) >= MAX_CONSOLE_CONNECTIONS:
             if not self.waiting:
                 writer.transport.abort()
                 return
--- a/larklb/net/execute.py
+++ b/larklb/net/execute.py
@@ -14,8 +14,16 @@
 
 from larklb import interface as io
 from larklb.core import Core, Job
-from larklb.net.bulk import STALL, BrokenOffError, Sink, Upload
-from larklb.net.http import MOST_BODY, MOST_BULK, LateError, Link, TooLongError, dial, finished
+from larklb.net.bulk import STALL_TIMEOUT_MS, Sink, Upload, UploadAbortedError
+from larklb.net.http import (
+    MAX_BODY_BYTES,
+    MAX_BUFFERED_BYTES,
+    Link,
+    PeerTooSlowError,
+    TooLongError,
+    await_connection,
+    dial,
+)
 from larklb.net.machines import Machines
 from larklb.settings import Config
 from larklb.wheel import Timer
@@ -33,7 +41,7 @@
 ANSWER_REST = 500.0      # ms for the next piece of an answer that has begun, and ...
 REST_AIM = 1 / 3         # ... more where aims are long: this part of the least
 HOLD = 1000.0            # ms for which an answer is held that tells no length
-_OF_SUBMITTERS = (OSError, h11.RemoteProtocolError, LateError, TooLongError)
+_OF_SUBMITTERS = (OSError, h11.RemoteProtocolError, PeerTooSlowError, TooLongError)
 _OURS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 GRACE_PART = 0.8         # of the drain grace is used, the rest is for what lies between us and the node
 
@@ -48,7 +56,7 @@
     upload: Upload | None = None         # ... where it comes in pieces
 
 
-class Ended(NamedTuple):
+class AttemptOutcome(NamedTuple):
     """How an attempt ended; with OK the answer's type and body."""
 
     result: io.Result
@@ -61,7 +69,7 @@
     whole: bool = True          # ... all of it
 
 
-class Place(NamedTuple):
+class NodeAddress(NamedTuple):
     """An execute node at an address: another node may come up at an old one's."""
 
     server: str
@@ -76,15 +84,15 @@
         self.share_of = self.most = int(config.sockets * SOCKETS_PART)
         self.fresh = math.inf                    # a connection that has rested longer is not used again
         self.retired = False                     # another process has our place: connections are not kept
-        self.renew(config)
+        self.apply_config(config)
         self.open = 0
-        self.pools: defaultdict[Place, list[Link]] = defaultdict(list)
+        self.pools: defaultdict[NodeAddress, list[Link]] = defaultdict(list)
         self.links: Counter[str] = Counter()     # connections by node, those coming up with them
         self.limits = core.gateway.limits        # of the whole fleet
         self.limits.open_connections = self._links
         self._sweep()
 
-    def renew(self, config: Config) -> None:
+    def apply_config(self, config: Config) -> None:
         """The times of another configuration count from now on."""
         self.dial_timeout = config.dial_timeout
         self.idle_limit = config.conn_idle * IDLE_PART
@@ -92,7 +100,7 @@
         self.rest = max(ANSWER_REST, REST_AIM * min(c.aim for c in config.settings.classes))
         self.grace = config.settings.drain_grace * GRACE_PART
 
-    def share(self, shared: bool) -> None:
+    def share_descriptors(self, shared: bool) -> None:
         """Whether another process of this limiter still has connections, of the same descriptors."""
         self.most = self.share_of // 2 if shared else self.share_of
 
@@ -109,7 +117,8 @@
         """Idle connections go well before the node closes them, and when their node has left the list."""
         self.wheel.after(min(self.idle_limit / 4, SWEPT), self._sweep)
         now = self.wheel.now()
-        listed = {Place(name, m.place) for name, m in self.machines.of.items() if m.closed_at is None}
+        listed = {NodeAddress(name, m.place) for name, m in self.machines.by_id.items()
+                  if m.closed_at is None}
         for place, pool in list(self.pools.items()):
             for link in list(pool):
                 if (now - link.since > max(self.fresh, SWEPT) or place not in listed
@@ -118,17 +127,17 @@
             if not pool:
                 del self.pools[place]
 
-    def _drop(self, place: Place, link: Link) -> None:
+    def _drop(self, place: NodeAddress, link: Link) -> None:
         if link in self.pools[place]:
             self.pools[place].remove(link)
         self._end(place, link)
 
-    def _end(self, place: Place, link: Link) -> None:
+    def _end(self, place: NodeAddress, link: Link) -> None:
         link.reader.on_end = None
         link.abort()
         self._closed(place)
 
-    def _closed(self, place: Place) -> None:
+    def _closed(self, place: NodeAddress) -> None:
         self.open -= 1
         self.links[place.server] -= 1
         if not self.links[place.server]:
@@ -139,13 +148,13 @@
         server = self.core.gateway.server_pool.by_short_id.get(short)
         return self.links[server.entry.server] if server is not None else 0
 
-    def _beyond(self, place: Place, more: int) -> bool:
+    def _beyond(self, place: NodeAddress, more: int) -> bool:
         """Whether ``more`` connections to a node would be beyond this limiter's share of the limit."""
         server = self.core.gateway.servers.get(place.server) if self.limits.node_attempts else None
         return server is not None and (
             self.links[place.server] + more > self.limits.allowed(self.wheel.now(), server.short_id))
 
-    def _pooled(self, place: Place) -> Link | None:
+    def _pooled(self, place: NodeAddress) -> Link | None:
         """The connection that was used last, of those that have rested."""
         pool, now = self.pools.get(place, []), self.wheel.now()
         for link in reversed(pool):
@@ -153,7 +162,7 @@
                 break
             if now - link.since >= REST:
                 pool.remove(link)
-                link.reader.on_end, link.reader.quiet = None, False
+                link.reader.on_end, link.reader.expect_silence = None, False
                 return link
         return None
 
@@ -164,17 +173,17 @@
         elif not stale and rest > self.fresh / 2:
             self.fresh = min(self.idle_limit, self.fresh * FRESH_GROW)
 
-    def _keep(self, place: Place, link: Link) -> None:
+    def _keep(self, place: NodeAddress, link: Link) -> None:
         # Bytes behind an answer belong to no job: the next one's answer would be read from them.
-        if (self.retired or link.reader.ended() or link.more() or not link.again()
+        if (self.retired or link.reader.ended() or link.has_unread_data() or not link.start_next_cycle()
                 or self._beyond(place, 0)):
             self._end(place, link)
             return
         link.since = self.wheel.now()
-        link.reader.on_end, link.reader.quiet = lambda: self._drop(place, link), True
+        link.reader.on_end, link.reader.expect_silence = lambda: self._drop(place, link), True
         self.pools[place].append(link)
 
-    async def _dial(self, place: Place, within: float, attempt: _Attempt) -> Link | None:
+    async def _dial(self, place: NodeAddress, within: float, attempt: _Attempt) -> Link | None:
         if self.open >= self.most:
             idle = [(link.since, at) for at, pool in self.pools.items() for link in pool[:1]]
             if not idle:
@@ -195,7 +204,7 @@
         dialling = attempt.dialling = asyncio.ensure_future(dial(*place.address))
         link = None
         try:
-            link = await finished(dialling, within, self.wheel)
+            link = await await_connection(dialling, within, self.wheel)
         finally:
             attempt.dialling = None
             if link is None:
@@ -208,17 +217,17 @@
 
     # Attempts -----------------------------------------------------------------------------
 
-    async def attempt(self, job: Job, send: io.Send, content: Content, sink: Sink) -> Ended:
+    async def attempt(self, job: Job, send: io.Send, content: Content, sink: Sink) -> AttemptOutcome:
         """One attempt, from the choice of a connection to its one outcome.
 
         An answer that is too long to be held goes to ``sink``."""
         started = self.wheel.now()
         job.attempts += 1
-        machine = self.machines.of.get(send.server)
+        machine = self.machines.by_id.get(send.server)
         left = min(job.due - started, send.timeout or job.due - started)
         if machine is None or left <= 0:
-            return Ended(io.Result.NOT_SENT, 0.0)
-        place, attempt = Place(send.server, machine.place), _Attempt(send.server, started)
+            return AttemptOutcome(io.Result.NOT_SENT, 0.0)
+        place, attempt = NodeAddress(send.server, machine.place), _Attempt(send.server, started)
         job.abort_attempt = attempt.stop
         attempt.timer = self.wheel.after(left, attempt.stop, io.Result.TIMEOUT)
         link: Link | None = None
@@ -230,20 +239,20 @@
                 link = await self._dial(place, min(left, self.dial_timeout), attempt)
             if link is None:
                 result = io.Result.CONNECT_FAILED if attempt.result is None else io.Result.NOT_SENT
-                return Ended(result, self.wheel.now() - started, stale=attempt.ours)
+                return AttemptOutcome(result, self.wheel.now() - started, stale=attempt.ours)
             await self.core.charge(job, send.stamp)
             if attempt.result is not None:           # called off or out of time before a byte was written
                 kept = True
                 self._keep(place, link)
-                return Ended(io.Result.NOT_SENT, self.wheel.now() - started)
+                return AttemptOutcome(io.Result.NOT_SENT, self.wheel.now() - started)
             # The dial may have taken longer than the node's drain grace: nothing new goes there after it.
             if machine.closed_at is not None and self.wheel.now() - machine.closed_at > self.grace:
                 self.core.counters.add("held_back.drain")
-                return Ended(io.Result.NOT_SENT, self.wheel.now() - started)
+                return AttemptOutcome(io.Result.NOT_SENT, self.wheel.now() - started)
             if job.may_send is not None and not job.may_send():
                 kept = True
                 self._keep(place, link)
-                return Ended(io.Result.NOT_SENT, self.wheel.now() - started)
+                return AttemptOutcome(io.Result.NOT_SENT, self.wheel.now() - started)
             attempt.link = link
             wait = max(0.001, (started + left - self.wheel.now()) / 1000.0)
             head = h11.Request(method=content.method, target=content.target, headers=[
@@ -270,7 +279,7 @@
                 self._end(place, link)
 
     async def _carried(self, link: Link, attempt: _Attempt, job: Job, sink: Sink, head: h11.Request,
-                       upload: Upload) -> Ended:
+                       upload: Upload) -> AttemptOutcome:
         """An attempt whose body flows.  An answer may come before its end; the body is broken off then."""
         sending = asyncio.ensure_future(self._carry(link, attempt, job, head, upload))
         answering = asyncio.ensure_future(self._answer(link, attempt, job, sink, sending))
@@ -285,7 +294,7 @@
                 sending.cancel()
             await asyncio.wait((sending, answering))
         if not sending.cancelled() and isinstance(error := sending.exception(), _OF_SUBMITTERS):
-            raise BrokenOffError from error
+            raise UploadAbortedError from error
         if sending.cancelled() or sending.exception() is not None:
             return ended._replace(whole=False)
         return ended
@@ -293,7 +302,7 @@
     async def _carry(self, link: Link, attempt: _Attempt, job: Job, head: h11.Request,
                      upload: Upload) -> None:
         link.writer.write(link.http.send(head) or b"")
-        async for part in upload.pieces():
+        async for part in upload.chunks():
             data = link.http.send(h11.Data(data=part))
             try:
                 link.writer.write(data or b"")
@@ -305,7 +314,7 @@
         attempt.timer = self.wheel.after(job.due - self.wheel.now(), attempt.stop, io.Result.TIMEOUT)
 
     async def _answer(self, link: Link, attempt: _Attempt, job: Job, sink: Sink,
-                      sending: asyncio.Future[None] | None = None) -> Ended:
+                      sending: asyncio.Future[None] | None = None) -> AttemptOutcome:
         """What comes back.  Between two pieces of an answer that is held lies no more than ``rest``."""
         unsent, head, body = True, None, b""
         began = attempt.began
@@ -323,7 +332,7 @@
                 unsent = False
                 self._written(job)
             else:
-                reading = asyncio.ensure_future(link.head(more))
+                reading = asyncio.ensure_future(link.read_head(more))
                 await asyncio.wait((reading, sending), return_when=asyncio.FIRST_COMPLETED)
                 if sending.done() and sending.exception() is None:
                     unsent, began = False, self.wheel.now()
@@ -338,9 +347,9 @@
                         self._written(job)
                     elif head.status_code == 200:
                         raise h11.RemoteProtocolError("it came before its request was whole")
-            head = head or await link.head(more)
+            head = head or await link.read_head(more)
             if head is not None and head.status_code == 200:
-                if (link.length or 0) > MOST_BULK:
+                if (link.length or 0) > MAX_BODY_BYTES:
                     raise TooLongError
                 took = self.wheel.now() - began
                 body, whole = await self._held(link, more)
@@ -350,8 +359,8 @@
                     attempt.timer.cancel()
                     return await self._passed(link, attempt, job, sink, head, body, took)
             elif head is not None:
-                while await link.piece(more) is not None:
-                    if link.size > MOST_BODY:
+                while await link.read_chunk(more) is not None:
+                    if link.body_bytes > MAX_BUFFERED_BYTES:
                         raise TooLongError
         except OSError:
             head = None
@@ -366,7 +375,7 @@
                 timer.cancel()
         took = self.wheel.now() - began
         if attempt.result is not None:
-            return Ended(attempt.result, took)
+            return AttemptOutcome(attempt.result, took)
         if head is None:
             # Broken before the last byte left: it cannot have run.  After that, or with an answer that
             # nobody can read, it may have.
@@ -374,11 +383,11 @@
                 self.core.counters.add("errors.spoilt_answer")
                 log.info("a spoilt answer: %s", attempt.spoilt)
             result = io.Result.CONNECT_FAILED if unsent else io.Result.RESET
-            return Ended(result, took, spoilt=bool(attempt.spoilt))
+            return AttemptOutcome(result, took, spoilt=bool(attempt.spoilt))
         if head.status_code == 200:
-            return Ended(io.Result.OK, took, _kind(head), body)
+            return AttemptOutcome(io.Result.OK, took, _kind(head), body)
         unseen = head.status_code in (503, 504) and (b"x-unprocessed", b"1") in list(head.headers)
-        return Ended(io.Result.FULL if unseen else io.Result.ERROR, took)
+        return AttemptOutcome(io.Result.FULL if unseen else io.Result.ERROR, took)
 
     def _written(self, job: Job) -> None:
         """An attempt's last byte has left."""
@@ -392,21 +401,21 @@
         """As much of an answer as may be held, and whether that is all of it."""
         parts: list[bytes] = []
         until = self.wheel.now() + HOLD
-        while link.length is None or link.length <= MOST_BODY:
-            part = await link.piece(more)
+        while link.length is None or link.length <= MAX_BUFFERED_BYTES:
+            part = await link.read_chunk(more)
             if part is None:
                 return b"".join(parts), True
             parts.append(part)
-            if link.length is None and (link.size > MOST_BODY or self.wheel.now() > until):
+            if link.length is None and (link.body_bytes > MAX_BUFFERED_BYTES or self.wheel.now() > until):
                 break
         return b"".join(parts), False
 
     async def _passed(self, link: Link, attempt: _Attempt, job: Job, sink: Sink, head: h11.Response,
-                      first: bytes, took: float) -> Ended:
+                      first: bytes, took: float) -> AttemptOutcome:
         """The rest of an answer, piece by piece; who stops taking it, or giving it, ends it."""
         self.core.stream_started(job, attempt.server, took)
         self.core.counters.add("streamed")
-        stall = self.wheel.after(STALL, link.abort)
+        stall = self.wheel.after(STALL_TIMEOUT_MS, link.abort)
         whole = False
         try:
             await sink.begin(_kind(head), link.length)
@@ -415,9 +424,9 @@
                 if part:
                     await sink.piece(part)
                 stall.cancel()
-                stall = self.wheel.after(STALL, link.abort)
-                part = await link.piece()
-                if link.size > MOST_BULK:
+                stall = self.wheel.after(STALL_TIMEOUT_MS, link.abort)
+                part = await link.read_chunk()
+                if link.body_bytes > MAX_BODY_BYTES:
                     raise TooLongError
             await sink.end()
             whole = True
@@ -426,7 +435,7 @@
             log.info("an answer was broken off: %s", error or type(error).__name__)
         finally:
             stall.cancel()
-        return Ended(io.Result.OK, took, streamed=True, whole=whole)
+        return AttemptOutcome(io.Result.OK, took, streamed=True, whole=whole)
 
 
 def _kind(head: h11.Response) -> bytes:
--- a/larklb/net/front.py
+++ b/larklb/net/front.py
@@ -18,16 +18,23 @@
 from larklb.core import Core, Job
 from larklb.fields import MalformedError, parse_account, parse_decimal, parse_quota_info
 from larklb.fleet.custody import LEASE_MS, StoredAnswer
-from larklb.net.bulk import STALL, BrokenOffError, Upload
-from larklb.net.console import MOST_AT_ONCE
-from larklb.net.execute import Content, Ended, ExecuteNodes
-from larklb.net.http import MOST_BODY, MOST_BULK, LateError, Link, TooLongError, WatchedReader
+from larklb.net.bulk import STALL_TIMEOUT_MS, Upload, UploadAbortedError
+from larklb.net.console import MAX_CONSOLE_CONNECTIONS
+from larklb.net.execute import AttemptOutcome, Content, ExecuteNodes
+from larklb.net.http import (
+    MAX_BODY_BYTES,
+    MAX_BUFFERED_BYTES,
+    Link,
+    PeerTooSlowError,
+    TooLongError,
+    WatchedReader,
+)
 from larklb.phase import Phase
 from larklb.quota.table_limits import CUSTOMER_MEMORY_PART, PROCESS_BASE_MB
 from larklb.settings import Config
 
 if TYPE_CHECKING:
-    from larklb.net.keeper import Hold, Keeper
+    from larklb.net.keeper import CustodyKeeper, Hold
 
 log = logging.getLogger(__name__)
 
@@ -115,7 +122,7 @@
 
 def upload_time(upload: Upload) -> float:
     """The longest that the rest of a body may take, in ms."""
-    rest = MOST_BULK if upload.length is None else upload.length
+    rest = MAX_BODY_BYTES if upload.length is None else upload.length
     return HALF_MESSAGE + (rest - len(upload.first)) / SLOWEST
 
 
@@ -133,7 +140,8 @@
         # What customers' tables and the program leave of the memory is for bodies and answers that flow.
         self.flows = asyncio.Semaphore(max(LEAST_FLOWS, int(
             (config.memory_mb - PROCESS_BASE_MB) * (1.0 - CUSTOMER_MEMORY_PART) / FLOW_MB)))
-        self.most = int(config.sockets * SOCKETS_PART) - (MOST_AT_ONCE if config.admin is not None else 0)
+        self.most = int(config.sockets * SOCKETS_PART) - (
+            MAX_CONSOLE_CONNECTIONS if config.admin is not None else 0)
         self.kept = int(config.sockets * KEPT_PART)
         self.links: dict[Link, None] = {}      # that count: a closed one's task may still be on its way out
         self.strangers: dict[Link, None] = {}  # of these, those with no message yet, the oldest first ...
@@ -143,8 +151,9 @@
         self.ended = False              # nothing more is taken
         self.resting = False            # what is not taken up yet waits in the sockets
         # Where another process has our place: passes a connection that rests on to it, False if it cannot.
-        self.pass_on: Callable[[Link], bool] | None = None
-        self.keeper: Keeper | None = None       # of jobs that must not run twice, where there is custody
+        self.transfer_connection: Callable[[Link], bool] | None = None
+        # Set where custody of jobs that must not run twice is configured.
+        self.keeper: CustodyKeeper | None = None
         self._sweep()
 
     def _protocol(self, new: bool = True) -> asyncio.StreamReaderProtocol:
@@ -188,7 +197,7 @@
         sock.setblocking(False)
         await asyncio.get_running_loop().connect_accepted_socket(lambda: self._protocol(new), sock)
 
-    def rest(self) -> socket.socket:
+    def pause_accepting(self) -> socket.socket:
         """Takes up nothing new: what comes waits in the sockets.  Returns the listening one, to be kept."""
         assert self.server is not None
         kept = socket.socket(fileno=os.dup(self.server.sockets[0].fileno()))
@@ -196,21 +205,21 @@
         asyncio.get_running_loop().remove_reader(self.server.sockets[0].fileno())
         self.resting = True
         for link in self.links:
-            if not link.busy and not link.more():
+            if not link.busy and not link.has_unread_data():
                 link.pause()
         return kept
 
-    async def go_on(self, listening: socket.socket) -> None:
+    async def resume_accepting(self, listening: socket.socket) -> None:
         """After a rest, or when the process that had our place has gone."""
-        self.resting, self.pass_on = False, None
+        self.resting, self.transfer_connection = False, None
         self._close_server()
         for link in self.links:
             link.resume()
         await self.start(listening)
 
-    def hand_on(self, pass_on: Callable[[Link], bool]) -> None:
+    def start_handover(self, transfer_connection: Callable[[Link], bool]) -> None:
         """Another process has our place: each connection goes to it as it rests."""
-        self.resting, self.pass_on = False, pass_on
+        self.resting, self.transfer_connection = False, transfer_connection
         self._close_server()
         self._let_go()
 
@@ -223,13 +232,13 @@
         self.phase.move("stop", self.wheel.now())
         if not self.resting:              # else the next process is about to have them
             self._let_go()
-        if self.pass_on is None:
+        if self.transfer_connection is None:
             await self.wheel.sleep(LINGER)
         if self.server is not None and self.server.sockets:
             asyncio.get_running_loop().remove_reader(self.server.sockets[0].fileno())
             await self.wheel.sleep(1.0)
             self._close_server()
-        self.ended = self.pass_on is None
+        self.ended = self.transfer_connection is None
         while self.tasks:
             self._let_go()
             await asyncio.wait(self.tasks, timeout=SWEEP / 1000.0)
@@ -239,14 +248,14 @@
         for link in list(self.links):
             if link.busy:
                 continue
-            if self.pass_on is not None:
+            if self.transfer_connection is not None:
                 self._pass_on(link)
-            elif link.silent():
+            elif link.received_nothing():
                 link.writer.close()
 
     def _pass_on(self, link: Link) -> bool:
         link.pause()
-        if link.more() or self.pass_on is None or not self.pass_on(link):
+        if link.has_unread_data() or self.transfer_connection is None or not self.transfer_connection(link):
             link.resume()
             return False
         self.core.counters.add("passed_on")
@@ -257,33 +266,34 @@
         """What says nothing, or hangs in the middle of a message, must not hold a descriptor for good."""
         self.wheel.after(SWEEP, self._sweep)      # first: a sweep that fails must not be the last
         now = self.wheel.now()
-        if self.pass_on is not None or self.phase.closes_idle_connections(now):
+        if self.transfer_connection is not None or self.phase.closes_idle_connections(now):
             self._let_go()
         for link in list(self.links):
             if link.busy:
-                if link.in_body() and link.waits_since and self._too_slow(link, now):
-                    link.reader.give_up()
+                if link.receiving_body() and link.waiting_since and self._too_slow(link, now):
+                    link.reader.mark_too_slow()
                 continue
-            if not link.more():
-                link.begun = 0.0
-            elif not link.begun:
-                link.begun = now
-            if link.in_body():
+            if not link.has_unread_data():
+                link.partial_since = 0.0
+            elif not link.partial_since:
+                link.partial_since = now
+            if link.receiving_body():
                 if self._too_slow(link, now):
                     self.core.counters.add("errors.half_message")
-                    link.reader.give_up()
-            elif now - (link.begun or link.since) > (HALF_MESSAGE if link.new or link.begun else IDLE):
-                self.core.counters.add("errors.half_message" if link.more() else "closed.idle")
-                if link.more():
-                    link.reader.give_up()            # it is told so, and closed
+                    link.reader.mark_too_slow()
+            elif now - (link.partial_since or link.since) > (
+                    HALF_MESSAGE if link.new or link.partial_since else IDLE):
+                self.core.counters.add("errors.half_message" if link.has_unread_data() else "closed.idle")
+                if link.has_unread_data():
+                    link.reader.mark_too_slow()            # it is told so, and closed
                 else:
                     self._close(link)
 
     @staticmethod
     def _too_slow(link: Link, now: float) -> bool:
         """Whether a body has been waited for longer than the slowest may take."""
-        waited = link.waited + (now - link.waits_since if link.waits_since else 0.0)
-        return waited > HALF_MESSAGE + link.size / SLOWEST
+        waited = link.body_wait_ms + (now - link.waiting_since if link.waiting_since else 0.0)
+        return waited > HALF_MESSAGE + link.body_bytes / SLOWEST
 
     def _close(self, link: Link) -> None:
         """Ends a connection that carries no job; its descriptor is free as soon as the loop comes round."""
@@ -300,7 +310,7 @@
         if len(self.links) < self.most:
             return True
         now = self.wheel.now()
-        silent = (link for link in itertools.islice(self.strangers, LOOKS) if link.silent())
+        silent = (link for link in itertools.islice(self.strangers, LOOKS) if link.received_nothing())
         link = stranger = next(silent, None)
         idle = next(iter(self.idle), None)
         if stranger is None or now - stranger.since < JUST_NOW:
@@ -321,7 +331,7 @@
         self.links[link] = self.strangers[link] = None
         try:
             while await self._message(link):
-                link.since, link.begun, link.new = self.wheel.now(), 0.0, False
+                link.since, link.partial_since, link.new = self.wheel.now(), 0.0, False
                 self.idle[link] = None
         except OSError:
             self.core.counters.add("errors.submitter_gone")
@@ -338,37 +348,37 @@
         link.busy = False
         if self.ended:
             return False
-        if not link.more():
-            if self.pass_on is not None and self._pass_on(link):
+        if not link.has_unread_data():
+            if self.transfer_connection is not None and self._pass_on(link):
                 return False
             if self.resting:
                 link.pause()
         try:
-            head = await link.head()
+            head = await link.read_head()
             if head is None:
                 return False
-            if (link.length or 0) > MOST_BULK:
+            if (link.length or 0) > MAX_BODY_BYTES:
                 raise TooLongError
             parts, whole = [], False
-            while not whole and link.size < MOST_BODY:
-                part = await link.piece()
+            while not whole and link.body_bytes < MAX_BUFFERED_BYTES:
+                part = await link.read_chunk()
                 whole = part is None
                 parts.append(part or b"")
-            whole = whole or link.length == link.size and await link.piece() is None
+            whole = whole or link.length == link.body_bytes and await link.read_chunk() is None
             self._taken_up(link)
-            if whole and link.behind() > FLOOD:
+            if whole and link.pipelined_requests() > FLOOD:
                 raise h11.RemoteProtocolError("a flood of requests before the answer to one", 400)
             return await self._answer(link, head, b"".join(parts), whole)
-        except LateError:
-            if not link.may_answer():
+        except PeerTooSlowError:
+            if not link.can_respond():
                 return False             # it has had its answer
             answer = Answer(408, b"it came too slowly", close=True)
         except TooLongError:
-            if not link.may_answer():
+            if not link.can_respond():
                 return False
             answer = Answer(413, close=True)
         except h11.RemoteProtocolError as error:
-            if link.reader.ended() or not link.may_answer():
+            if link.reader.ended() or not link.can_respond():
                 return False
             answer = Answer(error.error_status_hint, str(error).encode(), close=True)
         self._taken_up(link)
@@ -385,7 +395,7 @@
             await self._read_away(link)
             return False
         await self._body_away(link)
-        return not close and link.again()
+        return not close and link.start_next_cycle()
 
     def _taken_up(self, link: Link) -> None:
         link.busy = True
@@ -397,14 +407,14 @@
         timer = self.wheel.after(READ_AWAY, link.abort)
         link.writer.write_eof()
         for _ in range(MOST_READS):
-            if not await link.reader.read(MOST_BODY):
+            if not await link.reader.read(MAX_BUFFERED_BYTES):
                 break
         timer.cancel()
 
     async def _body_away(self, link: Link) -> None:
         """The rest of a body that nobody wants any more: its sender may read the answer only behind it."""
-        while link.in_body() and await link.piece() is not None:
-            if link.size > MOST_BULK:
+        while link.receiving_body() and await link.read_chunk() is not None:
+            if link.body_bytes > MAX_BODY_BYTES:
                 raise TooLongError
             if self.phase.leaving:               # nobody's job waits for it
                 return await self._read_away(link)
@@ -413,7 +423,7 @@
         """Whether the connection ends with the answer that goes out now."""
         # Many ask once and stay.  They may hold so many connections and no more: then nobody can ask.
         many = link.new and len(self.idle) >= self.kept
-        return many or self.phase.leaving and self.pass_on is None
+        return many or self.phase.leaving and self.transfer_connection is None
 
     def _write(self, link: Link, answer: Answer, close: bool) -> None:
         headers = [(b"Content-Type", answer.kind), (b"Content-Length", b"%d" % len(answer.body))]
@@ -439,9 +449,9 @@
             # The same id twice at once would put two attempts of one request out together.
             return await self._reply(link, Answer(409, b"this request is already in work", close=not whole))
         repeat = any(n == b"x-repeat" and v.strip() == b"1" for n, v in head.headers)
-        return await self._life(link, request, content, repeat)
+        return await self._process_job(link, request, content, repeat)
 
-    async def _life(self, link: Link, request: io.Request, content: Content, repeat: bool) -> bool:
+    async def _process_job(self, link: Link, request: io.Request, content: Content, repeat: bool) -> bool:
         """The whole life of a job, to the last byte of its answer; ``repeat``: another try has been
         before."""
         counters = self.core.counters
@@ -463,7 +473,7 @@
                 self.core.abandon(job)
             if content.upload is not None:
                 wait = request.due - upload_time(content.upload) - self.wheel.now()
-                content.upload.tell(functools.partial(self.core.body_consumed, job),
+                content.upload.set_callbacks(functools.partial(self.core.body_consumed, job),
                                     lambda: self.core.set_due(job, self.wheel.now() + wait))
             answer, word = await self._decided(job, content, sink, hold)
         except Exception:
@@ -485,7 +495,7 @@
                 return more
             if sink.whole:
                 await self._body_away(link)
-                return not sink.close and link.again()
+                return not sink.close and link.start_next_cycle()
             self._close(link)             # so that the submitter can tell that its answer is not whole
             return False
         except OSError:
@@ -527,8 +537,8 @@
                         again = Answer(503, retry_after=min(self.core.settings.max_retry_after, LEASE_MS))
                         return (Answer(502), "failed") if hold.began else (again, "refused")
                     try:
-                        ended: Ended = await self.nodes.attempt(job, action, content, sink)
-                    except BrokenOffError as error:
+                        ended: AttemptOutcome = await self.nodes.attempt(job, action, content, sink)
+                    except UploadAbortedError as error:
                         self.core.attempt_ended(job, action.server, io.Result.CONNECT_FAILED, 0.0, stale=True)
                         return _broken_off(error.__cause__), "failed"
                     self.core.attempt_ended(job, action.server, ended.result, ended.took, ended.spoilt,
@@ -549,7 +559,7 @@
 
 def _broken_off(error: BaseException | None) -> Answer:
     """What a submitter is told whose body failed in the middle, if it is still there."""
-    if isinstance(error, LateError):
+    if isinstance(error, PeerTooSlowError):
         return Answer(408, b"its body came too slowly", close=True)
     if isinstance(error, TooLongError):
         return Answer(413, close=True)
@@ -598,7 +608,7 @@
 
     async def _out(self) -> None:
         """A submitter may be slow, and not for good."""
-        timer = self.front.wheel.after(STALL, self.link.abort)
+        timer = self.front.wheel.after(STALL_TIMEOUT_MS, self.link.abort)
         try:
             await self.link.writer.drain()
         finally:
--- a/larklb/net/handover.py
+++ b/larklb/net/handover.py
@@ -39,7 +39,7 @@
     """The other process cannot be understood or does not answer; the text is one line."""
 
 
-class Parcel(NamedTuple):
+class HandoverState(NamedTuple):
     """The state of the old process, its listening socket, and the one between limiters if it has one."""
 
     state: bytes
@@ -47,7 +47,8 @@
     peers: socket.socket | None
 
 
-def meeting_place(name: str, listen: tuple[str, int], env: Mapping[str, str] = os.environ) -> Path | None:
+def handover_socket_path(name: str, listen: tuple[str, int],
+                         env: Mapping[str, str] = os.environ) -> Path | None:
     """Where the processes of a limiter meet; None where no folder can be written or the path is too long."""
     folder = Path(env.get("TMPDIR") or tempfile.gettempdir())
     who = hashlib.sha256(f"{os.getuid()} {name} {listen[0]}:{listen[1]}".encode()).hexdigest()
@@ -64,11 +65,11 @@
         self.sock, self.wheel, self.loop = sock, wheel, asyncio.get_running_loop()
         self.ended = self.gone = False          # closed here, or by the other side
         self.on_packet: Callable[[bytes, list[int]], object] | None = None
-        self.on_end: Callable[[], object] = bool
+        self.on_close: Callable[[], object] = bool
         sock.setblocking(False)
 
-    def listen(self, on_packet: Callable[[bytes, list[int]], object], on_end: Callable[[], object]) -> None:
-        self.on_packet, self.on_end = on_packet, on_end
+    def listen(self, on_packet: Callable[[bytes, list[int]], object], on_close: Callable[[], object]) -> None:
+        self.on_packet, self.on_close = on_packet, on_close
         self.loop.add_reader(self.sock.fileno(), self._readable)
 
     def _readable(self) -> None:
@@ -81,7 +82,7 @@
                 packet, fds = b"", []
             if not packet:
                 self.close()
-                self.on_end()
+                self.on_close()
             elif self.on_packet is not None:
                 self.on_packet(packet, list(fds))
 
@@ -135,7 +136,7 @@
     return bool(uid == os.getuid())
 
 
-async def find(path: Path, wheel: Wheel) -> Channel | None:
+async def connect_predecessor(path: Path, wheel: Wheel) -> Channel | None:
     """The running process at the meeting place, greeted; None where none lives there.
 
     HandoverError where one lives there that does not answer, or speaks another version."""
@@ -170,7 +171,7 @@
     return channel
 
 
-async def take(channel: Channel) -> Parcel:
+async def receive_state(channel: Channel) -> HandoverState:
     """All that the old process has; it waits for TAKEN then."""
     await channel.send_all(GIVE, b"")
     state = bytearray()
@@ -184,10 +185,10 @@
     if not 1 <= len(fds) <= 2:
         raise HandoverError("it came without its sockets")
     sockets = [socket.socket(fileno=fd) for fd in fds]
-    return Parcel(bytes(state), sockets[0], sockets[1] if len(sockets) > 1 else None)
+    return HandoverState(bytes(state), sockets[0], sockets[1] if len(sockets) > 1 else None)
 
 
-async def give(channel: Channel, parcel: Parcel) -> None:
+async def send_state(channel: Channel, parcel: HandoverState) -> None:
     """The other side of ``take``; returns when the new process has said TAKEN."""
     *parts, last = [parcel.state[at:at + PACKET] for at in range(0, len(parcel.state), PACKET)]
     for part in parts:
@@ -199,7 +200,7 @@
         raise HandoverError("it did not take over")
 
 
-class Door:
+class HandoverListener:
     """Where a running process is met by the next one; ``met`` is called with each that has said HELLO."""
 
     def __init__(self, path: Path, wheel: Wheel, met: Callable[[Channel], object]) -> None:
--- a/larklb/net/keeper.py
+++ b/larklb/net/keeper.py
@@ -35,7 +35,7 @@
     StoredAnswer,
 )
 from larklb.net.execute import Content, ExecuteNodes
-from larklb.net.http import MOST_BODY
+from larklb.net.http import MAX_BUFFERED_BYTES
 from larklb.net.link import Links
 from larklb.phase import Phase
 from larklb.quota.ring import digest
@@ -45,10 +45,11 @@
 T = TypeVar("T")
 
 POLL_MS = 40.0             # between looks at a job that is in hand elsewhere
-DUEL_MS = 12.0             # and chance within it, before a claim that met another is made again
+CLAIM_BACKOFF_MS = 12.0             # and chance within it, before a claim that met another is made again
 SPARE_MS = 60.0            # before a try's time is up it is answered, whoever has the job
 HELD_MS = 30.0             # a job that waits longer for its send is told with its contents
-ROUNDS = 3                 # claims of an heir without a submitter, before it looks again: others may be ahead
+# Claims made to take over an orphaned job before the next scan: another custodian may be ahead.
+MAX_TAKEOVER_CLAIMS = 3
 RELEASES = 4               # tries to tell that a job was let go ...
 RELEASE_S = 0.2            # ... so far apart
 
@@ -56,7 +57,7 @@
 class Hold:
     """A job in this limiter's hand."""
 
-    def __init__(self, keeper: Keeper, hand: HolderSession, record: Record) -> None:
+    def __init__(self, keeper: CustodyKeeper, hand: HolderSession, record: Record) -> None:
         self.keeper, self.hand, self.record = keeper, hand, record
         now = keeper.now()
         self.sent = [(s, now - s.age) for s in record.sent]      # attempts, and when they left
@@ -64,13 +65,13 @@
         self.over = False
         self.began = False                         # an attempt of this very try may have left
 
-    def told_sent(self) -> tuple[SentAttempt, ...]:
+    def sent_attempts(self) -> tuple[SentAttempt, ...]:
         """What was sent, with its ages now."""
         now = self.keeper.now()
         return tuple(msgspec.structs.replace(s, age=now - at) for s, at in self.sent)
 
     def _record(self, state: JobState, answer: StoredAnswer | None = None, why: str = "") -> Record:
-        now, sent = self.keeper.now(), self.told_sent()
+        now, sent = self.keeper.now(), self.sent_attempts()
         if len(sent) > cu.MAX_RECORDED_ATTEMPTS:               # the first decides what may follow
             sent = (sent[0], *sent[1 - cu.MAX_RECORDED_ATTEMPTS:])
         return msgspec.structs.replace(self.record, state=state, left=self.due - now, sent=sent,
@@ -129,7 +130,7 @@
             self.keeper.release(self)
 
 
-class Keeper:
+class CustodyKeeper:
     """Of one limiter: its custodian, the jobs in its hand, and the words to the others."""
 
     def __init__(self, config: Config, entry: CustodyEntry, zones: dict[int, str], core: Core,
@@ -271,7 +272,7 @@
                 return ClaimOutcome.UNSURE
             if enough():
                 return ClaimOutcome.WAIT
-            pause = POLL_MS if turn is ClaimOutcome.WAIT else self.random.uniform(0.2, 1.0) * DUEL_MS
+            pause = POLL_MS if turn is ClaimOutcome.WAIT else self.random.uniform(0.2, 1.0) * CLAIM_BACKOFF_MS
             await asyncio.sleep(pause / 1000.0)
 
     async def keep(self, hand: HolderSession, record: Record) -> bool:
@@ -358,7 +359,7 @@
             hand = HolderSession(self.number, self.start_number, record.key, record.body,
                         cu.group_of(record.key, self.limiters, self.zones))
             hand.term, rounds = term, itertools.count(1)
-            turn = await self._claim(hand, lambda: next(rounds) >= ROUNDS)
+            turn = await self._claim(hand, lambda: next(rounds) >= MAX_TAKEOVER_CLAIMS)
             told = hand.record
             if turn is not ClaimOutcome.ACQUIRED or told is None or told.content is None or told.left <= 0:
                 return
@@ -396,7 +397,7 @@
                         await hold.answered(200, ended.kind, ended.body)
                     return
             # Its attempts came to nothing: while its class allows another, its submitter may come for it.
-            if hold.sent and not cu.may_send_again(window, hold.told_sent()):
+            if hold.sent and not cu.may_send_again(window, hold.sent_attempts()):
                 await self._unknown(hold)
         finally:
             hold.close()
@@ -430,7 +431,8 @@
     """Nobody waits for an answer that is too long to be kept."""
 
     async def begin(self, kind: bytes, length: int | None) -> None:
-        raise OSError(f"an answer of {length} bytes has nobody to go to, and {MOST_BODY} can be kept")
+        raise OSError(f"no client waits for an answer of {length} bytes, and at most {MAX_BUFFERED_BYTES} "
+                      "bytes can be stored")
 
     async def piece(self, data: bytes) -> None:
         raise OSError("nobody is there")
--- a/larklb/net/link.py
+++ b/larklb/net/link.py
@@ -21,10 +21,10 @@
 
 log = logging.getLogger(__name__)
 
-MOST_FRAME = 256 * 1024    # bytes: a request and an answer of 64 KiB each, and what stands around them
+MAX_FRAME_BYTES = 256 * 1024    # bytes: a request and an answer of 64 KiB each, and what stands around them
 WHOLE_S = 2.5              # for the rest of a frame that has begun
-MOST_PENDING = 4096        # questions to one limiter that wait for an answer
-MOST_LINKS = 256           # connections that are taken in
+MAX_PENDING_REQUESTS = 4096        # questions to one limiter that wait for an answer
+MAX_INBOUND_LINKS = 256           # connections that are taken in
 AGAIN_S = 0.2              # after a connection that did not come up, or was silent, before another is tried
 _LENGTH = 4
 
@@ -62,7 +62,7 @@
     try:
         async with asyncio.timeout(WHOLE_S):
             length = int.from_bytes(first + await reader.readexactly(_LENGTH - 1), "big")
-            if not 0 < length <= MOST_FRAME:
+            if not 0 < length <= MAX_FRAME_BYTES:
                 raise FrameError(f"a frame of {length} bytes")
             return await reader.readexactly(length)
     except TimeoutError as error:
@@ -99,7 +99,7 @@
 
     async def start(self, host: str, port: int) -> None:
         """OSError where the address cannot be had."""
-        self.server = await asyncio.start_server(self._serve, host, port, limit=MOST_FRAME)
+        self.server = await asyncio.start_server(self._serve, host, port, limit=MAX_FRAME_BYTES)
 
     def ask(
         self, limiters: Iterable[int], ask: CustodyMessage, heard: Callable[[int, Reply | None], object]
@@ -118,7 +118,7 @@
         to, loop = self.to[limiter], asyncio.get_running_loop()
         number = next(self.numbers)
         data = _framed(_ENCODE.encode(_Packed(number, packed)))
-        if (len(data) > MOST_FRAME or len(to.waiting) >= MOST_PENDING
+        if (len(data) > MAX_FRAME_BYTES or len(to.waiting) >= MAX_PENDING_REQUESTS
                 or to.writer is None and loop.time() < to.again):
             heard(None)
             return
@@ -145,7 +145,7 @@
     async def _connected(self, to: _To) -> None:
         """One connection, from its start to its end."""
         try:
-            reader, writer = await asyncio.open_connection(*to.address, limit=MOST_FRAME)
+            reader, writer = await asyncio.open_connection(*to.address, limit=MAX_FRAME_BYTES)
         except OSError:
             to.again = asyncio.get_running_loop().time() + AGAIN_S
             self._lost(to)
@@ -183,7 +183,7 @@
             heard(None)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if len(self.taken) >= MOST_LINKS:
+        if len(self.taken) >= MAX_INBOUND_LINKS:
             writer.transport.abort()
             return
         self.taken.add(writer)
--- a/larklb/net/machines.py
+++ b/larklb/net/machines.py
@@ -12,7 +12,7 @@
 
 from larklb import interface as io
 from larklb.core import Core
-from larklb.net.http import Link, dial, finished
+from larklb.net.http import Link, await_connection, dial
 from larklb.settings import Config, ConfigError, MachineList, parse_address
 
 log = logging.getLogger(__name__)
@@ -22,7 +22,8 @@
 MOST_LINE = 4 * 1024 * 1024                # of a list; a longer one is not a list
 SILENCE = 2800.0                           # ms without a byte from a watch, which owes a line every 2 s
 DIAL = 2000.0                              # ms for a connection to discovery
-FIRST_LIST = 1000.0                        # ms that a start waits for the list as it is now, ahead of any job
+# How long a start waits for the current list before it accepts jobs.
+FIRST_LIST_TIMEOUT_MS = 1000.0
 
 
 @dataclass
@@ -37,38 +38,38 @@
     """The execute nodes by the name that all limiters share."""
 
     def __init__(self, config: Config, core: Core) -> None:
-        self.core, self.wheel, self.where = core, core.wheel, config.discovery
-        self.of: dict[str, Machine] = {}
+        self.core, self.wheel, self.discovery = core, core.wheel, config.discovery
+        self.by_id: dict[str, Machine] = {}
         self.generation = 0
         # Fixed once: the same start must always give the same instant, or the module sees a new process.
         self.offset = self.wheel.now() - time.time() * 1000.0
-        self.known = config.known
-        self.live = asyncio.Event()                # a list from discovery has come since the start
+        self.cached_list = config.known
+        self.list_received = asyncio.Event()                # a list from discovery has come since the start
 
-    async def first_list(self) -> bool:
+    async def wait_for_first_list(self) -> bool:
         """Waits, ``FIRST_LIST`` ms at most, for discovery's first word; whether it came.
 
         The list in the configuration may be seconds old at a restart: a node that has begun to drain since
         would get new work from this start.  Discovery's own agent answers at once, so only a silent one costs
         the wait.
         """
-        waiting = asyncio.ensure_future(self.live.wait())
-        timer = self.wheel.after(FIRST_LIST, waiting.cancel)
+        waiting = asyncio.ensure_future(self.list_received.wait())
+        timer = self.wheel.after(FIRST_LIST_TIMEOUT_MS, waiting.cancel)
         try:
             await asyncio.wait((waiting,))
         finally:
             timer.cancel()
         return not waiting.cancelled()
 
-    def recall(self) -> None:
+    def apply_cached_list(self) -> None:
         """The list that this limiter held last, perhaps long ago."""
-        if self.known is not None:
-            self.apply(self.known, io.ListKind.CACHED)
+        if self.cached_list is not None:
+            self.apply(self.cached_list, io.ListKind.CACHED)
 
     def restore(self, of: dict[str, Machine], offset: float, generation: int, where: tuple[str, int]) -> None:
         """The list as another process of this limiter held it, which was told it by discovery ``where``."""
-        self.of, self.offset = of, offset
-        self.generation = generation if where == self.where else 0
+        self.by_id, self.offset = of, offset
+        self.generation = generation if where == self.discovery else 0
         self.core.feed(io.ServerList(io.ListKind.CHANGES, generation))
 
     def apply(self, news: MachineList, kind: io.ListKind) -> None:
@@ -83,12 +84,12 @@
                 # One entry that makes no sense must not cost the others.
                 self.core.counters.add("errors.list_entry")
                 continue
-            known = self.of.get(i.instance_id)
+            known = self.by_id.get(i.instance_id)
             closed_at = None if state is io.ServerState.UP else now
             if known is not None and known.closed_at is not None and closed_at is not None:
                 closed_at = known.closed_at
             if known is None:
-                self.of[i.instance_id] = Machine(place, closed_at)
+                self.by_id[i.instance_id] = Machine(place, closed_at)
             else:
                 known.place, known.closed_at = place, closed_at
             entries.append(io.Entry(
@@ -96,24 +97,24 @@
                 weight=i.weight, started=i.started_at_ms + self.offset if i.started_at_ms else None))
         if kind is not io.ListKind.CHANGES:
             named = {e.server for e in entries}
-            for name, machine in self.of.items():
+            for name, machine in self.by_id.items():
                 if name not in named and machine.closed_at is None:
                     machine.closed_at = now
-        for name, machine in list(self.of.items()):
+        for name, machine in list(self.by_id.items()):
             # Long gone: attempts that were out there are over.
             if machine.closed_at is not None and now - machine.closed_at > 60000.0:
-                del self.of[name]
+                del self.by_id[name]
         self.generation = news.generation
         if kind is not io.ListKind.CACHED:
-            self.live.set()
+            self.list_received.set()
         self.core.counters.add(f"list.{kind.value}")
         self.core.feed(io.ServerList(kind, news.generation, tuple(entries)))
 
-    def move(self, where: tuple[str, int]) -> bool:
+    def change_discovery(self, where: tuple[str, int]) -> bool:
         """Another discovery is to be watched; False where it is the same one."""
-        if where == self.where:
+        if where == self.discovery:
             return False
-        self.where = where
+        self.discovery = where
         # It may number its lists anew: asked from the old one's version it could hold changes back.
         self.generation = 0
         return True
@@ -132,7 +133,7 @@
             await self.wheel.sleep(wait)
 
     async def _watch_once(self) -> None:
-        link = await finished(asyncio.ensure_future(dial(*self.where)), DIAL, self.wheel)
+        link = await await_connection(asyncio.ensure_future(dial(*self.discovery)), DIAL, self.wheel)
         if link is None:
             raise TimeoutError("discovery cannot be reached")
         try:
--- a/larklb/net/peers.py
+++ b/larklb/net/peers.py
@@ -15,7 +15,7 @@
 
 log = logging.getLogger(__name__)
 
-AGAIN = 500.0              # ms before a socket that failed is opened again
+REOPEN_DELAY_MS = 500.0              # ms before a socket that failed is opened again
 
 
 class Peers(asyncio.DatagramProtocol):
@@ -40,7 +40,7 @@
         if not self.closing:
             self.core.counters.add("errors.peers_socket")
             log.error("the socket between limiters failed: %s", exc)
-            self.core.wheel.after(AGAIN, self._again)
+            self.core.wheel.after(REOPEN_DELAY_MS, self._again)
 
     def _again(self) -> None:
         async def again() -> None:
@@ -48,7 +48,7 @@
                 await self.open()
             except OSError as error:
                 log.error("the socket between limiters: %s", error)
-                self.core.wheel.after(AGAIN, self._again)
+                self.core.wheel.after(REOPEN_DELAY_MS, self._again)
         if not self.closing:
             self.opening = asyncio.ensure_future(again())
 
--- a/larklb/serve.py
+++ b/larklb/serve.py
@@ -28,8 +28,14 @@
 from larklb.net.console import Console
 from larklb.net.execute import ExecuteNodes
 from larklb.net.front import Front
-from larklb.net.handover import Channel, HandoverError, find, meeting_place, take
-from larklb.net.machines import FIRST_LIST, Machines
+from larklb.net.handover import (
+    Channel,
+    HandoverError,
+    connect_predecessor,
+    handover_socket_path,
+    receive_state,
+)
+from larklb.net.machines import FIRST_LIST_TIMEOUT_MS, Machines
 from larklb.phase import Phase
 from larklb.quota.entitlements import Entitlements
 from larklb.quota.table_limits import customers_for_memory
@@ -40,7 +46,7 @@
 if TYPE_CHECKING:
     from larklb.desk import Desk
     from larklb.grpc.front import RateLimitFront
-    from larklb.net.keeper import Keeper
+    from larklb.net.keeper import CustodyKeeper
     from larklb.store import BucketStore
 
 log = logging.getLogger(__name__)
@@ -83,11 +89,11 @@
     # What an operator's file adds (folders, addresses of its own) belongs to one process alone; and without a
     # second address nobody could tell when the next process is ready.
     succeeds = operator is None and config.admin is not None
-    place = meeting_place(config.name, config.listen) if succeeds else None
+    place = handover_socket_path(config.name, config.listen) if succeeds else None
     before = await _before(place, wheel, succession) if succeeds else Before()
     core.start()
     if before.handed is None:
-        machines.recall()
+        machines.apply_cached_list()
     store = await _store(config, store_entry, core) if store_entry is not None else None
     listener = await _listening(peers.listen(config, core, before.peers, before.shared))
     succession.peers = listener
@@ -98,9 +104,9 @@
         """SIGHUP: the file is checked whole, then taken whole; the list is watched at once where it says."""
         renewed = _renewed(config, core)
         if renewed is not None:
-            nodes.renew(renewed)
+            nodes.apply_config(renewed)
             succession.renewed()
-            if machines.move(renewed.discovery):
+            if machines.change_discovery(renewed.discovery):
                 tasks.pop(0).cancel()
                 tasks.insert(0, _background(watch()))
         if desk is not None:
@@ -117,8 +123,9 @@
         await _listening(desk.start(core))
     if before.channel is not None:
         await succession.taken(before.channel)
-    if before.handed is None and not await machines.first_list():
-        log.warning("discovery has not spoken in %.0f ms: the list of the configuration serves", FIRST_LIST)
+    if before.handed is None and not await machines.wait_for_first_list():
+        log.warning("discovery has not spoken in %.0f ms: the list of the configuration serves",
+                    FIRST_LIST_TIMEOUT_MS)
     await _listening(front.start(before.listening, before.shared))
     phase.move("started", wheel.now())
     if before.channel is not None and before.handed is not None:
@@ -162,11 +169,11 @@
     if place is None:
         return Before(shared=True)
     try:
-        channel = await find(place, wheel)
+        channel = await connect_predecessor(place, wheel)
         if channel is None:
             return Before()
         gc.collect()               # now, while it still serves
-        parcel = await take(channel)
+        parcel = await receive_state(channel)
         handed = unpack(parcel.state)
     except (HandoverError, HandoverStateError) as error:
         log.warning("the process that has our place does not give it (%s): its addresses are shared", error)
@@ -209,12 +216,12 @@
 
 
 def _keeper(config: Config, operator: Operator, core: Core, nodes: ExecuteNodes, phase: Phase,
-            desk: Desk | None) -> Keeper | None:
+            desk: Desk | None) -> CustodyKeeper | None:
     """Custody, where the operator's file turns it on; ConfigError where it cannot be."""
     if operator.custody is None:
         return None
     from larklb.fleet.custody import GROUP
-    from larklb.net.keeper import Keeper
+    from larklb.net.keeper import CustodyKeeper
     s = config.settings
     longest = max((c.window + c.deadline for c in s.classes if c.repeat is RepeatPolicy.KEYED), default=0.0)
     if s.gateways < GROUP or config.peer_listen is None or len(config.peers) != s.gateways:
@@ -226,7 +233,7 @@
     names = {entry.name: entry.zone for entry in operator.instance if entry.zone}
     zones = {i: names[name] for i in range(s.gateways) if (name := f"n{i}") in names}
     core.crash_point = desk.step if desk is not None else bool
-    return Keeper(config, operator.custody, zones, core, nodes, core.counters, phase, core.crash_point)
+    return CustodyKeeper(config, operator.custody, zones, core, nodes, core.counters, phase, core.crash_point)
 
 
 def _desk(config: Config, base: Path, operator: Operator, counters: Counters, wheel: Wheel) -> Desk:
--- a/larklb/takeover.py
+++ b/larklb/takeover.py
@@ -17,7 +17,18 @@
 from larklb.handover_state import HandoverState, NodeAddress, pack, restore, retired_settings
 from larklb.net.execute import ExecuteNodes
 from larklb.net.front import Front
-from larklb.net.handover import DONE, GIVE, LINK, NO, TAKEN, Channel, Door, HandoverError, Parcel, give
+from larklb.net.handover import (
+    DONE,
+    GIVE,
+    LINK,
+    NO,
+    TAKEN,
+    Channel,
+    HandoverError,
+    HandoverListener,
+    HandoverState,
+    send_state,
+)
 from larklb.net.http import Link
 from larklb.net.machines import Machine, Machines
 from larklb.net.peers import Peers
@@ -37,7 +48,7 @@
         self.core, self.phase, self.machines, self.nodes, self.front = core, phase, machines, nodes, front
         self.wheel = core.wheel
         self.peers: Peers | None = None
-        self.door: Door | None = None
+        self.door: HandoverListener | None = None
         self.before: Channel | None = None       # to the process that had our place
         self.after: Channel | None = None        # to the one that has it now, or is about to
         self.kept: tuple[socket.socket, socket.socket | None] | None = None
@@ -71,7 +82,7 @@
         """This process serves from now on; the old one sends its connections as they rest."""
         if handed.draining:
             self.phase.move("drain", self.wheel.now())
-        self.nodes.share(True)
+        self.nodes.share_descriptors(True)
         self.before = channel
         channel.listen(self._arrived, self._alone_here)
         log.info("took the place of another process, with %d buckets", len(handed.buckets))
@@ -92,7 +103,7 @@
 
     def _alone_here(self) -> None:
         self.before = None
-        self.nodes.share(False)
+        self.nodes.share_descriptors(False)
 
     # The old process ----------------------------------------------------------------------
 
@@ -100,7 +111,7 @@
         """From now on another process may take our place."""
         if path is None:
             return
-        door = Door(path, self.wheel, self._met)
+        door = HandoverListener(path, self.wheel, self._met)
         try:
             door.open()
         except OSError as error:
@@ -123,7 +134,7 @@
         channel.listen(said, bool)
 
     async def _give(self, channel: Channel) -> None:
-        listening, between = self.front.rest(), None
+        listening, between = self.front.pause_accepting(), None
         began = self.wheel.now()
         try:
             until = self.wheel.now() + QUIET
@@ -131,7 +142,7 @@
                     h.pending_ask is not None and not h.ended for h in self.core.gateway.pending.values()):
                 await self.wheel.sleep(LOOK)
             between = self.peers.release() if self.peers is not None else None
-            await give(channel, Parcel(self._state(), listening, between))
+            await send_state(channel, HandoverState(self._state(), listening, between))
         except Exception as error:
             # Whatever it was: nobody may be left waiting at sockets that nobody reads.
             level = logging.WARNING if isinstance(error, HandoverError) else logging.ERROR
@@ -146,15 +157,15 @@
         self.nodes.retire(True)
         channel.send(DONE)
         channel.listen(lambda packet, fds: None, self._left_alone)
-        self.front.hand_on(self._pass_on)
+        self.front.start_handover(self._pass_on)
         log.info("another process has our place after a rest of %.0f ms, %d jobs are under way here",
                  self.wheel.now() - began, len(self.core.jobs))
 
     def _state(self) -> bytes:
         machines = self.machines
         return pack(self.core.gateway, draining=self.phase.state is State.DRAINING,
-                    generation=machines.generation, discovery=machines.where, offset=machines.offset,
-                    places={n: NodeAddress(*m.place, m.closed_at) for n, m in machines.of.items()})
+                    generation=machines.generation, discovery=machines.discovery, offset=machines.offset,
+                    places={n: NodeAddress(*m.place, m.closed_at) for n, m in machines.by_id.items()})
 
     def _retire(self) -> None:
         gateway = self.core.gateway
@@ -173,7 +184,7 @@
         """The process that had taken our place has gone."""
         kept, self.kept, self.after = self.kept, None, None
         if kept is None or self.phase.state is State.STOPPING:
-            self.front.pass_on = None
+            self.front.transfer_connection = None
             return
         log.error("the process that had taken our place has gone: we serve again")
         self.core.counters.add("errors.succession")
@@ -184,7 +195,7 @@
     async def _go_on(self, listening: socket.socket, between: socket.socket | None) -> None:
         if self.peers is not None and between is not None:
             await self.peers.open(between)
-        await self.front.go_on(listening)
+        await self.front.resume_accepting(listening)
 
     def close(self) -> None:
         if self.door is not None:
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -62,13 +62,13 @@
         transport, protocol = await loop.create_connection(
             lambda: asyncio.StreamReaderProtocol(reader, loop=loop), sock=ours)
         link = Link(reader, asyncio.StreamWriter(transport, protocol, reader, loop), h11.SERVER)
-        assert link.silent()
+        assert link.received_nothing()
         theirs.send(b"G")
-        assert not link.silent()
+        assert not link.received_nothing()
         link.abort()
         await asyncio.sleep(0.05)
         reader._buffer.clear()      # type: ignore[attr-defined]
-        assert link.silent()
+        assert link.received_nothing()
         theirs.close()
     asyncio.run(go())
 
@@ -121,7 +121,7 @@
             return link
 
         monkeypatch.setattr(execute, "dial", slow)
-        machines: Any = type("M", (), {"of": {"s": machine}, "addresses": lambda self: set()})()
+        machines: Any = type("M", (), {"by_id": {"s": machine}, "addresses": lambda self: set()})()
         config: Any = type("C", (), {"dial_timeout": 250.0, "conn_idle": 30000.0, "sockets": 64,
                                      "settings": core.settings})()
         nodes = execute.ExecuteNodes(config, core, machines)
--- a/tests/test_daily.py
+++ b/tests/test_daily.py
@@ -14,7 +14,7 @@
 import pytest
 
 from larklb import interface as io
-from larklb.net.console import MOST_AT_ONCE
+from larklb.net.console import MAX_CONSOLE_CONNECTIONS
 from larklb.phase import IDLE_CLOSE_DELAY, Phase, State
 from larklb.settings_mapping import settings_for_reload
 from tests.conftest import settings
@@ -102,7 +102,7 @@
             for text in (b"READY\n", b"STATS\n") * 5:
                 answer, took = await call(port, text)
                 assert answer.startswith(("+OK ready", '{"responses"')) and took < 1.0
-            assert (await yard.limiters[0].counters())["console.for_room"] >= 60 - MOST_AT_ONCE
+            assert (await yard.limiters[0].counters())["console.for_room"] >= 60 - MAX_CONSOLE_CONNECTIONS
     asyncio.run(go())
 
 
--- a/tests/test_hardening.py
+++ b/tests/test_hardening.py
@@ -217,7 +217,7 @@
 
 
 def nodes_of(core: Core, **machines: Machine) -> execute.ExecuteNodes:
-    listed: Any = type("M", (), {"of": machines})()
+    listed: Any = type("M", (), {"by_id": machines})()
     config: Any = type("C", (), {"dial_timeout": 250.0, "conn_idle": 30000.0, "sockets": 64,
                                  "settings": core.settings})()
     return execute.ExecuteNodes(config, core, listed)
@@ -257,8 +257,8 @@
         link: Any = type("L", (), {"since": core.wheel.now() - 500.0, "write": lambda *a: None,
                                    "abort": lambda self: None, "reader": type("R", (), {"on_end": None})()})()
 
-        async def broken(*_: Any) -> execute.Ended:
-            return execute.Ended(io.Result.RESET, 45.0)
+        async def broken(*_: Any) -> execute.AttemptOutcome:
+            return execute.AttemptOutcome(io.Result.RESET, 45.0)
 
         monkeypatch.setattr(nodes, "_pooled", lambda place: link)
         monkeypatch.setattr(nodes, "_answer", broken)
@@ -292,14 +292,14 @@
         listener = await peers.listen(config, core)
         assert listener is not None and listener.transport is not None
         listener.transport._fatal_error(MemoryError())      # type: ignore[attr-defined]
-        await asyncio.sleep((peers.AGAIN + 200.0) / 1000.0)
+        await asyncio.sleep((peers.REOPEN_DELAY_MS + 200.0) / 1000.0)
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as other:
             other.bind(("127.0.0.1", ports[1]))
             other.sendto(b"\xb1\x08\x00", ("127.0.0.1", ports[0]))
             await asyncio.sleep(0.1)
         assert [type(e) for e in heard] == [io.PeerMessage] and core.counters["errors.peers_socket"] == 1
         listener.close()
-        await asyncio.sleep(peers.AGAIN / 1000.0 + 0.1)
+        await asyncio.sleep(peers.REOPEN_DELAY_MS / 1000.0 + 0.1)
         assert listener.transport is None, "and an orderly end is one"
     asyncio.run(go())
 
@@ -350,7 +350,7 @@
             return True
 
         front._reply = reply
-        await front._life(link, request, execute.Content(b"GET", b"/read", (), b""), False)
+        await front._process_job(link, request, execute.Content(b"GET", b"/read", (), b""), False)
         assert told == [500] and not core.jobs
     asyncio.run(go())
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -169,7 +169,7 @@
         with_console(yard)
         async with yard:
             limiter, wheel = yard.limiters[0], Wheel(4.0)
-            place = handover.meeting_place(limiter.name, ("127.0.0.1", limiter.port), yard.environment)
+            place = handover.handover_socket_path(limiter.name, ("127.0.0.1", limiter.port), yard.environment)
             assert place is not None
             reader, writer = await asyncio.open_connection("127.0.0.1", limiter.port)
             writer.write(job().encode())
@@ -182,14 +182,14 @@
                 assert sock.recv(100).startswith(handover.NO)
                 sock.close()
             else:
-                channel = await handover.find(place, wheel)
+                channel = await handover.connect_predecessor(place, wheel)
                 assert channel is not None
                 if step == "garbage":
                     channel.send(b"x" * 100)
                 if step == "give":
                     channel.send(handover.GIVE)
                 if step == "last":
-                    parcel = await handover.take(channel)
+                    parcel = await handover.receive_state(channel)
                     assert unpack(parcel.state).version and parcel.peers is not None
                 channel.close()
             await asyncio.sleep(0.4)
@@ -231,10 +231,10 @@
             yard.environment["TMPDIR"] = str(tmp_path / "none")
         async with yard:
             limiter = yard.limiters[0]
-            place = handover.meeting_place(limiter.name, ("127.0.0.1", limiter.port), yard.environment)
+            place = handover.handover_socket_path(limiter.name, ("127.0.0.1", limiter.port), yard.environment)
             old = limiter.process
             assert old is not None
-            doors: list[handover.Door] = []
+            doors: list[handover.HandoverListener] = []
             if how == "stuck":
                 old.send_signal(signal.SIGSTOP)
             elif how == "left over":
@@ -244,7 +244,7 @@
             elif how in ("gone at give", "silent"):
                 assert place is not None
                 ends = (lambda c: c.close()) if how == "gone at give" else (lambda c: None)
-                doors.append(handover.Door(place, Wheel(4.0), ends))
+                doors.append(handover.HandoverListener(place, Wheel(4.0), ends))
                 doors[0].open()
             limiter.process, port = await beside(yard)
             assert await says_yes(port) < 6.0
