--- a/larklb/net/handover.py
+++ b/larklb/net/handover.py
@@ -39,7 +39,7 @@
     """The other process cannot be understood or does not answer; the text is one line."""
 
 
-class HandoverState(NamedTuple):
+class HandoverPayload(NamedTuple):
     """The state of the old process, its listening socket, and the one between limiters if it has one."""
 
     state: bytes
@@ -171,7 +171,7 @@
     return channel
 
 
-async def receive_state(channel: Channel) -> HandoverState:
+async def receive_state(channel: Channel) -> HandoverPayload:
     """All that the old process has; it waits for TAKEN then."""
     await channel.send_all(GIVE, b"")
     state = bytearray()
@@ -185,10 +185,10 @@
     if not 1 <= len(fds) <= 2:
         raise HandoverError("it came without its sockets")
     sockets = [socket.socket(fileno=fd) for fd in fds]
-    return HandoverState(bytes(state), sockets[0], sockets[1] if len(sockets) > 1 else None)
+    return HandoverPayload(bytes(state), sockets[0], sockets[1] if len(sockets) > 1 else None)
 
 
-async def send_state(channel: Channel, parcel: HandoverState) -> None:
+async def send_state(channel: Channel, parcel: HandoverPayload) -> None:
     """The other side of ``take``; returns when the new process has said TAKEN."""
     *parts, last = [parcel.state[at:at + PACKET] for at in range(0, len(parcel.state), PACKET)]
     for part in parts:
--- a/larklb/takeover.py
+++ b/larklb/takeover.py
@@ -26,7 +26,7 @@
     Channel,
     HandoverError,
     HandoverListener,
-    HandoverState,
+    HandoverPayload,
     send_state,
 )
 from larklb.net.http import Link
@@ -142,7 +142,7 @@
                     h.pending_ask is not None and not h.ended for h in self.core.gateway.pending.values()):
                 await self.wheel.sleep(LOOK)
             between = self.peers.release() if self.peers is not None else None
-            await send_state(channel, HandoverState(self._state(), listening, between))
+            await send_state(channel, HandoverPayload(self._state(), listening, between))
         except Exception as error:
             # Whatever it was: nobody may be left waiting at sockets that nobody reads.
             level = logging.WARNING if isinstance(error, HandoverError) else logging.ERROR
