--- a/larklb/net/front.py
+++ b/larklb/net/front.py
@@ -1,4 +1,4 @@
-"""The submitters' side: their connections, and the life of each job from its last byte to its answer."""
+"""HTTP front end: client connections, and the processing of each job from its request to its answer."""
 
 from __future__ import annotations
 
@@ -38,29 +38,47 @@
 
 log = logging.getLogger(__name__)
 
-SOCKETS_PART = 0.58        # of the descriptors may be submitters' connections
-KEPT_PART = 0.1            # ... may wait for another job; with more, one that has carried its first ends
-ACCEPTED = 16              # at once: asyncio takes in as many, each with a descriptor, before we are asked
-BACKLOG = 512              # connections that wait to be taken in
-MOST_TIME_S = 600.0        # that a submitter may say it waits
-HALF_MESSAGE = 2400.0      # ms for a first head, from its connect on, and for the rest of a later one; ...
-SLOWEST = 64.0             # ... for a body as many, and one for each so many bytes of it
-FLOW_MB = 0.3              # that a body or an answer which flows holds at the most, on both sides together
-LEAST_FLOWS = 4
-FLOOD = 16                 # requests behind one that is not answered yet: more are no submitter's
-IDLE = 10000.0             # ms without a job after which a connection goes, sooner if there is no room
-MAY_CLOSE = 2000.0         # ms without a job after which nobody minds
-JUST_NOW = 5.0             # ms in which a new connection's first message may still be on its way
-LOOKS = 32                 # strangers are looked at for one that has said nothing at all
-SWEEP = 200.0
-LINGER = 700.0             # ms after SIGTERM in which what still arrives is taken
-READ_AWAY = 3000.0         # ms in which what arrives after a refusal to read on is thrown away ...
-MOST_READS = 64            # ... in so many reads
-_WORDS = {200: "served", 503: "refused"}          # of what custody tells at once: else failed
-_UNREAD = (400, 408, 413, 431, 501)    # more of such a message may be on its way
-_NEEDED = (b"x-correlation-id", b"x-service-class", b"plan", b"account", b"x-time-left", b"quota-info")
-_ID = re.compile(r"[!-~]{1,128}")
-_PASSED = (b"x-correlation-id", b"idempotency-key", b"x-service-class", b"content-type")
+# Share of the file descriptors available to client connections.
+CLIENT_DESCRIPTOR_SHARE = 0.58
+# Share of the file descriptors that idle client connections may hold.  Beyond it a connection is closed after
+# its first request.
+IDLE_DESCRIPTOR_SHARE = 0.1
+# asyncio accepts this many connections at once, each with a descriptor, before it calls the program.
+ACCEPTS_PER_TURN = 16
+LISTEN_BACKLOG = 512
+# Largest X-Time-Left that is accepted.
+MAX_TIME_LEFT_S = 600.0
+# Limit for the first head, counted from the connect, and for the rest of a later one.  A body gets the same
+# plus its size at the minimum rate.
+MESSAGE_TIMEOUT_MS = 2400.0
+MIN_BODY_BYTES_PER_MS = 64.0
+# Upper bound of the memory of one streamed body or answer, both connections together.
+STREAM_MEMORY_MB = 0.3
+MIN_STREAMS = 4
+# Requests queued behind an unanswered one; no legitimate client sends more.
+MAX_PIPELINED_REQUESTS = 16
+# An idle connection is closed after this time, or earlier when descriptors are needed.
+IDLE_TIMEOUT_MS = 10000.0
+# After this idle time a connection is closed in preference to a new one without a request.
+MIN_IDLE_BEFORE_EVICTION_MS = 2000.0
+# The first request of a new connection may still be in flight for this long.
+NEW_CONNECTION_GRACE_MS = 5.0
+# Connections without a request that are examined for one that has sent nothing.
+MAX_EVICTION_CANDIDATES = 32
+SWEEP_INTERVAL_MS = 200.0
+# Requests that arrive within this time of SIGTERM are still accepted.
+SHUTDOWN_LINGER_MS = 700.0
+# Limits of time and reads for discarding input after a request was rejected before its end.
+DISCARD_TIMEOUT_MS = 3000.0
+MAX_DISCARD_READS = 64
+# Outcome counted for an answer given by custody; any other status counts as failed.
+_CUSTODY_OUTCOMES = {200: "served", 503: "refused"}
+# With these statuses more of the request may still be in flight.
+_UNREAD_BODY_STATUSES = (400, 408, 413, 431, 501)
+_REQUIRED_HEADERS = (b"x-correlation-id", b"x-service-class", b"plan", b"account", b"x-time-left",
+                     b"quota-info")
+_REQUEST_ID = re.compile(r"[!-~]{1,128}")
+_FORWARDED_HEADERS = (b"x-correlation-id", b"idempotency-key", b"x-service-class", b"content-type")
 
 
 class Answer(NamedTuple):
@@ -73,23 +91,25 @@
 
 def parse(head: h11.Request, body: bytes, now: float, core: Core,
           upload: Upload | None = None) -> tuple[io.Request, Content]:
-    """The job in a message; only what the decisions need is taken out of it.
+    """Parses the fields that decisions need from a request; raises MalformedError where it is invalid.
 
-    With an ``upload`` its time begins when that is whole: until then it is due as late as its body may be."""
+    With an ``upload`` the deadline allows for the slowest permitted transfer of the body, since the job's
+    time starts when the body is complete.  ``now`` is in milliseconds."""
     headers = dict(head.headers)
     if len(head.headers) > len(headers) and any(
-            sum(n == name for n, _ in head.headers) > 1 for name in (*_NEEDED, *_PASSED)):
-        # A node may go by the one that was not read here.
+            sum(n == name for n, _ in head.headers) > 1
+            for name in (*_REQUIRED_HEADERS, *_FORWARDED_HEADERS)):
+        # The execute node might use the other value.
         raise MalformedError("a header that every job has is there twice")
     try:
-        name, service, plan, customer, left, info = [headers[n].decode("ascii") for n in _NEEDED]
+        name, service, plan, customer, left, info = [headers[n].decode("ascii") for n in _REQUIRED_HEADERS]
     except (KeyError, UnicodeDecodeError) as error:
         raise MalformedError("a header that every job has is missing") from error
     cls = core.classes.get(service)
     if cls is None or plan not in core.plans:
         raise MalformedError("unknown class or plan")
     target = head.target
-    if target.lower().startswith(b"http://"):        # told whole, as to a proxy: a node is told its own part
+    if target.lower().startswith(b"http://"):        # absolute form, as sent to a proxy
         target = b"/" + target.split(b"/", 3)[3] if target.count(b"/") > 2 else b"/"
     path = target.partition(b"?")[0].split(b"/")
     if len(path) < 2 or path[0] or path[1] != service.encode():
@@ -98,21 +118,21 @@
         raise MalformedError("the class has another method")
     if cls.repeat is io.RepeatPolicy.KEYED and not headers.get(b"idempotency-key"):
         raise MalformedError("the class needs a key")
-    if _ID.fullmatch(name) is None:
+    if _REQUEST_ID.fullmatch(name) is None:
         raise MalformedError("the request has no id")
     if body and head.method == b"GET":
         raise MalformedError("the class takes no body")
     wait = parse_decimal(left)
-    if not 0 < wait <= MOST_TIME_S:
+    if not 0 < wait <= MAX_TIME_LEFT_S:
         raise MalformedError("x-time-left makes no sense")
     units, spread, first = parse_quota_info(info, core.settings)
-    later = upload_time(upload) if upload is not None else 0.0
+    later = max_upload_ms(upload) if upload is not None else 0.0
     request = io.Request(request=name, service=service, plan=plan, customer=parse_account(customer),
-                         # A class says how long a client waits in all.  Who says more would have its job,
-                         # and what is kept of it here and at the owner, stay for minutes.
+                         # Capped by the deadline of the class: a longer wait would keep the job's state, here
+                         # and at the quota owner, for minutes.
                          due=now + min(wait * 1000.0, cls.deadline) + later, units=units, first=first,
                          spread=spread)
-    passed = tuple((n, headers[n]) for n in _PASSED if n in headers)
+    passed = tuple((n, headers[n]) for n in _FORWARDED_HEADERS if n in headers)
     if upload is not None and upload.length is None:
         passed += ((b"Transfer-Encoding", b"chunked"),)
     elif body or head.method == b"POST":
@@ -120,43 +140,46 @@
     return request, Content(head.method, target, passed, body, upload)
 
 
-def upload_time(upload: Upload) -> float:
-    """The longest that the rest of a body may take, in ms."""
+def max_upload_ms(upload: Upload) -> float:
+    """Returns the longest time in milliseconds that the rest of a body may take."""
     rest = MAX_BODY_BYTES if upload.length is None else upload.length
-    return HALF_MESSAGE + (rest - len(upload.first)) / SLOWEST
+    return MESSAGE_TIMEOUT_MS + (rest - len(upload.first)) / MIN_BODY_BYTES_PER_MS
 
 
-def refusal(action: io.Refuse) -> Answer:
-    """429 where the quota spoke, 503 where there was no room or time."""
+def refusal_answer(action: io.Refuse) -> Answer:
+    """Returns 429 for an exceeded quota, 503 for lack of capacity or time."""
     return Answer(429 if action.over_quota else 503, retry_after=action.retry_after)
 
 
 class Front:
-    """Listens for submitters."""
+    """Accepts client connections and processes their requests."""
 
     def __init__(self, config: Config, core: Core, nodes: ExecuteNodes, phase: Phase) -> None:
         self.config, self.core, self.nodes, self.wheel = config, core, nodes, core.wheel
         self.phase = phase
-        # What customers' tables and the program leave of the memory is for bodies and answers that flow.
-        self.flows = asyncio.Semaphore(max(LEAST_FLOWS, int(
-            (config.memory_mb - PROCESS_BASE_MB) * (1.0 - CUSTOMER_MEMORY_PART) / FLOW_MB)))
-        self.most = int(config.sockets * SOCKETS_PART) - (
+        # Memory not used by the customer table and the process itself is available to streamed transfers.
+        self.stream_slots = asyncio.Semaphore(max(MIN_STREAMS, int(
+            (config.memory_mb - PROCESS_BASE_MB) * (1.0 - CUSTOMER_MEMORY_PART) / STREAM_MEMORY_MB)))
+        self.max_connections = int(config.sockets * CLIENT_DESCRIPTOR_SHARE) - (
             MAX_CONSOLE_CONNECTIONS if config.admin is not None else 0)
-        self.kept = int(config.sockets * KEPT_PART)
-        self.links: dict[Link, None] = {}      # that count: a closed one's task may still be on its way out
-        self.strangers: dict[Link, None] = {}  # of these, those with no message yet, the oldest first ...
-        self.idle: dict[Link, None] = {}       # ... and those that wait for another, the longest idle first
+        self.max_idle = int(config.sockets * IDLE_DESCRIPTOR_SHARE)
+        # Open connections; the task of a closed one may still be finishing.
+        self.links: dict[Link, None] = {}
+        # Of these, connections without a request so far, oldest first.
+        self.unused: dict[Link, None] = {}
+        # Of these, connections waiting for another request, longest idle first.
+        self.idle: dict[Link, None] = {}
         self.tasks: set[asyncio.Task[None]] = set()
         self.server: asyncio.Server | None = None
-        self.ended = False              # nothing more is taken
-        self.resting = False            # what is not taken up yet waits in the sockets
-        # Where another process has our place: passes a connection that rests on to it, False if it cannot.
+        self.stopped = False                 # no further requests are accepted
+        self.accepting_paused = False        # new input stays in the sockets
+        # Set after a handover: transfers an idle connection to the new process, False if that fails.
         self.transfer_connection: Callable[[Link], bool] | None = None
         # Set where custody of jobs that must not run twice is configured.
         self.keeper: CustodyKeeper | None = None
         self._sweep()
 
-    def _protocol(self, new: bool = True) -> asyncio.StreamReaderProtocol:
+    def _new_protocol(self, new: bool = True) -> asyncio.StreamReaderProtocol:
         loop = asyncio.get_running_loop()
 
         def connected(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -169,7 +192,7 @@
 
         return asyncio.StreamReaderProtocol(WatchedReader(), connected, loop=loop)
 
-    def _listening(self, shared: bool) -> socket.socket:
+    def _listening_socket(self, shared: bool) -> socket.socket:
         host, port = self.config.listen
         listening = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET)
         try:
@@ -177,7 +200,8 @@
             if shared:
                 listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
             listening.bind((host, port))
-            # Set now, not before: a stranger at our address is told, another process of ours may join.
+            # Set only after bind(): a conflict with an unrelated process is reported, while another process
+            # of this limiter may still share the address.
             listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
         except OSError:
             listening.close()
@@ -185,66 +209,66 @@
         return listening
 
     async def start(self, listening: socket.socket | None = None, shared: bool = False) -> None:
-        """Takes connections from ``listening``, or from the configured address, perhaps ``shared`` with
-        another process of this limiter; OSError where it cannot be had."""
-        listening = listening or self._listening(shared)
+        """Accepts connections on ``listening`` or on the configured address, which may be ``shared`` with
+        another process of this limiter.  Raises OSError if the address is not available."""
+        listening = listening or self._listening_socket(shared)
         loop = asyncio.get_running_loop()
-        self.server = await loop.create_server(self._protocol, sock=listening, backlog=ACCEPTED)
-        listening.listen(BACKLOG)        # asyncio has one figure for what waits and what it takes in at once
+        self.server = await loop.create_server(self._new_protocol, sock=listening, backlog=ACCEPTS_PER_TURN)
+        listening.listen(LISTEN_BACKLOG)        # asyncio uses one number for backlog and accepts
 
     async def adopt(self, sock: socket.socket, new: bool) -> None:
-        """A client's connection from the process that had our place before."""
+        """Takes over a client connection from the predecessor process."""
         sock.setblocking(False)
-        await asyncio.get_running_loop().connect_accepted_socket(lambda: self._protocol(new), sock)
+        await asyncio.get_running_loop().connect_accepted_socket(lambda: self._new_protocol(new), sock)
 
     def pause_accepting(self) -> socket.socket:
-        """Takes up nothing new: what comes waits in the sockets.  Returns the listening one, to be kept."""
+        """Stops reading new requests, which stay in the sockets; returns a copy of the listening socket."""
         assert self.server is not None
         kept = socket.socket(fileno=os.dup(self.server.sockets[0].fileno()))
-        # Not closed yet: a connection that was accepted just now would be dropped with it.
+        # Not closed yet: a connection accepted just now would be dropped with it.
         asyncio.get_running_loop().remove_reader(self.server.sockets[0].fileno())
-        self.resting = True
+        self.accepting_paused = True
         for link in self.links:
             if not link.busy and not link.has_unread_data():
                 link.pause()
         return kept
 
     async def resume_accepting(self, listening: socket.socket) -> None:
-        """After a rest, or when the process that had our place has gone."""
-        self.resting, self.transfer_connection = False, None
+        """Resumes after a pause, or when the successor process has exited."""
+        self.accepting_paused, self.transfer_connection = False, None
         self._close_server()
         for link in self.links:
             link.resume()
         await self.start(listening)
 
     def start_handover(self, transfer_connection: Callable[[Link], bool]) -> None:
-        """Another process has our place: each connection goes to it as it rests."""
-        self.resting, self.transfer_connection = False, transfer_connection
+        """Transfers each connection to the successor process as soon as it is idle."""
+        self.accepting_paused, self.transfer_connection = False, transfer_connection
         self._close_server()
-        self._let_go()
+        self._release_idle()
 
     def _close_server(self) -> None:
         if self.server is not None:
             self.server.close()
 
     async def stop(self) -> None:
-        """Takes what still arrives for a while, then ends what is idle and finishes all that was taken."""
+        """Accepts late requests for a while, then closes idle connections and finishes accepted jobs."""
         self.phase.move("stop", self.wheel.now())
-        if not self.resting:              # else the next process is about to have them
-            self._let_go()
+        if not self.accepting_paused:              # otherwise the next process gets them
+            self._release_idle()
         if self.transfer_connection is None:
-            await self.wheel.sleep(LINGER)
+            await self.wheel.sleep(SHUTDOWN_LINGER_MS)
         if self.server is not None and self.server.sockets:
             asyncio.get_running_loop().remove_reader(self.server.sockets[0].fileno())
             await self.wheel.sleep(1.0)
             self._close_server()
-        self.ended = self.transfer_connection is None
+        self.stopped = self.transfer_connection is None
         while self.tasks:
-            self._let_go()
-            await asyncio.wait(self.tasks, timeout=SWEEP / 1000.0)
+            self._release_idle()
+            await asyncio.wait(self.tasks, timeout=SWEEP_INTERVAL_MS / 1000.0)
 
-    def _let_go(self) -> None:
-        """Connections that carry no job end, or go to the process that has our place."""
+    def _release_idle(self) -> None:
+        """Closes connections without a job, or transfers them to the successor process."""
         for link in list(self.links):
             if link.busy:
                 continue
@@ -263,14 +287,14 @@
         return True
 
     def _sweep(self) -> None:
-        """What says nothing, or hangs in the middle of a message, must not hold a descriptor for good."""
-        self.wheel.after(SWEEP, self._sweep)      # first: a sweep that fails must not be the last
+        """Closes connections that are idle or stuck in a message, so that they don't hold descriptors."""
+        self.wheel.after(SWEEP_INTERVAL_MS, self._sweep)      # scheduled first, in case the sweep fails
         now = self.wheel.now()
         if self.transfer_connection is not None or self.phase.closes_idle_connections(now):
-            self._let_go()
+            self._release_idle()
         for link in list(self.links):
             if link.busy:
-                if link.receiving_body() and link.waiting_since and self._too_slow(link, now):
+                if link.receiving_body() and link.waiting_since and self._body_too_slow(link, now):
                     link.reader.mark_too_slow()
                 continue
             if not link.has_unread_data():
@@ -278,44 +302,46 @@
             elif not link.partial_since:
                 link.partial_since = now
             if link.receiving_body():
-                if self._too_slow(link, now):
+                if self._body_too_slow(link, now):
                     self.core.counters.add("errors.half_message")
                     link.reader.mark_too_slow()
             elif now - (link.partial_since or link.since) > (
-                    HALF_MESSAGE if link.new or link.partial_since else IDLE):
+                    MESSAGE_TIMEOUT_MS if link.new or link.partial_since else IDLE_TIMEOUT_MS):
                 self.core.counters.add("errors.half_message" if link.has_unread_data() else "closed.idle")
                 if link.has_unread_data():
-                    link.reader.mark_too_slow()            # it is told so, and closed
+                    link.reader.mark_too_slow()            # answered with 408 and closed
                 else:
                     self._close(link)
 
     @staticmethod
-    def _too_slow(link: Link, now: float) -> bool:
-        """Whether a body has been waited for longer than the slowest may take."""
+    def _body_too_slow(link: Link, now: float) -> bool:
+        """Whether a body is slower than the minimum rate allows."""
         waited = link.body_wait_ms + (now - link.waiting_since if link.waiting_since else 0.0)
-        return waited > HALF_MESSAGE + link.body_bytes / SLOWEST
+        return waited > MESSAGE_TIMEOUT_MS + link.body_bytes / MIN_BODY_BYTES_PER_MS
 
     def _close(self, link: Link) -> None:
-        """Ends a connection that carries no job; its descriptor is free as soon as the loop comes round."""
-        for kind in (self.links, self.strangers, self.idle):
+        """Closes a connection without a job; the descriptor is freed in the next turn of the event loop."""
+        for kind in (self.links, self.unused, self.idle):
             kind.pop(link, None)
         link.abort()
 
     def _make_room(self) -> bool:
-        """Whether there is room for one connection more, if need be in place of one that carries no job.
+        """Whether another connection can be accepted, evicting one without a job if needed.
 
-        Hundreds may come at once and say nothing: they make room for each other.  A submitter's idle
-        connection that went instead would come back as a new one, and drive out the next.
+        Hundreds of silent connections may arrive at once; they evict each other.  If idle client connections
+        were evicted instead, the clients would reconnect and evict the next ones.
         """
-        if len(self.links) < self.most:
+        if len(self.links) < self.max_connections:
             return True
         now = self.wheel.now()
-        silent = (link for link in itertools.islice(self.strangers, LOOKS) if link.received_nothing())
-        link = stranger = next(silent, None)
+        silent = (link for link in itertools.islice(self.unused, MAX_EVICTION_CANDIDATES)
+                  if link.received_nothing())
+        link = unused_link = next(silent, None)
         idle = next(iter(self.idle), None)
-        if stranger is None or now - stranger.since < JUST_NOW:
-            link = idle if idle is not None and now - idle.since > MAY_CLOSE else stranger or idle
-        link = link or next(iter(self.strangers), None)
+        if unused_link is None or now - unused_link.since < NEW_CONNECTION_GRACE_MS:
+            link = (idle if idle is not None and now - idle.since > MIN_IDLE_BEFORE_EVICTION_MS
+                    else unused_link or idle)
+        link = link or next(iter(self.unused), None)
         if link is None:
             return False
         self.core.counters.add("closed.for_room")
@@ -324,11 +350,11 @@
 
     async def _connection(self, link: Link) -> None:
         if not self._make_room():
-            # Past this the descriptors run out, and with them the jobs that were taken.
+            # More connections would exhaust the descriptors and fail jobs that were accepted.
             self.core.counters.add("errors.too_many_submitters")
             link.abort()
             return
-        self.links[link] = self.strangers[link] = None
+        self.links[link] = self.unused[link] = None
         try:
             while await self._message(link):
                 link.since, link.partial_since, link.new = self.wheel.now(), 0.0, False
@@ -337,21 +363,21 @@
             self.core.counters.add("errors.submitter_gone")
         except Exception:
             self.core.counters.add("errors.connection")
-            log.exception("a submitter's connection failed")
+            log.exception("client connection failed")
         finally:
-            for kind in (self.links, self.strangers, self.idle):
+            for kind in (self.links, self.unused, self.idle):
                 kind.pop(link, None)
             link.writer.close()
 
     async def _message(self, link: Link) -> bool:
-        """One message and its answer; whether the connection can carry another."""
+        """Reads and answers one request; returns whether the connection can carry another."""
         link.busy = False
-        if self.ended:
+        if self.stopped:
             return False
         if not link.has_unread_data():
             if self.transfer_connection is not None and self._pass_on(link):
                 return False
-            if self.resting:
+            if self.accepting_paused:
                 link.pause()
         try:
             head = await link.read_head()
@@ -365,13 +391,13 @@
                 whole = part is None
                 parts.append(part or b"")
             whole = whole or link.length == link.body_bytes and await link.read_chunk() is None
-            self._taken_up(link)
-            if whole and link.pipelined_requests() > FLOOD:
+            self._mark_busy(link)
+            if whole and link.pipelined_requests() > MAX_PIPELINED_REQUESTS:
                 raise h11.RemoteProtocolError("a flood of requests before the answer to one", 400)
             return await self._answer(link, head, b"".join(parts), whole)
         except PeerTooSlowError:
             if not link.can_respond():
-                return False             # it has had its answer
+                return False             # already answered
             answer = Answer(408, b"it came too slowly", close=True)
         except TooLongError:
             if not link.can_respond():
@@ -381,48 +407,49 @@
             if link.reader.ended() or not link.can_respond():
                 return False
             answer = Answer(error.error_status_hint, str(error).encode(), close=True)
-        self._taken_up(link)
+        self._mark_busy(link)
         return await self._reply(link, answer)
 
     async def _reply(self, link: Link, answer: Answer) -> bool:
-        """Writes an answer to its last byte; whether the connection can carry another message."""
+        """Writes a complete answer; returns whether the connection can carry another request."""
         if answer.status in (400, 408, 409, 413):
             self.core.counters.add("malformed")
         close = answer.close or self.closes(link)
         self._write(link, answer, close)
         await link.writer.drain()
-        if answer.status in _UNREAD and answer.close:
-            await self._read_away(link)
+        if answer.status in _UNREAD_BODY_STATUSES and answer.close:
+            await self._discard_input(link)
             return False
-        await self._body_away(link)
+        await self._discard_body(link)
         return not close and link.start_next_cycle()
 
-    def _taken_up(self, link: Link) -> None:
+    def _mark_busy(self, link: Link) -> None:
         link.busy = True
-        self.strangers.pop(link, None)
+        self.unused.pop(link, None)
         self.idle.pop(link, None)
 
-    async def _read_away(self, link: Link) -> None:
-        """What is still on its way is read away: a close over unread bytes would lose the answer."""
-        timer = self.wheel.after(READ_AWAY, link.abort)
+    async def _discard_input(self, link: Link) -> None:
+        """Discards remaining input: closing a socket with unread bytes would lose the answer."""
+        timer = self.wheel.after(DISCARD_TIMEOUT_MS, link.abort)
         link.writer.write_eof()
-        for _ in range(MOST_READS):
+        for _ in range(MAX_DISCARD_READS):
             if not await link.reader.read(MAX_BUFFERED_BYTES):
                 break
         timer.cancel()
 
-    async def _body_away(self, link: Link) -> None:
-        """The rest of a body that nobody wants any more: its sender may read the answer only behind it."""
+    async def _discard_body(self, link: Link) -> None:
+        """Discards the rest of a body, since a client may read the answer only after sending all of it."""
         while link.receiving_body() and await link.read_chunk() is not None:
             if link.body_bytes > MAX_BODY_BYTES:
                 raise TooLongError
-            if self.phase.leaving:               # nobody's job waits for it
-                return await self._read_away(link)
+            if self.phase.leaving:               # no job depends on it
+                return await self._discard_input(link)
 
     def closes(self, link: Link) -> bool:
-        """Whether the connection ends with the answer that goes out now."""
-        # Many ask once and stay.  They may hold so many connections and no more: then nobody can ask.
-        many = link.new and len(self.idle) >= self.kept
+        """Whether the connection is closed after the current answer."""
+        # Many clients send one request and keep the connection; the number of idle ones is limited so that
+        # others can connect.
+        many = link.new and len(self.idle) >= self.max_idle
         return many or self.phase.leaving and self.transfer_connection is None
 
     def _write(self, link: Link, answer: Answer, close: bool) -> None:
@@ -434,7 +461,7 @@
         link.write(h11.Response(status_code=answer.status, headers=headers), answer.body)
 
     async def _answer(self, link: Link, head: h11.Request, body: bytes, whole: bool) -> bool:
-        """Answers a message; whether the connection can carry another."""
+        """Answers a request; returns whether the connection can carry another."""
         if head.method == b"GET" and head.target == b"/healthz":
             return await self._reply(link, Answer(200 if self.phase.ready else 503))
         if head.method == b"GET" and head.target == b"/counters":
@@ -446,89 +473,90 @@
         except MalformedError as error:
             return await self._reply(link, Answer(400, str(error).encode(), close=not whole))
         if request.request in self.core.jobs:
-            # The same id twice at once would put two attempts of one request out together.
+            # Two jobs with one id would allow two concurrent attempts of one request.
             return await self._reply(link, Answer(409, b"this request is already in work", close=not whole))
         repeat = any(n == b"x-repeat" and v.strip() == b"1" for n, v in head.headers)
         return await self._process_job(link, request, content, repeat)
 
     async def _process_job(self, link: Link, request: io.Request, content: Content, repeat: bool) -> bool:
-        """The whole life of a job, to the last byte of its answer; ``repeat``: another try has been
-        before."""
+        """Processes a job up to the last byte of its answer; ``repeat`` marks a client's retry.
+
+        Returns whether the connection can carry another request."""
         counters = self.core.counters
         counters.add(f"taken.http.{request.service}")
-        job, word, hold = None, "nobody", None
+        job, outcome, hold = None, "nobody", None
         sink = AnswerSink(self, link)
         try:
             if content.upload is not None:
-                await sink.slot()            # its rest waits in the socket until there is room for it
-            taken = await self._custody(link, request, content, repeat)
-            if isinstance(taken, Answer):
-                word = _WORDS.get(taken.status, "failed")
-                return await self._reply(link, taken)
-            if taken is not None:
-                hold, request = taken, taken.told(request)
+                await sink.acquire_slot()            # the rest stays in the socket until then
+            custody = await self._custody(link, request, content, repeat)
+            if isinstance(custody, Answer):
+                outcome = _CUSTODY_OUTCOMES.get(custody.status, "failed")
+                return await self._reply(link, custody)
+            if custody is not None:
+                hold, request = custody, custody.told(request)
             job = self.core.take(request)
             link.reader.on_end = functools.partial(self.core.abandon, job)
             if link.reader.ended():
                 self.core.abandon(job)
             if content.upload is not None:
-                wait = request.due - upload_time(content.upload) - self.wheel.now()
+                wait = request.due - max_upload_ms(content.upload) - self.wheel.now()
                 content.upload.set_callbacks(functools.partial(self.core.body_consumed, job),
                                     lambda: self.core.set_due(job, self.wheel.now() + wait))
-            answer, word = await self._decided(job, content, sink, hold)
+            answer, outcome = await self._execute(job, content, sink, hold)
         except Exception:
-            # A failure of our own costs this job alone; what it had out is closed by the attempt itself.
+            # An internal error affects this job only; the attempt closes its own connection.
             log.exception("job %s failed", request.request)
             counters.add("errors.job")
             if job is not None:
                 self.core.abandon(job)
-            answer, word = Answer(500), "failed"
+            answer, outcome = Answer(500), "failed"
         try:
             link.reader.on_end = None
             if job is not None and job.deadline_timer is not None:
                 job.deadline_timer.cancel()
-            if job is not None and job.abandoned and word != "failed":
-                word = "nobody"
+            if job is not None and job.abandoned and outcome != "failed":
+                outcome = "nobody"
             if answer is not None:
                 more = await self._reply(link, answer)
                 self.core.crash_point("answer passed on")
                 return more
             if sink.whole:
-                await self._body_away(link)
+                await self._discard_body(link)
                 return not sink.close and link.start_next_cycle()
-            self._close(link)             # so that the submitter can tell that its answer is not whole
+            self._close(link)             # tells the client that the answer is incomplete
             return False
         except OSError:
-            word = "nobody"
+            outcome = "nobody"
             raise
         finally:
             sink.release()
             if hold is not None:
                 hold.close()
-            # Counted when its last byte has gone out: until then it is taken and not ended.
+            # Counted once the last byte has been written; until then the job is in progress.
             if job is not None:
                 self.core.close(job)
-            counters.add(f"answered.{word}")
-            counters.add(f"class.{word}.{request.service}")
+            counters.add(f"answered.{outcome}")
+            counters.add(f"class.{outcome}.{request.service}")
 
     async def _custody(self, link: Link, request: io.Request, content: Content,
                        repeat: bool) -> Hold | Answer | None:
-        """The job in this limiter's hand, or its answer where another has it; None: it has no custody."""
+        """Returns the job held under custody, the answer if it isn't held here, or None without custody."""
         key = next((v for n, v in content.headers if n == b"idempotency-key"), b"")
         if self.keeper is None or not key or not self.keeper.wants(request.service):
             return None
         if content.upload is not None:
-            self.core.counters.add("custody.without")        # what flows cannot be kept
+            self.core.counters.add("custody.without")        # streamed bodies can't be stored
             return None
-        taken = await self.keeper.take(request, content, key, repeat, link.reader.ended)
-        if not isinstance(taken, StoredAnswer):
-            return taken
-        later = min(self.core.settings.max_retry_after, LEASE_MS) if taken.status == 503 else 0.0
-        return Answer(taken.status, taken.body, taken.kind or b"text/plain", later)
+        custody = await self.keeper.take(request, content, key, repeat, link.reader.ended)
+        if not isinstance(custody, StoredAnswer):
+            return custody
+        later = min(self.core.settings.max_retry_after, LEASE_MS) if custody.status == 503 else 0.0
+        return Answer(custody.status, custody.body, custody.kind or b"text/plain", later)
 
-    async def _decided(self, job: Job, content: Content, sink: AnswerSink,
+    async def _execute(self, job: Job, content: Content, sink: AnswerSink,
                        hold: Hold | None) -> tuple[Answer | None, str]:
-        """The job's answer, None where it has gone out already, and the word that it is counted under."""
+        """Executes a job.  Returns its answer (None if it was streamed already) and the outcome to count."""
         while True:
             match action := await job.next():
                 case io.Send():
@@ -540,7 +568,7 @@
                         ended: AttemptOutcome = await self.nodes.attempt(job, action, content, sink)
                     except UploadAbortedError as error:
                         self.core.attempt_ended(job, action.server, io.Result.CONNECT_FAILED, 0.0, stale=True)
-                        return _broken_off(error.__cause__), "failed"
+                        return _upload_aborted_answer(error.__cause__), "failed"
                     self.core.attempt_ended(job, action.server, ended.result, ended.took, ended.spoilt,
                                             ended.stale)
                     if ended.streamed:
@@ -552,13 +580,13 @@
                     if job.abandoned:
                         return Answer(502, close=True), "nobody"
                 case io.Refuse():
-                    return refusal(action), "refused"
+                    return refusal_answer(action), "refused"
                 case _:
                     return Answer(502, close=job.abandoned), "nobody" if job.abandoned else "failed"
 
 
-def _broken_off(error: BaseException | None) -> Answer:
-    """What a submitter is told whose body failed in the middle, if it is still there."""
+def _upload_aborted_answer(error: BaseException | None) -> Answer:
+    """Returns the answer for a client whose body failed before its end."""
     if isinstance(error, PeerTooSlowError):
         return Answer(408, b"its body came too slowly", close=True)
     if isinstance(error, TooLongError):
@@ -567,25 +595,25 @@
 
 
 class AnswerSink:
-    """A long answer on its way to a submitter."""
+    """Streams a long answer to a client."""
 
     def __init__(self, front: Front, link: Link) -> None:
         self.front, self.link = front, link
         self.close = self.whole = self.has_slot = False
 
-    async def slot(self) -> None:
-        """One of few places for what flows: it is this job's to its end."""
+    async def acquire_slot(self) -> None:
+        """Waits for a streaming slot, which the job holds until ``release``."""
         if not self.has_slot:
-            await self.front.flows.acquire()
+            await self.front.stream_slots.acquire()
             self.has_slot = True
 
     def release(self) -> None:
         if self.has_slot:
             self.has_slot = False
-            self.front.flows.release()
+            self.front.stream_slots.release()
 
     async def begin(self, kind: bytes, length: int | None) -> None:
-        await self.slot()
+        await self.acquire_slot()
         self.close = self.front.closes(self.link)
         headers = [(b"Content-Type", kind)]
         headers.append((b"Transfer-Encoding", b"chunked") if length is None
@@ -596,18 +624,18 @@
 
     async def piece(self, data: bytes) -> None:
         self._write(h11.Data(data=data))
-        await self._out()
+        await self._drain()
 
     async def end(self) -> None:
         self._write(h11.EndOfMessage())
-        await self._out()
+        await self._drain()
         self.whole = True
 
     def _write(self, event: h11.Event) -> None:
         self.link.writer.write(self.link.http.send(event) or b"")
 
-    async def _out(self) -> None:
-        """A submitter may be slow, and not for good."""
+    async def _drain(self) -> None:
+        """Waits until the client has taken the data, at most STALL_TIMEOUT_MS."""
         timer = self.front.wheel.after(STALL_TIMEOUT_MS, self.link.abort)
         try:
             await self.link.writer.drain()
