--- a/larklb/benchlink.py
+++ b/larklb/benchlink.py
@@ -1,4 +1,8 @@
-"""The adapter between the simulator's wire and the decision module; nothing is decided here."""
+"""Adapter between the simulator's line protocol and the decision module; it makes no decisions.
+
+Each line of input is a JSON object with the time and a list of messages; the reply is a line with the
+actions.
+"""
 
 from __future__ import annotations
 
@@ -13,24 +17,26 @@
 
 
 class WireError(Exception):
-    """The input is not what the wire promises."""
+    """The input violates the simulator's protocol."""
 
 
-_STATE = {"up": io.ServerState.UP, "draining": io.ServerState.DRAINING, "removed": io.ServerState.GONE}
-_LIST = {"incr": io.ListKind.CHANGES, "total": io.ListKind.FULL,
-         "warm_copy": io.ListKind.CACHED, "lost": io.ListKind.LOST}
+_SERVER_STATES = {"up": io.ServerState.UP, "draining": io.ServerState.DRAINING,
+                  "removed": io.ServerState.GONE}
+_LIST_KINDS = {"incr": io.ListKind.CHANGES, "total": io.ListKind.FULL,
+               "warm_copy": io.ListKind.CACHED, "lost": io.ListKind.LOST}
 
 
-def _result(word: str) -> io.Result:
-    return io.Result(word)
+def _result(text: str) -> io.Result:
+    return io.Result(text)
 
 
 def _entry(row: list[Any]) -> io.Entry:
     weight = row[5] if row[5] is not None else 1.0
-    return io.Entry(server=row[0], zone=row[1], cell=row[3], state=_STATE[row[4]],
+    return io.Entry(server=row[0], zone=row[1], cell=row[3], state=_SERVER_STATES[row[4]],
                     weight=weight, started=row[6] or None)
 
 
+# Decoders of the events by the name in the message, whose first items are the name and the instance.
 _EVENTS: dict[str, Callable[[list[Any]], io.Event]] = {
     "request": lambda m: io.Request(
         request=m[2], spread=int(m[3] or 1), first=int(m[4] or 0), plan=m[5],
@@ -49,44 +55,44 @@
 }
 
 
-def _action(instance: int, a: io.Action) -> list[Any]:
-    match a:
+def _encode_action(instance: int, action: io.Action) -> list[Any]:
+    match action:
         case io.Send():
-            return ["hand_off", instance, a.request, a.server, a.timeout]
+            return ["hand_off", instance, action.request, action.server, action.timeout]
         case io.Refuse():
-            return ["push_back", instance, a.request, a.retry_after]
+            return ["push_back", instance, action.request, action.retry_after]
         case io.Fail():
-            return ["drop_request", instance, a.request]
+            return ["drop_request", instance, action.request]
         case io.Cancel():
-            return ["abandon", instance, a.request, a.attempt]
+            return ["abandon", instance, action.request, action.attempt]
         case io.SendToPeer():
-            return ["tell", instance, a.peer, a.data.hex()]
+            return ["tell", instance, action.peer, action.data.hex()]
         case io.SetTimer():
-            return ["timer", instance, a.after, a.timer_id]
+            return ["timer", instance, action.after, action.timer_id]
         case io.Subscribe():
-            return ["keep_informed", instance, a.on]
+            return ["keep_informed", instance, action.on]
         case io.Log():
-            return ["print", instance, a.text]
+            return ["print", instance, action.text]
         case io.Grant() | io.RecordDraw():
-            raise WireError("a grant or draw: the wire asks no questions and knows no reservations")
+            raise WireError("the simulator's protocol has no action for a grant or a draw")
 
 
-class Link:
-    """All instances of one process; each is a Gateway of its own."""
+class SimulatorLink:
+    """Holds all simulated instances of the process, each with a Gateway of its own."""
 
     def __init__(self) -> None:
         self.gateways: dict[int, Gateway] = {}
-        self.sheets: dict[int, tuple[io.Entry, ...]] = {}
+        self.server_lists: dict[int, tuple[io.Entry, ...]] = {}
 
-    def _one(self, now: float, message: list[Any]) -> list[list[Any]]:
+    def _handle_message(self, now: float, message: list[Any]) -> list[list[Any]]:
         name = message[0]
         if name == "sheet":
-            self.sheets[message[1]] = tuple(_entry(row) for row in message[2])
+            self.server_lists[message[1]] = tuple(_entry(row) for row in message[2])
             return []
         instance = message[1]
         if name == "begin":
             self.gateways[instance] = Gateway(settings_from_wire(message[3]), message[2], now)
-            return [_action(instance, a) for a in self.gateways[instance].start(now)]
+            return [_encode_action(instance, action) for action in self.gateways[instance].start(now)]
         if name == "crash_now":
             self.gateways.pop(instance, None)
             return []
@@ -97,15 +103,15 @@
             raise WireError(f"event {name!r} for instance {instance!r}, which was never begun")
         event: io.Event
         if name == "topology":
-            kind = _LIST[message[4]]
-            entries = () if kind is io.ListKind.LOST else self.sheets[message[3]]
+            kind = _LIST_KINDS[message[4]]
+            entries = () if kind is io.ListKind.LOST else self.server_lists[message[3]]
             event = io.ServerList(kind, message[2] or 0, entries)
         else:
             event = _EVENTS[name](message)
-        return [_action(instance, a) for a in gateway.handle(now, event)]
+        return [_encode_action(instance, action) for action in gateway.handle(now, event)]
 
-    def batch(self, line: str) -> str:
-        """The reply to one line of input."""
+    def handle_batch(self, line: str) -> str:
+        """Returns the reply to one line of input.  Raises WireError if the line is malformed."""
         try:
             raw = json.loads(line)
         except ValueError as error:
@@ -115,24 +121,25 @@
         now = raw.get("clock")
         if isinstance(now, bool) or not isinstance(now, (int, float)):
             raise WireError("batch without 'clock'")
-        out: list[list[Any]] = []
+        actions: list[list[Any]] = []
         for message in raw["msgs"]:
             if not isinstance(message, list) or not message:
                 raise WireError(f"message is no array: {message!r}")
             try:
-                out.extend(self._one(now, message))
+                actions.extend(self._handle_message(now, message))
             except (KeyError, IndexError, TypeError, ValueError, AttributeError) as error:
                 raise WireError(f"event {message[0]!r}: {type(error).__name__}: {error}") from error
-        return json.dumps({"out": out}, separators=(",", ":"))
+        return json.dumps({"out": actions}, separators=(",", ":"))
 
 
 def main(source: TextIO = sys.stdin, sink: TextIO = sys.stdout) -> int:
-    link = Link()
+    """Answers each line of input until its end and returns the exit code: 2 after a malformed line."""
+    link = SimulatorLink()
     for line in source:
         if not line.strip():
             continue
         try:
-            reply = link.batch(line)
+            reply = link.handle_batch(line)
         except WireError as error:
             print(f"larklb: {error}", file=sys.stderr)
             return 2
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -1,4 +1,4 @@
-"""The adapter on lines of our own writing."""
+"""Tests of the simulator's adapter with hand-written input lines."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     return ["request", 4, name, 1, 0, "basic", 0, "cust/a", 3000.0, 1, "read"]
 
 
-def play(*lines: Any) -> tuple[int, list[Any]]:
+def run_adapter(*lines: Any) -> tuple[int, list[Any]]:
     text = "".join((x if isinstance(x, str) else json.dumps(x)) + "\n" for x in lines)
     sink = io.StringIO()
     code = main(io.StringIO(text), sink)
@@ -34,7 +34,7 @@
 
 
 def test_a_request_is_sent_and_its_outcome_taken() -> None:
-    code, out = play(
+    code, out = run_adapter(
         {"clock": 0.0, "msgs": BEGIN}, {"clock": 10, "msgs": [request("0" * 16)]},
         {"clock": 50.5, "msgs": [["verdict", 4, "0" * 16, 0, "h:1", "ok", 40.0, True, 0, 0, {"util": 0.5}]]},
         {"clock": 60.0, "msgs": [request("1" * 16), request("2" * 16)]})
@@ -43,26 +43,26 @@
     assert [a for a in out[3] if a[0] == "push_back"][0][:3] == ["push_back", 4, "2" * 16]
 
 
-@pytest.mark.parametrize("bad,says", [
+@pytest.mark.parametrize("line,expected", [
     ("{nonsense", "no JSON"), ({"clock": 1.0}, "msgs"), ({"msgs": []}, "clock"),
     ({"clock": 1.0, "msgs": [["what", 4]]}, "what"),
     ({"clock": 1.0, "msgs": [["request", 4, "0"]]}, "request"),
     ({"clock": 1.0, "msgs": [["vanished", 5, "0"]]}, "never begun"),
     ({"clock": 1.0, "msgs": ["x"]}, "array")])
-def test_malformed_input_is_named_and_ends_the_process(
-        bad: Any, says: str, capsys: pytest.CaptureFixture[str]) -> None:
-    code, out = play({"clock": 0.0, "msgs": BEGIN}, bad)
+def test_malformed_input_is_reported_and_ends_the_process(
+        line: Any, expected: str, capsys: pytest.CaptureFixture[str]) -> None:
+    code, out = run_adapter({"clock": 0.0, "msgs": BEGIN}, line)
     assert code != 0 and len(out) == 1
     error = capsys.readouterr().err
-    assert says in error and error.count("\n") == 1
+    assert expected in error and error.count("\n") == 1
 
 
-def test_end_of_input_is_quiet_and_a_crash_forgets() -> None:
-    code, out = play({"clock": 0.0, "msgs": BEGIN}, {"clock": 1.0, "msgs": [["crash_now", 4]]})
+def test_end_of_input_exits_with_0_and_a_crash_has_no_reply() -> None:
+    code, out = run_adapter({"clock": 0.0, "msgs": BEGIN}, {"clock": 1.0, "msgs": [["crash_now", 4]]})
     assert code == 0 and out[1] == []
 
 
 def test_the_same_lines_give_the_same_actions() -> None:
     lines = [{"clock": 0.0, "msgs": BEGIN}] + [
         {"clock": 10.0 + i, "msgs": [request(f"{i:016x}")]} for i in range(20)]
-    assert play(*lines) == play(*lines)
+    assert run_adapter(*lines) == run_adapter(*lines)
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -1,4 +1,7 @@
-"""Random cuts of valid messages and random garbage against the parsers; the seeds are fixed."""
+"""Property tests of the parsers with truncated, split and random input; the seeds are fixed.
+
+They guard against a parser that accepts a partial message as complete or fails with an unexpected error.
+"""
 
 from __future__ import annotations
 
@@ -31,7 +34,7 @@
 
 
 async def read(parts: list[bytes], role: Any) -> Any:
-    """What a Link makes of the parts, each arriving alone, and then the end."""
+    """Returns the message or error that a Link reads when each part arrives separately, followed by EOF."""
     loop = asyncio.get_running_loop()
     reader = WatchedReader()
     writer = asyncio.StreamWriter(_Transport(), asyncio.StreamReaderProtocol(reader, loop=loop), reader, loop)
@@ -39,21 +42,22 @@
     if role is h11.CLIENT:
         link.http.send(h11.Request(method="GET", target="/", headers=[("Host", "x")]))
         link.http.send(h11.EndOfMessage())
-    work = asyncio.ensure_future(link.read())
+    reading = asyncio.ensure_future(link.read())
     for part in parts:
         reader.feed_data(part)
         await asyncio.sleep(0)
         await asyncio.sleep(0)
     reader.feed_eof()
     try:
-        return await work
+        return await reading
     except (h11.RemoteProtocolError, TooLongError) as error:
         return error
 
 
 def cut(data: bytes, places: list[int]) -> list[bytes]:
-    at = sorted({p % len(data) for p in places} | {0, len(data)})
-    return [data[a:b] for a, b in zip(at, at[1:], strict=False)]
+    """Splits the data at the places, taken modulo its length."""
+    offsets = sorted({place % len(data) for place in places} | {0, len(data)})
+    return [data[start:end] for start, end in zip(offsets, offsets[1:], strict=False)]
 
 
 @seed(1)
