--- a/larklb/background.py
+++ b/larklb/background.py
@@ -1,4 +1,4 @@
-"""Work that goes on for the life of the process, whatever becomes of one round of it."""
+"""Background work that is restarted after a failure."""
 
 from __future__ import annotations
 
@@ -10,20 +10,22 @@
 
 log = logging.getLogger(__name__)
 
-PAUSE_S = 1.0              # before work that has failed is taken up again: it may fail at once again
+# Pause between two rounds; work that has failed may fail again at once.
+PAUSE_S = 1.0
 
 
 async def run_forever(name: str, work: Callable[[], Awaitable[None]], counters: Counters,
-                   pause: float = PAUSE_S) -> None:
-    """Does ``work`` over and over until it is cancelled; ``pause`` seconds lie behind a failure.
+                      pause: float = PAUSE_S) -> None:
+    """Runs ``work`` repeatedly until cancelled, with ``pause`` seconds after each round.
 
-    A failure that nobody foresaw (no memory, above all) is told in the log and under ``errors.NAME``; without
-    this it would end, say, the watch of the machine list for good, and jobs would go to nodes long gone.
+    An unexpected failure (lack of memory, above all) is logged and counted under ``errors.NAME``.  Otherwise
+    it would end, for instance, the watch of the list of execute nodes permanently, and jobs would be sent to
+    nodes that no longer exist.
     """
     while True:
         try:
             await work()
         except Exception:
             counters.add(f"errors.{name}")
-            log.exception("%s failed and is taken up again", name)
+            log.exception("background work %s failed and will be restarted", name)
         await asyncio.sleep(pause)
--- a/larklb/handover_state.py
+++ b/larklb/handover_state.py
@@ -1,7 +1,7 @@
-"""What one process of a limiter hands to the next, so that the two are one limiter; no input or output.
+"""The state that a process of a limiter transfers to its successor during an upgrade (no input or output).
 
-All clocks here are the machine's monotonic one, which both processes read alike.  Jobs under way do not go
-over: the process that took them finishes them.
+All times are in milliseconds of the machine's monotonic clock, which both processes share.  Jobs in progress
+are not transferred: the process that accepted them finishes them.
 """
 
 from __future__ import annotations
@@ -20,16 +20,19 @@
 from larklb.quota.shares import GrantedShare, PeerDemand
 from larklb.records import Copy, Lease
 
-VERSION = 1                # of this form: a process of another one is not understood
-NO_ROOM = 1e-9             # of what a cold node stands is left to a process that has handed over
+# Version of the encoded state; a state of another version is rejected.
+VERSION = 1
+# Factor on ``Settings.tip_multiple`` for a process that has handed over.  It leaves that process practically
+# none of the requests that a cold node can stand.
+RETIRED_TIP_FACTOR = 1e-9
 
 
 class HandoverStateError(Exception):
-    """What came is not what one process hands to the next."""
+    """The received state cannot be decoded or is of another version."""
 
 
 class NodeAddress(msgspec.Struct, array_like=True):
-    """A listed execute node: where it is dialled, and since when it wants nothing new."""
+    """The address of a listed execute node, and since when it accepts no new jobs (None: it does)."""
 
     host: str
     port: int
@@ -37,135 +40,155 @@
 
 
 class ServerRecord(msgspec.Struct, array_like=True):
-    """What is known of one server."""
+    """The state of one server."""
 
     entry: io.Entry
-    marks: dict[int, tuple[float, float]]
-    heard: float
-    last_sent: float
-    turn: float
+    judgements: dict[int, tuple[float, float]]
+    last_answer_at: float
+    last_sent_at: float
+    wait_factor: float
 
 
 class HandoverState(msgspec.Struct):
-    """The state of a limiter, but for its jobs."""
+    """The state of a limiter without its jobs.
+
+    The fields are encoded under their names; ``name=`` gives the encoded name where it differs.
+    """
 
     version: int
     draining: bool
-    # The machine list.
+    # The list of execute nodes.
     generation: int
     discovery: tuple[str, int]
     offset: float
-    places: dict[str, NodeAddress]
+    node_addresses: dict[str, NodeAddress] = msgspec.field(name="places")
     servers: list[ServerRecord]
-    # Plans by name: both processes number them by their own file.
+    # Plans are matched by name, because each process numbers them by its own configuration file.
     plans: list[str]
     topics: dict[str, int]
-    usual: dict[str, float]
-    room: float
-    busy: float
-    pressed: float
+    usual_latency: dict[str, float] = msgspec.field(name="usual")
+    server_limit: float = msgspec.field(name="room")
+    mean_in_flight: float = msgspec.field(name="busy")
+    last_queued_at: float = msgspec.field(name="pressed")
     breakers: dict[int, CircuitBreaker]
     buckets: list[tuple[int, int, TokenBucket]]
     leases: list[tuple[tuple[int, int], Lease]]
-    # What is decided without the owner.
-    began: float
+    # Decisions without the owner, and their settlement with it later.
+    started_at: float = msgspec.field(name="began")
     copies: dict[int, Copy]
-    slices: dict[int, tuple[int, TokenBucket, float]]
-    heard_at: dict[int, float]
-    ends: dict[int, float]
+    share_buckets: dict[int, tuple[int, TokenBucket, float]] = msgspec.field(name="slices")
+    last_heard_at: dict[int, float] = msgspec.field(name="heard_at")
+    reunited_at: dict[int, float] = msgspec.field(name="ends")
     demand: dict[int, Demand]
-    asked: dict[int, dict[int, PeerDemand]]
-    told: dict[int, GrantedShare]
-    since: dict[int, float]
-    whole: dict[int, float]
+    peer_demand: dict[int, dict[int, PeerDemand]] = msgspec.field(name="asked")
+    granted: dict[int, GrantedShare] = msgspec.field(name="told")
+    separated_since: dict[int, float] = msgspec.field(name="since")
+    initial_demand: dict[int, float] = msgspec.field(name="whole")
     incarnation: int
-    mine: dict[int, LocalCount]
-    unsettled: dict[int, list[int]]
-    known: list[tuple[tuple[int, int], PeerCount]]
-    current: dict[int, int]
-    settled_at: dict[int, float]
-    speak: dict[int, tuple[float, int]]
+    local_counts: dict[int, LocalCount] = msgspec.field(name="mine")
+    unconfirmed: dict[int, list[int]] = msgspec.field(name="unsettled")
+    peer_counts: list[tuple[tuple[int, int], PeerCount]] = msgspec.field(name="known")
+    incarnations: dict[int, int] = msgspec.field(name="current")
+    settlement_heard_at: dict[int, float] = msgspec.field(name="settled_at")
+    extended_peers: dict[int, tuple[float, int]] = msgspec.field(name="speak")
 
 
 def pack(gateway: Gateway, *, draining: bool, generation: int, discovery: tuple[str, int], offset: float,
-         places: dict[str, NodeAddress]) -> bytes:
-    """The state as bytes."""
-    g, alone = gateway, gateway.fallback
-    shares, settling = alone.shares, alone.settlement
+         node_addresses: dict[str, NodeAddress]) -> bytes:
+    """Encodes the state of ``gateway`` and of the list of execute nodes."""
+    g, fallback = gateway, gateway.fallback
+    shares, settlement = fallback.shares, fallback.settlement
     return msgspec.msgpack.encode(HandoverState(
         version=VERSION, draining=draining, generation=generation, discovery=discovery, offset=offset,
-        places=places,
+        node_addresses=node_addresses,
         servers=[ServerRecord(s.entry, s.judgements, s.last_answer_at, s.last_sent_at, s.wait_factor)
                  for s in g.servers.values()],
-        plans=[p.name for p in g.settings.plans], topics=g.topics, usual=g.usual_latency,
-        room=g.server_limit, busy=g.server_pool.mean_in_flight,
-        pressed=g.last_queued_at, breakers=dict(g.breakers),
+        plans=[p.name for p in g.settings.plans], topics=g.topics, usual_latency=g.usual_latency,
+        server_limit=g.server_limit, mean_in_flight=g.server_pool.mean_in_flight,
+        last_queued_at=g.last_queued_at, breakers=dict(g.breakers),
         buckets=[(key, plan, bucket) for key, (plan, bucket) in g.buckets.items()],
-        # Its own leases belong to jobs that it finishes itself.
+        # This limiter's own leases belong to jobs that the old process finishes.
         leases=[(name, lease) for name, lease in g.leases.items() if name[0] != g.settings.number],
-        began=alone.started_at, copies=alone.copies, slices=alone.share_buckets, heard_at=alone.last_heard_at,
-        ends=alone.reunited_at, demand=shares.demand, asked=shares.peer_demand, told=shares.granted,
-        since=shares.separated_since, whole=shares.initial_demand, incarnation=settling.incarnation,
-        mine=settling.local_counts,
-        unsettled={owner: list(keys) for owner, keys in settling.unconfirmed.items()},
-        known=list(settling.peer_counts.items()), current=settling.incarnations,
-        settled_at=settling.last_heard_at,
-        speak=g.entitlements.extended_peers))
+        started_at=fallback.started_at, copies=fallback.copies, share_buckets=fallback.share_buckets,
+        last_heard_at=fallback.last_heard_at, reunited_at=fallback.reunited_at,
+        demand=shares.demand, peer_demand=shares.peer_demand, granted=shares.granted,
+        separated_since=shares.separated_since, initial_demand=shares.initial_demand,
+        incarnation=settlement.incarnation, local_counts=settlement.local_counts,
+        unconfirmed={owner: list(keys) for owner, keys in settlement.unconfirmed.items()},
+        peer_counts=list(settlement.peer_counts.items()), incarnations=settlement.incarnations,
+        settlement_heard_at=settlement.last_heard_at,
+        extended_peers=g.entitlements.extended_peers))
 
 
 def unpack(data: bytes) -> HandoverState:
-    """The state from its bytes; HandoverStateError where they are of another form, cut short or garbage."""
+    """Decodes a state; raises HandoverStateError if it is malformed, truncated or of another version."""
     try:
-        handed = msgspec.msgpack.decode(data, type=HandoverState)
+        state = msgspec.msgpack.decode(data, type=HandoverState)
     except (msgspec.DecodeError, ValueError) as error:
-        raise HandoverStateError(f"the state that was handed over cannot be read: {error}") from error
-    if handed.version != VERSION:
-        raise HandoverStateError(f"the state is of version {handed.version}, here it is {VERSION}")
-    return handed
+        raise HandoverStateError(f"the handover state cannot be decoded: {error}") from error
+    if state.version != VERSION:
+        raise HandoverStateError(
+            f"the handover state has version {state.version}, expected version {VERSION}")
+    return state
+
 
+def restore(gateway: Gateway, state: HandoverState, now: float) -> None:
+    """Restores a decoded state into a newly created gateway.
 
-def restore(gateway: Gateway, handed: HandoverState, now: float) -> None:
-    """Into a gateway that has just been made; its own settings count, where plans and classes differ."""
-    g, alone = gateway, gateway.fallback
+    Plans and classes are matched by name; state of plans that the gateway's own settings lack is dropped.
+    """
+    g, fallback = gateway, gateway.fallback
+    # ``new_plans`` and ``topics`` map the old process's numbers to this one's.
     numbers = {name: n for n, name in enumerate(p.name for p in g.settings.plans)}
-    to = {old: numbers[name] for old, name in enumerate(handed.plans) if name in numbers}
-    topics = {old: g.topics[name] for name, old in handed.topics.items() if name in g.topics}
-    topics |= {io.MAX_TOPICS - old: io.MAX_TOPICS - new for old, new in to.items()} | {0: 0}
-    for seen in handed.servers:
-        server = Server(seen.entry, g.settings.number, g.half_life)
-        server.judgements = {topics[t]: mark for t, mark in seen.marks.items() if t in topics}
-        server.last_answer_at, server.last_sent_at, server.wait_factor = seen.heard, seen.last_sent, seen.turn
-        g.servers[seen.entry.server] = g.server_pool.by_short_id[server.short_id] = server
-    g.usual_latency.update({name: usual for name, usual in handed.usual.items() if name in g.topics})
-    g.server_limit, g.server_pool.mean_in_flight, g.last_queued_at = handed.room, handed.busy, handed.pressed
-    g.breakers.update(handed.breakers)
-    g.buckets = {key: (to[plan], bucket) for key, plan, bucket in handed.buckets if plan in to}
-    for name, lease in handed.leases:
-        if lease.plan in to:
-            lease.plan, lease.judged = to[lease.plan], to.get(lease.judged, to[lease.plan])
+    new_plans = {old: numbers[name] for old, name in enumerate(state.plans) if name in numbers}
+    topics = {old: g.topics[name] for name, old in state.topics.items() if name in g.topics}
+    topics |= {io.MAX_TOPICS - old: io.MAX_TOPICS - new for old, new in new_plans.items()} | {0: 0}
+    for record in state.servers:
+        server = Server(record.entry, g.settings.number, g.half_life)
+        server.judgements = {topics[t]: mark for t, mark in record.judgements.items() if t in topics}
+        server.last_answer_at, server.last_sent_at, server.wait_factor = (
+            record.last_answer_at, record.last_sent_at, record.wait_factor)
+        g.servers[record.entry.server] = g.server_pool.by_short_id[server.short_id] = server
+    g.usual_latency.update({name: latency for name, latency in state.usual_latency.items()
+                            if name in g.topics})
+    g.server_limit, g.server_pool.mean_in_flight, g.last_queued_at = (
+        state.server_limit, state.mean_in_flight, state.last_queued_at)
+    g.breakers.update(state.breakers)
+    g.buckets = {key: (new_plans[plan], bucket) for key, plan, bucket in state.buckets if plan in new_plans}
+    for name, lease in state.leases:
+        if lease.plan in new_plans:
+            lease.plan, lease.judged = (
+                new_plans[lease.plan], new_plans.get(lease.judged, new_plans[lease.plan]))
             g.leases[name] = lease
-    alone.started_at, alone.last_heard_at, alone.reunited_at = handed.began, handed.heard_at, handed.ends
-    for key, copy in handed.copies.items():
-        if copy.plan in to:
-            copy.plan, alone.copies[key] = to[copy.plan], copy
-    alone.share_buckets = {k: (to[p], b, part) for k, (p, b, part) in handed.slices.items() if p in to}
-    shares, settling = alone.shares, alone.settlement
-    shares.demand, shares.peer_demand, shares.granted = handed.demand, handed.asked, handed.told
-    shares.separated_since, shares.initial_demand = handed.since, handed.whole
-    settling.incarnation = handed.incarnation
-    settling.local_counts = {k: m for k, m in handed.mine.items() if m.plan in to}
-    for mine in settling.local_counts.values():
-        mine.plan = to[mine.plan]
-    settling.unconfirmed = {owner: {k: settling.local_counts[k] for k in keys if k in settling.local_counts}
-                            for owner, keys in handed.unsettled.items()}
-    settling.peer_counts = dict(handed.known)
-    settling.incarnations, settling.last_heard_at = handed.current, handed.settled_at
-    g.entitlements.extended_peers = handed.speak
-    for key, (told, bucket) in g.buckets.items():
-        g.entitlements.update_bucket(now, key, told, bucket)
+    fallback.started_at, fallback.last_heard_at, fallback.reunited_at = (
+        state.started_at, state.last_heard_at, state.reunited_at)
+    for key, copy in state.copies.items():
+        if copy.plan in new_plans:
+            copy.plan, fallback.copies[key] = new_plans[copy.plan], copy
+    fallback.share_buckets = {key: (new_plans[plan], bucket, share)
+                              for key, (plan, bucket, share) in state.share_buckets.items()
+                              if plan in new_plans}
+    shares, settlement = fallback.shares, fallback.settlement
+    shares.demand, shares.peer_demand, shares.granted = state.demand, state.peer_demand, state.granted
+    shares.separated_since, shares.initial_demand = state.separated_since, state.initial_demand
+    settlement.incarnation = state.incarnation
+    settlement.local_counts = {key: count for key, count in state.local_counts.items()
+                               if count.plan in new_plans}
+    for count in settlement.local_counts.values():
+        count.plan = new_plans[count.plan]
+    settlement.unconfirmed = {
+        owner: {key: settlement.local_counts[key] for key in keys if key in settlement.local_counts}
+        for owner, keys in state.unconfirmed.items()}
+    settlement.peer_counts = dict(state.peer_counts)
+    settlement.incarnations, settlement.last_heard_at = state.incarnations, state.settlement_heard_at
+    g.entitlements.extended_peers = state.extended_peers
+    for key, (plan, bucket) in g.buckets.items():
+        g.entitlements.update_bucket(now, key, plan, bucket)
 
 
 def retired_settings(settings: io.Settings) -> dict[str, Any]:
-    """What changes in the settings of a process that has handed over and only finishes its jobs: it asks and
-    tells nobody, and what a cold node stands is the other process's alone."""
-    return {"can_tell": False, "tip_multiple": settings.tip_multiple * NO_ROOM}
+    """The changes to the settings of a process that has handed over and only finishes its jobs.
+
+    It sends no messages to peers, and the requests that a cold node can stand are left to the new process.
+    """
+    return {"can_tell": False, "tip_multiple": settings.tip_multiple * RETIRED_TIP_FACTOR}
--- a/larklb/net/front.py
+++ b/larklb/net/front.py
@@ -567,7 +567,8 @@
                     try:
                         ended: AttemptOutcome = await self.nodes.attempt(job, action, content, sink)
                     except UploadAbortedError as error:
-                        self.core.attempt_ended(job, action.server, io.Result.CONNECT_FAILED, 0.0, stale=True)
+                        self.core.attempt_ended(job, action.server, io.Result.CONNECT_FAILED, 0.0,
+                                                server_blameless=True)
                         return _upload_aborted_answer(error.__cause__), "failed"
                     self.core.attempt_ended(job, action.server, ended.result, ended.took, ended.spoilt,
                                             ended.stale)
--- a/larklb/phase.py
+++ b/larklb/phase.py
@@ -1,8 +1,8 @@
-"""Whether an instance takes new work: the one state that DRAIN, UNDRAIN, SIGTERM, /healthz and READY go by.
+"""The lifecycle state machine of an instance, behind DRAIN, UNDRAIN, SIGTERM, /healthz and READY.
 
-No input or output: the table below is the whole of it.  ``starting`` listens to nobody yet; ``serving`` takes
-all; ``draining`` says no to the front, serves what comes all the same and lets its connections go;
-``stopping`` does the same on its way to the end, from which there is no way back.
+It does no input or output; the transition table below defines it completely.  ``starting`` does not yet
+listen; ``serving`` accepts all requests; ``draining`` reports itself as not ready, still serves requests
+that arrive and closes its connections; ``stopping`` does the same until the process exits and cannot be left.
 """
 
 from __future__ import annotations
@@ -15,18 +15,20 @@
 
 
 class State(Enum):
+    """A lifecycle state; the values are part of the operators' interface."""
+
     STARTING = "starting"
     SERVING = "serving"
     DRAINING = "draining"
     STOPPING = "stopping"
 
 
-# (state, what happens): the state that follows.  What is not here changes nothing and is turned down.
-_MOVES = {
+# (state, event): the next state.  A pair that is not listed is rejected and changes nothing.
+_TRANSITIONS = {
     (State.STARTING, "started"): State.SERVING,
     (State.STARTING, "drain"): State.DRAINING,
     (State.SERVING, "drain"): State.DRAINING,
-    (State.DRAINING, "drain"): State.DRAINING,          # a repeat is harmless, and keeps the first one's time
+    (State.DRAINING, "drain"): State.DRAINING,          # a repeated drain keeps the time of the first
     (State.DRAINING, "undrain"): State.SERVING,
     (State.SERVING, "undrain"): State.SERVING,
     (State.STARTING, "stop"): State.STOPPING,
@@ -37,30 +39,33 @@
 
 
 class Phase:
-    """The state of one instance and since when it has held, in ms of the caller's clock."""
+    """The state of an instance and the time since when it holds, in ms of the caller's clock."""
 
     def __init__(self, now: float) -> None:
         self.state, self.since = State.STARTING, now
 
     def move(self, event: str, now: float) -> bool:
-        """``started``, ``drain``, ``undrain`` or ``stop``; False, with no change, where it makes no sense."""
-        after = _MOVES.get((self.state, event))
-        if after is None:
+        """Applies ``started``, ``drain``, ``undrain`` or ``stop``.
+
+        Returns False, and changes nothing, if the event is not allowed in the present state.
+        """
+        next_state = _TRANSITIONS.get((self.state, event))
+        if next_state is None:
             return False
-        if after is not self.state:
-            self.state, self.since = after, now
+        if next_state is not self.state:
+            self.state, self.since = next_state, now
         return True
 
     @property
     def ready(self) -> bool:
-        """Whether the front may send its clients here."""
+        """Whether the load balancer in front may send clients here."""
         return self.state is State.SERVING
 
     @property
     def leaving(self) -> bool:
-        """Whether a connection ends with the answer that it carries now."""
+        """Whether a connection is closed after the answer in progress."""
         return self.state in (State.DRAINING, State.STOPPING)
 
     def closes_idle_connections(self, now: float) -> bool:
-        """Whether connections that carry no job are to be closed."""
+        """Whether connections without a job are to be closed."""
         return self.leaving and now - self.since >= IDLE_CLOSE_DELAY
--- a/larklb/serve.py
+++ b/larklb/serve.py
@@ -85,18 +85,18 @@
     console = Console(core, phase)
     if config.admin is not None:
         await _listening(console.start(*config.admin))
-    succession = Takeover(core, phase, machines, nodes, front)
+    takeover = Takeover(core, phase, machines, nodes, front)
     # What an operator's file adds (folders, addresses of its own) belongs to one process alone; and without a
     # second address nobody could tell when the next process is ready.
     succeeds = operator is None and config.admin is not None
     place = handover_socket_path(config.name, config.listen) if succeeds else None
-    before = await _before(place, wheel, succession) if succeeds else Before()
+    before = await _before(place, wheel, takeover) if succeeds else Before()
     core.start()
     if before.handed is None:
         machines.apply_cached_list()
     store = await _store(config, store_entry, core) if store_entry is not None else None
     listener = await _listening(peers.listen(config, core, before.peers, before.shared))
-    succession.peers = listener
+    takeover.peers = listener
     watch = functools.partial(run_forever, "watch", machines.watch, counters)
     tasks = [_background(watch())]
 
@@ -105,7 +105,7 @@
         renewed = _renewed(config, core)
         if renewed is not None:
             nodes.apply_config(renewed)
-            succession.renewed()
+            takeover.settings_applied()
             if machines.change_discovery(renewed.discovery):
                 tasks.pop(0).cancel()
                 tasks.insert(0, _background(watch()))
@@ -122,15 +122,15 @@
         desk.keeper = keeper
         await _listening(desk.start(core))
     if before.channel is not None:
-        await succession.taken(before.channel)
+        await takeover.confirm(before.channel)
     if before.handed is None and not await machines.wait_for_first_list():
         log.warning("discovery has not spoken in %.0f ms: the list of the configuration serves",
                     FIRST_LIST_TIMEOUT_MS)
     await _listening(front.start(before.listening, before.shared))
     phase.move("started", wheel.now())
     if before.channel is not None and before.handed is not None:
-        succession.serves(before.channel, before.handed)
-    succession.open_door(place)
+        takeover.begin_serving(before.channel, before.handed)
+    takeover.open_door(place)
     gc.collect()
     gc.freeze()            # what stays for good need not be looked through again,
     gc.set_threshold(10000, 20, 20)      # nor the rest so often: a job leaves few cycles behind
@@ -142,7 +142,7 @@
         task.cancel()
         with contextlib.suppress(asyncio.CancelledError):
             await task
-    succession.close()
+    takeover.close()
     await console.stop()
     if store is not None:
         await store.close()
@@ -163,7 +163,7 @@
     shared: bool = False       # it is there and gives nothing: its addresses can only be shared
 
 
-async def _before(place: Path | None, wheel: Wheel, succession: Takeover) -> Before:
+async def _before(place: Path | None, wheel: Wheel, takeover: Takeover) -> Before:
     """Meets the process that has our place, if any, and takes over its state."""
     channel: Channel | None = None
     if place is None:
@@ -180,7 +180,7 @@
         if channel is not None:
             channel.close()
         return Before(shared=True)
-    succession.install(handed)
+    takeover.install(handed)
     return Before(channel, handed, parcel.listening, parcel.peers)
 
 
--- a/larklb/wheel.py
+++ b/larklb/wheel.py
@@ -1,4 +1,4 @@
-"""A timer wheel of coarse ticks: everything that falls due in one tick shares one wake-up of the loop."""
+"""A timer wheel with coarse ticks: all timers due in one tick share one wake-up of the event loop."""
 
 from __future__ import annotations
 
@@ -13,40 +13,43 @@
 
 
 class Timer:
-    """One entry of the wheel; a cancelled one stays in its slot and does nothing."""
+    """An entry of the wheel; a cancelled entry stays in its slot and does nothing."""
 
     __slots__ = ("callback", "args")
 
-    def __init__(self, act: Callable[..., object], args: tuple[Any, ...]) -> None:
-        self.callback: Callable[..., object] | None = act
+    def __init__(self, callback: Callable[..., object], args: tuple[Any, ...]) -> None:
+        self.callback: Callable[..., object] | None = callback
         self.args = args
 
     def cancel(self) -> None:
+        """Prevents the callback from running and drops its arguments."""
         self.callback, self.args = None, ()
 
 
 class Wheel:
-    """The program's one clock, in monotonic milliseconds, and its timers; they fire late, never early."""
+    """The clock of the process, in monotonic ms, and its timers, which fire late but never early."""
 
-    def __init__(self, tick: float, failed: Callable[[], object] = bool) -> None:
-        """``failed`` is called for each timer whose work failed: who counts is to hear of it."""
-        self.on_failure = failed
+    def __init__(self, tick: float, on_failure: Callable[[], object] = bool) -> None:
+        """``tick`` is in ms, at least 1; ``on_failure`` is called each time a timer's callback raises."""
+        self.on_failure = on_failure
         self.loop = asyncio.get_running_loop()
         self.tick = max(1.0, tick)
         self.slots: dict[int, list[Timer]] = {}
-        self.order: list[int] = []               # a heap of the slots in use
+        self.used_slots: list[int] = []          # a heap of slot numbers
         self.armed: tuple[int, asyncio.TimerHandle] | None = None
 
     def now(self) -> float:
+        """The time of the event loop's monotonic clock in ms."""
         return self.loop.time() * 1000.0
 
-    def after(self, delay: float, act: Callable[..., object], *args: Any) -> Timer:
+    def after(self, delay: float, callback: Callable[..., object], *args: Any) -> Timer:
+        """Calls ``callback`` with ``args`` after at least ``delay`` ms; the timer can be cancelled."""
         number = math.ceil((self.now() + max(0.0, delay)) / self.tick)
-        timer = Timer(act, args)
+        timer = Timer(callback, args)
         slot = self.slots.get(number)
         if slot is None:
             self.slots[number] = [timer]
-            heapq.heappush(self.order, number)
+            heapq.heappush(self.used_slots, number)
             if self.armed is None or number < self.armed[0]:
                 self._arm()
         else:
@@ -54,36 +57,37 @@
         return timer
 
     def _arm(self) -> None:
-        # Slots of cancelled timers alone go unvisited: most guards are cancelled long before they fall due.
-        while all(timer.callback is None for timer in self.slots[self.order[0]]):
-            del self.slots[heapq.heappop(self.order)]
-            if not self.order:
+        # Drops slots that hold only cancelled timers: most deadlines are cancelled long before they are due.
+        while all(timer.callback is None for timer in self.slots[self.used_slots[0]]):
+            del self.slots[heapq.heappop(self.used_slots)]
+            if not self.used_slots:
                 return
-        first = self.order[0]
+        first = self.used_slots[0]
         if self.armed is not None:
             if self.armed[0] <= first:
                 return
             self.armed[1].cancel()
-        self.armed = (first, self.loop.call_at(first * self.tick / 1000.0, self._turn))
+        self.armed = (first, self.loop.call_at(first * self.tick / 1000.0, self._fire_due))
 
-    def _turn(self) -> None:
+    def _fire_due(self) -> None:
         self.armed = None
         now = self.now()
-        # The loop may wake a clock step early: what is due within a tenth of a tick counts as due.
-        while self.order and self.order[0] * self.tick <= now + 0.1 * self.tick:
-            for timer in self.slots.pop(heapq.heappop(self.order)):
+        # The loop may wake one clock step early, so timers within a tenth of a tick count as due.
+        while self.used_slots and self.used_slots[0] * self.tick <= now + 0.1 * self.tick:
+            for timer in self.slots.pop(heapq.heappop(self.used_slots)):
                 if timer.callback is None:
                     continue
                 try:
                     timer.callback(*timer.args)
                 except Exception:
-                    # One timer's failure must not take the others of its tick with it.
+                    # A failure must not prevent the other timers of the tick from running.
                     self.on_failure()
-                    log.exception("a timer failed")
-        if self.order:
+                    log.exception("a timer callback failed")
+        if self.used_slots:
             self._arm()
 
     async def sleep(self, delay: float) -> None:
+        """Sleeps for ``delay`` ms or a little longer."""
         done: asyncio.Future[None] = self.loop.create_future()
 
         def wake() -> None:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -303,7 +303,7 @@
 
 def _state(bed: Bed) -> bytes:
     return pack(bed.gateways[0], draining=False, generation=5, discovery=("127.0.0.1", 1), offset=7.0,
-                places={"s0": NodeAddress("127.0.0.1", 2, None)})
+                node_addresses={"s0": NodeAddress("127.0.0.1", 2, None)})
 
 
 def _used() -> Bed:
