--- a/larklb/grpc/__init__.py
+++ b/larklb/grpc/__init__.py
@@ -1,1 +1,1 @@
-"""The gRPC rate limit service: a second front, imported only when it is set up."""
+"""The gRPC rate limit service, a second front end that is imported only when it is enabled."""
--- a/larklb/grpc/front.py
+++ b/larklb/grpc/front.py
@@ -1,4 +1,4 @@
-"""Envoy's rate limit service: asks the core the quota question alone, under the same rules as HTTP."""
+"""Envoy's rate limit service: quota checks without a job, under the same rules as over HTTP."""
 
 from __future__ import annotations
 
@@ -18,18 +18,26 @@
 log = logging.getLogger(__name__)
 
 SERVICE = "envoy.service.ratelimit.v3.RateLimitService"
-MOST_DESCRIPTORS = 16
-MOST_MESSAGE = 64 * 1024
-MOST_CALLS = 512           # at once; beyond them gRPC answers RESOURCE_EXHAUSTED
-HANDSHAKE_MS = 3000        # for a connection's first frame: who says nothing must not keep a descriptor
-IDLE_MS = 60_000           # without a call after which a connection is told to go; clients connect again
+MAX_DESCRIPTORS = 16
+MAX_MESSAGE_BYTES = 64 * 1024
+# Concurrent calls; beyond them gRPC answers RESOURCE_EXHAUSTED.
+MAX_CALLS = 512
+# Time for a connection's first frame; a silent connection must not hold a descriptor.
+HANDSHAKE_TIMEOUT_MS = 3000
+# A connection without a call for this long is asked to close; clients reconnect.
+MAX_IDLE_MS = 60_000
 _KEYS = {"account", "plan", "class", "set"}
 Response = rls_pb2.RateLimitResponse
 
 
-def question(descriptor: ratelimit_pb2.RateLimitDescriptor, hits: int, now: float, within: float | None,
-             core: Core) -> io.Request:
-    """The question in a descriptor with ``account``, ``plan``, ``class`` and ``set`` (spread=3,first=1)."""
+def quota_check(descriptor: ratelimit_pb2.RateLimitDescriptor, hits: int, now: float,
+                within: float | None, core: Core) -> io.Request:
+    """Converts a descriptor to a request; its keys are ``account``, ``plan``, ``class`` and ``set``.
+
+    An example of a ``set`` is spread=3,first=1.
+
+    ``now`` and ``within``, the time left to the caller, are in ms.  Raises MalformedError.
+    """
     entries = {entry.key: entry.value for entry in descriptor.entries}
     if set(entries) != _KEYS or len(descriptor.entries) != len(_KEYS):
         raise MalformedError("a descriptor has one entry each of account, plan, class and set")
@@ -46,13 +54,14 @@
 
 
 class RateLimitFront:
-    """One gRPC server before the core."""
+    """The gRPC server in front of the core."""
 
     def __init__(self, listen: str, core: Core) -> None:
         self.core, self.stopping = core, False
-        self.server = grpc.aio.server(maximum_concurrent_rpcs=MOST_CALLS, options=(
-            ("grpc.max_receive_message_length", MOST_MESSAGE), ("grpc.so_reuseport", 0),
-            ("grpc.server_handshake_timeout_ms", HANDSHAKE_MS), ("grpc.max_connection_idle_ms", IDLE_MS)))
+        self.server = grpc.aio.server(maximum_concurrent_rpcs=MAX_CALLS, options=(
+            ("grpc.max_receive_message_length", MAX_MESSAGE_BYTES), ("grpc.so_reuseport", 0),
+            ("grpc.server_handshake_timeout_ms", HANDSHAKE_TIMEOUT_MS),
+            ("grpc.max_connection_idle_ms", MAX_IDLE_MS)))
         handler = grpc.unary_unary_rpc_method_handler(
             self.should_rate_limit, request_deserializer=rls_pb2.RateLimitRequest.FromString,
             response_serializer=Response.SerializeToString)
@@ -61,50 +70,52 @@
         self.port = self.server.add_insecure_port(listen)
 
     async def start(self) -> None:
+        """Starts to accept calls."""
         await self.server.start()
 
     async def stop(self) -> None:
-        """New questions are turned away at once; those taken are answered, each within its due time."""
+        """Rejects new calls at once and answers the accepted ones, each within its due time."""
         self.stopping = True
         await self.server.stop(max(c.deadline for c in self.core.settings.classes) / 1000.0 + 0.1)
 
     async def should_rate_limit(self, request: rls_pb2.RateLimitRequest,
                                 context: grpc.aio.ServicerContext[Any, Any]) -> rls_pb2.RateLimitResponse:
+        """Handles one ShouldRateLimit call."""
         if self.stopping:
             await context.abort(grpc.StatusCode.UNAVAILABLE, "this limiter is stopping")
         now, left = self.core.wheel.now(), context.time_remaining()
         if left is not None and left <= 0:
             await context.abort(grpc.StatusCode.DEADLINE_EXCEEDED, "no time was left for the question")
         try:
-            if not 0 < len(request.descriptors) <= MOST_DESCRIPTORS:
-                raise MalformedError(f"a request has 1 to {MOST_DESCRIPTORS} descriptors")
+            if not 0 < len(request.descriptors) <= MAX_DESCRIPTORS:
+                raise MalformedError(f"a request has 1 to {MAX_DESCRIPTORS} descriptors")
             within = None if left is None else left * 1000.0
-            questions = [question(d, request.hits_addend, now, within, self.core)
-                         for d in request.descriptors]
+            checks = [quota_check(d, request.hits_addend, now, within, self.core)
+                      for d in request.descriptors]
         except MalformedError as error:
             self.core.counters.add("malformed")
             await context.abort(grpc.StatusCode.INVALID_ARGUMENT, str(error))
-        verdicts = await self._asked(questions)
+        verdicts = await self._check(checks)
         if any(isinstance(v, io.Fail) for v in verdicts):
             await context.abort(grpc.StatusCode.DEADLINE_EXCEEDED, "the question was not answered in time")
-        return answer(verdicts)
+        return response_to(verdicts)
 
-    async def _asked(self, questions: list[io.Request]) -> list[io.Action]:
-        """The whole life of the questions of one call."""
+    async def _check(self, checks: list[io.Request]) -> list[io.Action]:
+        """Submits the quota checks of one call, waits for their verdicts and closes them."""
         counters = self.core.counters
         jobs: list[Job] = []
         verdicts: list[io.Action] = []
         try:
-            for q in questions:
-                counters.add(f"taken.grpc.{q.service}")
-                jobs.append(self.core.take(q))
+            for check in checks:
+                counters.add(f"taken.grpc.{check.service}")
+                jobs.append(self.core.take(check))
             for job in jobs:
                 verdict = await job.next()
                 if isinstance(verdict, io.Grant):
                     await self.core.charge(job, verdict.stamp)
                 verdicts.append(verdict)
         except BaseException:
-            # The caller has gone, or we have failed: what has no grant yet must not take any units.
+            # The caller has gone or an error occurred: a check without a grant must not take any units.
             for job in jobs[len(verdicts):]:
                 self.core.abandon(job)
                 counters.add("answered.nobody")
@@ -117,8 +128,8 @@
         return verdicts
 
 
-def answer(verdicts: list[io.Action]) -> rls_pb2.RateLimitResponse:
-    """OVER_LIMIT if any descriptor is, with the time until its units are there again."""
+def response_to(verdicts: list[io.Action]) -> rls_pb2.RateLimitResponse:
+    """Builds the response: OVER_LIMIT if any descriptor is, with the time until it has units again."""
     statuses = []
     for v in verdicts:
         if isinstance(v, io.Refuse):
--- a/larklb/serve.py
+++ b/larklb/serve.py
@@ -1,4 +1,4 @@
-"""One instance from its start to its end: puts the parts together and stops them in order."""
+"""Starts an instance: builds its components, runs them until a signal arrives and stops them in order."""
 
 from __future__ import annotations
 
@@ -51,11 +51,12 @@
 
 log = logging.getLogger(__name__)
 T = TypeVar("T")
-LINKS_PART = 0.1           # of the descriptors may be connections with other limiters, to and from each
+# Share of the descriptors that connections with other limiters (to and from each) may use.
+MAX_PEER_DESCRIPTOR_SHARE = 0.1
 
 
 class StartError(Exception):
-    """The instance cannot listen where it should."""
+    """The instance cannot start, for instance because an address is in use."""
 
 
 async def _run(config: Config, operator: Operator | None, base: Path) -> None:
@@ -69,10 +70,10 @@
     loop.add_signal_handler(signal.SIGUSR1, lambda: print(counters.as_json(), file=sys.stderr, flush=True))
     wheel = Wheel(config.settings.tick, functools.partial(counters.add, "errors.timer"))
     desk = _desk(config, base, operator, counters, wheel) if operator is not None else None
-    book = desk.book if desk is not None else Entitlements(
+    entitlements = desk.book if desk is not None else Entitlements(
         config.settings.plans, max_customers=customers_for_memory(config.memory_mb))
     limits = _limits(config, operator, wheel) if operator is not None else None
-    core = Core(config.settings, config.seed, wheel, counters, book, limits)
+    core = Core(config.settings, config.seed, wheel, counters, entitlements, limits)
     core.ledger = desk.ledger if desk is not None else None
     if operator is not None:
         core.gateway.zones.configure(operator.zones.leave, operator.zones.of_zones())
@@ -86,22 +87,22 @@
     if config.admin is not None:
         await _listening(console.start(*config.admin))
     takeover = Takeover(core, phase, machines, nodes, front)
-    # What an operator's file adds (folders, addresses of its own) belongs to one process alone; and without a
-    # second address nobody could tell when the next process is ready.
-    succeeds = operator is None and config.admin is not None
-    place = handover_socket_path(config.name, config.listen) if succeeds else None
-    before = await _before(place, wheel, takeover) if succeeds else Before()
+    # A takeover is not possible with an operator's file, whose folders and addresses belong to one process
+    # alone, nor without an admin address, which shows when the new process is ready.
+    supports_takeover = operator is None and config.admin is not None
+    place = handover_socket_path(config.name, config.listen) if supports_takeover else None
+    handover = await _take_over(place, wheel, takeover) if supports_takeover else Handover()
     core.start()
-    if before.handed is None:
+    if handover.state is None:
         machines.apply_cached_list()
     store = await _store(config, store_entry, core) if store_entry is not None else None
-    listener = await _listening(peers.listen(config, core, before.peers, before.shared))
+    listener = await _listening(peers.listen(config, core, handover.peers, handover.shared))
     takeover.peers = listener
     watch = functools.partial(run_forever, "watch", machines.watch, counters)
     tasks = [_background(watch())]
 
     def reload() -> None:
-        """SIGHUP: the file is checked whole, then taken whole; the list is watched at once where it says."""
+        """Handles SIGHUP: validates the whole file, applies it, and watches discovery at its new address."""
         renewed = _renewed(config, core)
         if renewed is not None:
             nodes.apply_config(renewed)
@@ -121,19 +122,21 @@
     if desk is not None:
         desk.keeper = keeper
         await _listening(desk.start(core))
-    if before.channel is not None:
-        await takeover.confirm(before.channel)
-    if before.handed is None and not await machines.wait_for_first_list():
-        log.warning("discovery has not spoken in %.0f ms: the list of the configuration serves",
+    if handover.channel is not None:
+        await takeover.confirm(handover.channel)
+    if handover.state is None and not await machines.wait_for_first_list():
+        log.warning("discovery has not answered in %.0f ms: using the execute nodes of the configuration",
                     FIRST_LIST_TIMEOUT_MS)
-    await _listening(front.start(before.listening, before.shared))
+    await _listening(front.start(handover.listening, handover.shared))
     phase.move("started", wheel.now())
-    if before.channel is not None and before.handed is not None:
-        takeover.begin_serving(before.channel, before.handed)
+    if handover.channel is not None and handover.state is not None:
+        takeover.begin_serving(handover.channel, handover.state)
     takeover.open_door(place)
     gc.collect()
-    gc.freeze()            # what stays for good need not be looked through again,
-    gc.set_threshold(10000, 20, 20)      # nor the rest so often: a job leaves few cycles behind
+    # Excludes the permanent objects from garbage collection.  The rest is collected less often than by
+    # default, since a job leaves few reference cycles.
+    gc.freeze()
+    gc.set_threshold(10000, 20, 20)
     await stop.wait()
     await asyncio.gather(front.stop(), *((second.stop(),) if second is not None else ()))
     if keeper is not None:
@@ -153,42 +156,43 @@
     print(counters.as_json(), file=sys.stderr, flush=True)
 
 
-class Before(NamedTuple):
-    """What the process that has our place has given; nothing where there is none."""
+class Handover(NamedTuple):
+    """What a running process of this instance has handed over; empty if there is none."""
 
     channel: Channel | None = None
-    handed: HandoverState | None = None
+    state: HandoverState | None = None
     listening: socket.socket | None = None
     peers: socket.socket | None = None
-    shared: bool = False       # it is there and gives nothing: its addresses can only be shared
+    # True if the process exists but hands nothing over, so that its addresses can only be shared.
+    shared: bool = False
 
 
-async def _before(place: Path | None, wheel: Wheel, takeover: Takeover) -> Before:
-    """Meets the process that has our place, if any, and takes over its state."""
+async def _take_over(place: Path | None, wheel: Wheel, takeover: Takeover) -> Handover:
+    """Connects to a running process of this instance, if any, and takes over its state and sockets."""
     channel: Channel | None = None
     if place is None:
-        return Before(shared=True)
+        return Handover(shared=True)
     try:
         channel = await connect_predecessor(place, wheel)
         if channel is None:
-            return Before()
-        gc.collect()               # now, while it still serves
+            return Handover()
+        gc.collect()               # now, while the other process still serves
         parcel = await receive_state(channel)
-        handed = unpack(parcel.state)
+        state = unpack(parcel.state)
     except (HandoverError, HandoverStateError) as error:
-        log.warning("the process that has our place does not give it (%s): its addresses are shared", error)
+        log.warning("the running process does not hand over (%s): sharing its addresses", error)
         if channel is not None:
             channel.close()
-        return Before(shared=True)
-    takeover.install(handed)
-    return Before(channel, handed, parcel.listening, parcel.peers)
+        return Handover(shared=True)
+    takeover.install(state)
+    return Handover(channel, state, parcel.listening, parcel.peers)
 
 
 def _renewed(config: Config, core: Core) -> Config | None:
-    """The configuration read anew, its settings in use; None, and the old one holds, where it is no good."""
+    """Reloads the configuration and applies its settings; None, and no change, if it is invalid."""
     counters = core.counters
     try:
-        # EDGE_DISCOVERY was told at the start: the file is what has been replaced since.
+        # EDGE_DISCOVERY is fixed at the start of the process, whereas the file has been replaced since.
         renewed = load({name: text for name, text in os.environ.items() if name != "EDGE_DISCOVERY"},
                        config.keys)
         core.apply_settings(renewed.settings)
@@ -204,20 +208,24 @@
         sockets=descriptors(renewed.sockets))
     old, new = config.settings, renewed.settings
     if same != config or (old.number, old.gateways, old.tick) != (new.number, new.gateways, new.tick):
-        log.warning("what else has changed in the configuration takes effect at a restart")
+        log.warning("other changes to the configuration take effect at a restart")
     return renewed
 
 
 def _limits(config: Config, operator: Operator, wheel: Wheel) -> FleetLimits:
-    """The fleet's limits as the operator's file gives them."""
-    s, e = config.settings, operator.limits
-    return FleetLimits(s.number, s.gateways, wheel.now(), max(c.deadline for c in s.classes), e.node_attempts,
-                  e.further_attempts)
+    """Creates the fleet-wide limits on attempts from the operator's file."""
+    settings, limits = config.settings, operator.limits
+    return FleetLimits(settings.number, settings.gateways, wheel.now(),
+                       max(c.deadline for c in settings.classes),
+                       limits.node_attempts, limits.further_attempts)
 
 
 def _keeper(config: Config, operator: Operator, core: Core, nodes: ExecuteNodes, phase: Phase,
             desk: Desk | None) -> CustodyKeeper | None:
-    """Custody, where the operator's file turns it on; ConfigError where it cannot be."""
+    """Creates the custody service if the operator's file enables it.
+
+    Raises ConfigError if the configuration does not support custody.
+    """
     if operator.custody is None:
         return None
     from larklb.fleet.custody import GROUP
@@ -226,7 +234,7 @@
     longest = max((c.window + c.deadline for c in s.classes if c.repeat is RepeatPolicy.KEYED), default=0.0)
     if s.gateways < GROUP or config.peer_listen is None or len(config.peers) != s.gateways:
         raise ConfigError(f"custody needs {GROUP} limiters or more, with peers and peer_listen")
-    if 2 * s.gateways > config.sockets * LINKS_PART:
+    if 2 * s.gateways > config.sockets * MAX_PEER_DESCRIPTOR_SHARE:
         raise ConfigError(f"custody among {s.gateways} limiters needs more sockets than {config.sockets}")
     if operator.custody.keep_s * 1000.0 < longest:
         raise ConfigError(f"custody: keep_s is below {longest / 1000.0:g}, the longest window and deadline")
@@ -237,7 +245,10 @@
 
 
 def _desk(config: Config, base: Path, operator: Operator, counters: Counters, wheel: Wheel) -> Desk:
-    """Imported here alone, as the platform has none; what cannot be used is told in one line."""
+    """Creates the desk; imported only here, because without an operator's file it is not needed.
+
+    Raises StartError if its logs cannot be used.
+    """
     from larklb.desk import Desk
     from larklb.state.log import LogError
     try:
@@ -247,7 +258,7 @@
 
 
 async def _second_front(listen: str, core: Core) -> RateLimitFront:
-    """Imported here alone: without it neither gRPC nor its memory is there."""
+    """Starts the gRPC front end; imported only here, so that gRPC takes no memory unless it is enabled."""
     from larklb.grpc.front import RateLimitFront
     try:
         front = RateLimitFront(listen, core)
@@ -258,7 +269,7 @@
 
 
 async def _listening(listen: Awaitable[T]) -> T:
-    """An address that is taken or not ours is told in one line."""
+    """Awaits ``listen``; raises StartError if an address is in use or not available."""
     try:
         return await listen
     except OSError as error:
@@ -280,23 +291,26 @@
 
 def _ended(task: asyncio.Task[None]) -> None:
     if not task.cancelled() and task.exception() is not None:
-        log.error("a background task has failed", exc_info=task.exception())
+        log.error("a background task failed", exc_info=task.exception())
 
 
 def descriptors(wanted: int) -> int:
-    """How many this process may hold: as many as are configured, where the system allows it."""
+    """Raises the limit of open descriptors to ``wanted`` as far as the system allows; returns the limit."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft != resource.RLIM_INFINITY and soft < wanted:
         soft = wanted if hard == resource.RLIM_INFINITY else min(wanted, hard)
         resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
         if soft < wanted:
-            log.warning("%d descriptors are configured, and the system allows %d", wanted, soft)
+            log.warning("%d descriptors are configured, but the system allows %d", wanted, soft)
         return soft
     return wanted
 
 
 def run(config: Config, operator: Operator | None = None, base: Path = Path()) -> None:
-    """Until SIGTERM; ``base`` is the folder of the operator's file."""
+    """Runs an instance until SIGTERM or SIGINT; ``base`` is the folder of the operator's file.
+
+    Exits with status 2 after a configuration error and with 1 if the instance cannot start.
+    """
     logging.basicConfig(stream=sys.stderr, level=logging.INFO,
                         format=f"{config.name} %(levelname)s %(message)s")
     config = msgspec.structs.replace(config, sockets=descriptors(config.sockets))
