--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -1,4 +1,4 @@
-"""The core, its wheel and an attempt, without sockets."""
+"""Tests of the core, the timer wheel and single attempts, without processes."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 from tests.conftest import settings
 
 CONTENT = execute.Content(b"GET", b"/read", (), b"")
-NOBODY: Any = None         # takes long answers: there are none here
+NO_SINK: Any = None        # receives streamed answers, which these tests do not have
 
 
-def test_the_wheel_fires_in_order_and_never_early_and_survives_a_failure() -> None:
+def test_wheel_fires_in_order_and_never_early_and_survives_a_failing_callback() -> None:
     async def go() -> None:
         failures: list[int] = []
         wheel = Wheel(4.0, lambda: failures.append(1))
@@ -39,8 +39,8 @@
     asyncio.run(go())
 
 
-def test_the_rest_that_is_trusted_goes_by_the_connections_found_closed() -> None:
-    """Nodes that close kept connections early had 753 jobs written to them on one day."""
+def test_trusted_idle_time_follows_the_connections_found_closed() -> None:
+    """Guards against writing jobs to kept connections that a node has closed early (753 jobs on one day)."""
     nodes = object.__new__(execute.ExecuteNodes)
     nodes.idle_limit = nodes.fresh = 12000.0
     for _ in range(20):
@@ -53,8 +53,11 @@
     assert low < nodes.fresh == nodes.idle_limit
 
 
-def test_what_waits_in_the_socket_is_no_silence_and_a_closed_socket_no_error() -> None:
-    """A limiter that got no CPU for a while had not read the request; a closed socket has no number."""
+def test_unread_data_in_the_socket_counts_as_activity_and_a_closed_socket_is_no_error() -> None:
+    """Guards against dropping a request that a limiter without CPU time had not yet read.
+
+    A closed socket has no file descriptor and must not cause an error.
+    """
     async def go() -> None:
         ours, theirs = socket.socketpair()
         ours.setblocking(False)
@@ -81,7 +84,7 @@
     return core
 
 
-def test_a_failure_of_the_module_costs_one_job_its_answer_and_no_other() -> None:
+def test_failure_of_the_gateway_fails_one_job_at_once() -> None:
     def fails(now: float, event: io.Event) -> list[io.Action]:
         raise RuntimeError("bug")
 
@@ -93,7 +96,7 @@
     asyncio.run(go())
 
 
-def test_a_job_that_the_module_forgets_fails_at_its_due_time() -> None:
+def test_job_that_the_gateway_forgets_fails_at_its_due_time() -> None:
     async def go() -> None:
         core = core_with(lambda now, event: [])
         job = core.take(io.Request("r", "read", "free", "c", core.wheel.now() + 30.0))
@@ -102,7 +105,7 @@
     asyncio.run(go())
 
 
-def test_nothing_is_written_to_a_node_that_began_to_drain_during_a_slow_dial(
+def test_no_job_is_written_to_a_node_that_began_to_drain_during_a_slow_dial(
         monkeypatch: pytest.MonkeyPatch) -> None:
     class _Link:
         aborted = False
@@ -117,7 +120,7 @@
         core, link, machine = core_with(), _Link(), Machine(("127.0.0.1", 1))
 
         async def slow(host: str, port: int) -> Any:
-            machine.closed_at = core.wheel.now() - 1001.0      # told longer ago than the grace
+            machine.closed_at = core.wheel.now() - 1001.0      # announced longer ago than the grace period
             return link
 
         monkeypatch.setattr(execute, "dial", slow)
@@ -126,6 +129,6 @@
                                      "settings": core.settings})()
         nodes = execute.ExecuteNodes(config, core, machines)
         job = core.take(io.Request("r", "read", "free", "c", core.wheel.now() + 3000.0))
-        ended = await nodes.attempt(job, io.Send("r", "s"), CONTENT, NOBODY)
+        ended = await nodes.attempt(job, io.Send("r", "s"), CONTENT, NO_SINK)
         assert ended.result is io.Result.NOT_SENT and link.aborted and core.counters["held_back.drain"] == 1
     asyncio.run(go())
--- a/tests/test_grpc.py
+++ b/tests/test_grpc.py
@@ -1,4 +1,4 @@
-"""The gRPC rate limit service beside the platform's protocol: one quota for both."""
+"""Tests of the gRPC rate limit service, which shares its quota with HTTP."""
 
 from __future__ import annotations
 
@@ -53,12 +53,12 @@
 
 
 def answered(counts: dict[str, int]) -> tuple[int, int]:
-    """All that was taken and all final answers to it."""
+    """Returns the numbers of accepted requests and of final answers."""
     return (sum(n for name, n in counts.items() if name.startswith("taken.")),
             sum(n for name, n in counts.items() if name.startswith("answered.")))
 
 
-def test_units_are_taken_from_one_bucket_and_over_limit_tells_the_wait(tmp_path: Path) -> None:
+def test_units_come_from_one_bucket_and_over_limit_states_the_wait(tmp_path: Path) -> None:
     async def go() -> None:
         async with Yard(tmp_path, second_front=True) as yard:
             limiter = yard.limiters[0]
@@ -91,7 +91,7 @@
 
 
 def test_quota_agrees_over_both_paths_and_limiters_through_a_restart(tmp_path: Path) -> None:
-    """Half by HTTP, half by gRPC, while the limiter that is not the owner is restarted."""
+    """Sends half by HTTP and half by gRPC, and restarts the limiter that is not the owner."""
     async def go() -> None:
         async with Yard(tmp_path, limiters=2, second_front=True) as yard:
             owner, other = owner_and_other(1, yard)
@@ -110,7 +110,7 @@
     asyncio.run(go())
 
 
-def test_restarted_owner_keeps_its_buckets_in_the_store_and_does_without_it(tmp_path: Path) -> None:
+def test_restarted_owner_reloads_its_buckets_and_works_without_the_store(tmp_path: Path) -> None:
     async def go() -> None:
         store = RespServer()
         await store.start()
@@ -133,8 +133,8 @@
     asyncio.run(go())
 
 
-def test_a_cancel_before_the_grant_takes_no_units_and_a_deadline_is_told(tmp_path: Path) -> None:
-    """The owner is stopped mid-question (SIGSTOP), so that no grant can come before the cancel."""
+def test_cancel_before_the_grant_takes_no_units_and_a_missed_deadline_is_reported(tmp_path: Path) -> None:
+    """The owner is suspended (SIGSTOP), so that no grant can arrive before the cancel."""
     async def go() -> None:
         async with Yard(tmp_path, limiters=2, second_front=True) as yard:
             owner, other = owner_and_other(1, yard)
@@ -148,7 +148,7 @@
                 call.cancel()
                 with pytest.raises(asyncio.CancelledError):
                     await call
-                # Too short for the owner's word and for the fallback, which comes in its third part.
+                # Too short for the owner's answer and for the fallback, which decides after a third of it.
                 with pytest.raises(grpc.aio.AioRpcError) as error:
                     await stub(other, channel)(request, timeout=0.008)
                 assert error.value.code() is grpc.StatusCode.DEADLINE_EXCEEDED
@@ -162,7 +162,7 @@
     asyncio.run(go())
 
 
-def test_a_question_without_a_word_in_time_fails_and_takes_nothing() -> None:
+def test_quota_check_without_an_answer_in_time_fails_and_takes_no_units() -> None:
     b = Bed(gateways=2)
     far = 1 - ring_owner(digest("c"), [0, 1])
     b.cut = True
@@ -171,7 +171,7 @@
     assert b.of(io.Fail, "q") and not b.of(io.Grant) and not b.of(io.Refuse)
 
 
-def test_a_lost_verdict_to_one_who_left_gives_its_units_back() -> None:
+def test_units_of_a_lost_verdict_return_after_the_client_has_gone() -> None:
     b = Bed(gateways=2)
     owner = ring_owner(digest("c"), [0, 1])
     b.drop = lambda sender, to: sender == owner
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,4 +1,4 @@
-"""A second process takes the place of the first one under load; each step of it broken off."""
+"""Tests of upgrades: a new process takes over from a running one under load, and each step is interrupted."""
 
 from __future__ import annotations
 
@@ -27,13 +27,15 @@
 from tests.test_daily import call, with_console
 
 HEALTH = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
-LONG_S = 30.0              # that a job may take where the stand-ins may stand still for seconds ...
-ANSWER_S = 3.0             # ... and in which it must be answered, without the time for which they did
+# Deadline of jobs; the test process, which runs the execute nodes, may stall for seconds.
+LONG_S = 30.0
+# Time in which a job must be answered, not counting stalls of the test process.
+ANSWER_S = 3.0
 PULSE_S = 0.05
 
 
 async def beside(yard: Yard) -> tuple[Process, int]:
-    """The program started a second time, with another second address."""
+    """Starts a second process of the limiter with another admin address."""
     port = with_console(yard)
     env = {**os.environ, "EDGE_CONFIG": str(yard.limiters[0].config()), "PYTHONPATH": str(ROOT),
            **yard.environment, **yard.limiters[0].environment}
@@ -52,7 +54,7 @@
 
 
 async def upgraded(yard: Yard) -> tuple[Process, int]:
-    """The old process, which has been told to stop, and the new one's second address."""
+    """Upgrades the limiter; returns the old process, which was sent SIGTERM, and the new admin port."""
     old = yard.limiters[0].process
     assert old is not None
     yard.limiters[0].process, port = await beside(yard)
@@ -74,11 +76,11 @@
     return yard
 
 
-def test_nothing_is_lost_over_repeated_upgrades_under_load(tmp_path: Path) -> None:
-    """One answer each on connections that stay open, a burst of ten units that is spent once, no id twice.
+def test_repeated_upgrades_under_load_lose_nothing(tmp_path: Path) -> None:
+    """Each request gets one answer, connections stay open, no units are spent twice, no job runs twice.
 
-    The execute nodes run in the process of this test. On a busy machine it stands still for three seconds at
-    times, and a job that may take no longer is then rightly refused: these may, and that time is taken off.
+    The execute nodes run in the test process.  It may stall for three seconds on a busy machine, and a job
+    with a shorter deadline would rightly be refused, so the deadline is longer and stalls are subtracted.
     """
     async def go() -> None:
         yard = yard_in(tmp_path)
@@ -88,7 +90,7 @@
             port, ended = yard.limiters[0].port, asyncio.Event()
             heard: Counter[int] = Counter()
             slow: Counter[int] = Counter()
-            stood_still = 0.0                  # s, this process in all
+            stood_still = 0.0                  # total stall of this process in s
 
             async def pulse() -> None:
                 nonlocal stood_still
@@ -104,7 +106,7 @@
                     begin, still = time.monotonic(), stood_still
                     writer.write(job(service=service, account=100 + n, left=LONG_S).encode())
                     status, headers, _ = await asyncio.wait_for(read_answer(reader), LONG_S)
-                    # A standstill that ends with this answer is counted by the next pulse.
+                    # A stall that ends with this answer is counted by the next pulse.
                     if time.monotonic() - begin - (stood_still - still) >= ANSWER_S:
                         await asyncio.sleep(2 * PULSE_S)
                         assert time.monotonic() - begin - (stood_still - still) < ANSWER_S + 2 * PULSE_S
@@ -135,7 +137,7 @@
     asyncio.run(go())
 
 
-def test_jobs_on_a_slow_node_are_finished_by_the_process_that_took_them(tmp_path: Path) -> None:
+def test_jobs_on_a_slow_node_are_finished_by_the_process_that_accepted_them(tmp_path: Path) -> None:
     async def go() -> None:
         yard = yard_in(tmp_path)
         with_console(yard)
@@ -155,15 +157,15 @@
             assert (await read_answer(reader))[2] == b"done 00000000000000aa"
             for node in yard.nodes:
                 node.reply = served
-            writer.write(job("00000000000000ab").encode())       # and the connection has gone over
+            writer.write(job("00000000000000ab").encode())       # the new process has the connection
             assert (await read_answer(reader))[2] == b"done 00000000000000ab"
             await exits(old)
     asyncio.run(go())
 
 
 @pytest.mark.parametrize("step", ["hello", "give", "last", "garbage", "version"])
-def test_a_new_process_that_dies_on_its_way_changes_nothing(tmp_path: Path, step: str) -> None:
-    """The old one has stopped taking up work by then: it takes all up anew."""
+def test_new_process_that_dies_during_the_takeover_changes_nothing(tmp_path: Path, step: str) -> None:
+    """The old process has paused accepting work by then and must resume it."""
     async def go() -> None:
         yard = yard_in(tmp_path)
         with_console(yard)
@@ -196,13 +198,13 @@
             writer.write(job().encode())
             assert (await asyncio.wait_for(read_answer(reader), 3))[0] == 200
             assert (await ask(limiter.port, job()))[0] == 200
-            old, _ = await upgraded(yard)                # and the next one can take over
+            old, _ = await upgraded(yard)                # a later process can take over
             assert "has our place" in await exits(old)
             assert (await ask(limiter.port, job()))[0] == 200
     asyncio.run(go())
 
 
-def test_when_the_new_process_dies_before_the_old_one_is_told_that_one_serves_again(tmp_path: Path) -> None:
+def test_old_process_serves_again_if_the_new_one_dies_before_it_was_told_to_stop(tmp_path: Path) -> None:
     async def go() -> None:
         yard = yard_in(tmp_path, limiters=2)
         with_console(yard)
@@ -223,7 +225,7 @@
 
 
 @pytest.mark.parametrize("how", ["stuck", "left over", "no folder", "gone at give", "silent"])
-def test_a_new_process_serves_whatever_became_of_the_old_one(tmp_path: Path, how: str) -> None:
+def test_new_process_serves_even_if_the_old_one_cannot_hand_over(tmp_path: Path, how: str) -> None:
     async def go() -> None:
         yard = yard_in(tmp_path)
         with_console(yard)
@@ -261,7 +263,7 @@
     asyncio.run(go())
 
 
-def test_a_drain_goes_over_and_ends_at_the_new_process(tmp_path: Path) -> None:
+def test_drain_is_handed_over_and_ended_at_the_new_process(tmp_path: Path) -> None:
     async def go() -> None:
         yard = yard_in(tmp_path)
         port = with_console(yard)
@@ -283,8 +285,8 @@
     asyncio.run(go())
 
 
-def test_an_address_of_a_stranger_is_not_shared(tmp_path: Path) -> None:
-    """Sharing is for the process that has our place: two limiters under one address would be a mistake."""
+def test_address_of_another_instance_is_not_shared(tmp_path: Path) -> None:
+    """Guards against two limiters under one address: only processes of one instance may share it."""
     async def go() -> None:
         yard = yard_in(tmp_path)
         with_console(yard)
@@ -298,7 +300,7 @@
     asyncio.run(go())
 
 
-# The state that goes over -----------------------------------------------------------------
+# The transferred state -----------------------------------------------------------------
 
 
 def _state(bed: Bed) -> bytes:
@@ -307,7 +309,7 @@
 
 
 def _used() -> Bed:
-    """A gateway with buckets, leases, copies, counts of its own and a server that has failed."""
+    """Gateways with buckets, leases, copies, local counts and a server that has failed."""
     bed = Bed(gateways=3, servers=3)
     bed.serve = 30.0
     for n in range(40):
@@ -321,7 +323,7 @@
     return bed
 
 
-def test_a_gateway_goes_on_with_what_another_had(tmp_path: Path) -> None:
+def test_gateway_continues_with_the_state_of_another(tmp_path: Path) -> None:
     bed = _used()
     old = bed.gateways[0]
     new = Gateway(settings(number=0, **bed.changes), 99, bed.now)
@@ -342,8 +344,8 @@
     )
 
 
-def test_plans_and_classes_go_over_by_name(tmp_path: Path) -> None:
-    """The new process has another file: numbers differ, and what it does not know stays behind."""
+def test_plans_and_classes_are_matched_by_name(tmp_path: Path) -> None:
+    """The new process has another configuration: numbers differ, and state of unknown plans is dropped."""
     bed = _used()
     old, kept = bed.gateways[0], settings(number=0, **bed.changes)
     turned = settings(number=0, plans=tuple(reversed(kept.plans)), classes=tuple(reversed(kept.classes)),
@@ -359,7 +361,7 @@
             and not none.leases)
 
 
-def test_a_state_that_is_cut_or_of_another_version_is_not_taken() -> None:
+def test_truncated_state_or_state_of_another_version_is_rejected() -> None:
     state = _state(_used())
     for at in range(0, len(state), 7):
         with pytest.raises(HandoverStateError):
