--- a/larklb/lab/check_consensus.py
+++ b/larklb/lab/check_consensus.py
@@ -34,7 +34,7 @@
 
 from larklb.lab.consensus_breaks import SEEDED
 from larklb.lab.consensus_explorer import STARTS, Explorer
-from larklb.lab.consensus_machines import FoundError
+from larklb.lab.consensus_machines import CounterexampleError
 
 DEPTH, FAULTS, WORLDS = 6, 2, 6_000_000
 HELD = (
@@ -66,16 +66,16 @@
     starts = (options.start,) if options.start else tuple(STARTS)
     try:
         explorer.explore(options.depth, options.faults, options.worlds, starts)
-    except FoundError as error:
+    except CounterexampleError as error:
         found = error
     print(
         f"{explorer.worlds} worlds, depth {explorer.depth} reached whole, at most {options.faults} faults, "
-        f"{len(explorer.all.states)} states of a machine, {len(starts)} starts"
+        f"{len(explorer.machines.states)} states of a machine, {len(starts)} starts"
     )
     if found is None:
         print("held: " + "; ".join(HELD))
         return 0
-    print(f"broken: {found.why}\nfrom '{found.start}', {len(found.steps)} steps:")
+    print(f"broken: {found.reason}\nfrom '{found.start}', {len(found.steps)} steps:")
     print("\n".join(f"  {n}. {step}" for n, step in enumerate(found.steps, 1)))
     return 1
 
--- a/larklb/lab/consensus_breaks.py
+++ b/larklb/lab/consensus_breaks.py
@@ -15,7 +15,7 @@
 from larklb.lab.consensus_machines import CoarseRounds
 
 
-class Early(CoarseRounds):
+class SendsBeforeSave(CoarseRounds):
     """Sends words before the save that they stand on is durable."""
 
     _late: Ready | None = None
@@ -24,14 +24,14 @@
         if self._late is not None:
             late, self._late = self._late, None
             return late
-        made = super().ready()
-        if made is not None and made.save:
-            self._late = Ready(made.save)
-            return Ready(None, made.messages)
-        return made
+        ready = super().ready()
+        if ready is not None and ready.save:
+            self._late = Ready(ready.save)
+            return Ready(None, ready.messages)
+        return ready
 
 
-class Fickle(CoarseRounds):
+class VotesForAll(CoarseRounds):
     """Votes for all who ask in a term."""
 
     def _on_vote_request(self, sender: str, message: VoteRequest) -> None:
@@ -40,7 +40,7 @@
         super()._on_vote_request(sender, message)
 
 
-class Deaf(CoarseRounds):
+class IgnoresBase(CoarseRounds):
     """Doesn't compare the base of a change."""
 
     def _evaluate(self, call: Call) -> Any:
@@ -49,7 +49,7 @@
         return super()._evaluate(Call(call.kind, base, call.body, call.identity))
 
 
-class Backward(CoarseRounds):
+class AcceptsOlderSnapshots(CoarseRounds):
     """Takes a snapshot that is older than what it has."""
 
     def _on_snapshot(self, sender: str, message: InstallSnapshot) -> None:
@@ -58,7 +58,7 @@
         super()._on_snapshot(sender, message)
 
 
-class Obedient(CoarseRounds):
+class FollowsOldTerms(CoarseRounds):
     """Follows leaders of older terms."""
 
     def _accept_leader(self, sender: str, message: AppendEntries | InstallSnapshot) -> bool:
@@ -66,30 +66,30 @@
         return super()._accept_leader(sender, msgspec.structs.replace(message, term=newest))
 
 
-class Blank(CoarseRounds):
+class VotesWithBlankDisk(CoarseRounds):
     """Votes while its disk is blank, and the emptied disk keeps its id."""
 
     def _may_vote(self) -> bool:
         return True
 
 
-class Amnesic(CoarseRounds):
+class ForgetsVote(CoarseRounds):
     """Forgets its term and vote at a start."""
 
-    def __init__(self, *args: Any, **named: Any) -> None:
-        super().__init__(*args, **named)
-        kept = self._hard_state
-        self._hard_state = evolve(kept, term=self._log.last_position[0], vote="")
+    def __init__(self, *args: Any, **keywords: Any) -> None:
+        super().__init__(*args, **keywords)
+        saved_state = self._hard_state
+        self._hard_state = evolve(saved_state, term=self._log.last_position[0], vote="")
 
 
-class Hopeful(CoarseRounds):
+class IgnoresFailedSaves(CoarseRounds):
     """Takes a failed save for a durable one."""
 
     def saved(self, ok: bool) -> None:
         super().saved(True)
 
 
-class Hasty(CoarseRounds):
+class RefusesWithoutQuorum(CoarseRounds):
     """Refuses at once, without a majority's word."""
 
     def _process_changes(self) -> None:
@@ -100,25 +100,25 @@
         self._calls.decided.clear()
 
 
-class Shrinking(CoarseRounds):
+class CountsVotersFromCommit(CoarseRounds):
     """Counts a change of the voters only from its commit on, and needs half of them."""
 
     def _advance_commit(self) -> None:
-        kept = self._log
-        if kept.has_uncommitted("voters") and self.is_leader:
+        saved_state = self._log
+        if saved_state.has_uncommitted("voters") and self.is_leader:
             self._log.advance(self._durable_index)
         super()._advance_commit()
 
 
 SEEDED: dict[str, type[Replica]] = {
-    "words-before-saves": Early,
-    "votes-for-all": Fickle,
-    "base-not-compared": Deaf,
-    "snapshot-goes-back": Backward,
-    "old-terms-heeded": Obedient,
-    "blank-disk-votes": Blank,
-    "vote-forgotten": Amnesic,
-    "failed-save-counts": Hopeful,
-    "refused-from-memory": Hasty,
-    "group-changes-alone": Shrinking,
+    "words-before-saves": SendsBeforeSave,
+    "votes-for-all": VotesForAll,
+    "base-not-compared": IgnoresBase,
+    "snapshot-goes-back": AcceptsOlderSnapshots,
+    "old-terms-heeded": FollowsOldTerms,
+    "blank-disk-votes": VotesWithBlankDisk,
+    "vote-forgotten": ForgetsVote,
+    "failed-save-counts": IgnoresFailedSaves,
+    "refused-from-memory": RefusesWithoutQuorum,
+    "group-changes-alone": CountsVotersFromCommit,
 }
--- a/larklb/lab/consensus_explorer.py
+++ b/larklb/lab/consensus_explorer.py
@@ -12,19 +12,19 @@
 from larklb.lab.consensus_machines import (
     CALLS,
     FOUNDERS,
-    LINK,
     LINKS,
     MAJORITY,
-    MOST_BEATS,
+    MAX_CALL_SENDS,
+    MAX_HEARTBEATS,
+    MAX_LINK_MESSAGES,
     NODES,
-    SENT,
-    BrokenError,
     CoarseRounds,
+    CounterexampleError,
     Event,
-    FoundError,
+    InvariantViolationError,
     Machine,
     Machines,
-    Make,
+    ReplicaFactory,
 )
 
 
@@ -48,7 +48,7 @@
 class World:
     """Numbers of the three machines' states, the words under way on each link, and the history."""
 
-    of: list[int]
+    states: list[int]
     links: list[tuple[int, ...]]
     history: History
 
@@ -56,19 +56,19 @@
 class Explorer:
     """Plays events in worlds of one kind of replica, and checks them."""
 
-    def __init__(self, make: Make = CoarseRounds, keep_id: bool = False) -> None:
-        self.all = Machines(make, keep_id)
+    def __init__(self, make: ReplicaFactory = CoarseRounds, keep_id: bool = False) -> None:
+        self.machines = Machines(make, keep_id)
         self._histories: list[History] = []
-        self._history_of: dict[History, int] = {}
+        self._history_numbers: dict[History, int] = {}
         self.worlds = self.depth = 0
 
     # Worlds as bytes
 
     def pack(self, world: World) -> bytes:
-        number = self._history_of.setdefault(world.history, len(self._histories))
+        number = self._history_numbers.setdefault(world.history, len(self._histories))
         if number == len(self._histories):
             self._histories.append(world.history)
-        flat = [*world.of, number]
+        flat = [*world.states, number]
         for link in world.links:
             flat += [len(link), *link]
         return array("I", flat).tobytes()
@@ -86,10 +86,10 @@
 
     def events(self, world: World, faults: int) -> Iterator[tuple[Event, int]]:
         """Those that may be next, with what each costs of the ``faults`` left."""
-        faces = [self.all.faces[state] for state in world.of]
+        views = [self.machines.views[state] for state in world.states]
         for link, (_, to) in enumerate(LINKS):
             waiting = world.links[link]
-            if waiting and faces[to].up:
+            if waiting and views[to].up:
                 yield ("arrives", link, 0), 0
                 if faults:
                     yield ("comes twice", link, 0), 1
@@ -97,27 +97,27 @@
             if waiting and faults:
                 yield ("is lost", link, 0), 1
         sent = dict(world.history.sent)
-        for i, face in enumerate(faces):
-            if not face.up:
+        for i, view in enumerate(views):
+            if not view.up:
                 if i < FOUNDERS or world.history.fourth:
                     yield ("starts", i, None), 0
                 continue
             yield ("times out", i, None), 0
-            if face.lead:
+            if view.leading_term:
                 yield ("beats", i, None), 0
                 yield from (
                     (("is called", i, name), 0)
                     for name in self._callable(world.history)
-                    if sent.get(name, 0) < SENT
+                    if sent.get(name, 0) < MAX_CALL_SENDS
                 )
-            if face.keys is not None:
+            if view.held_keys is not None:
                 yield ("saves", i, None), 0
                 yield ("fails to save", i, None), 0
-                for n in range(len(face.keys) + 1):
-                    yield from ((("loses power", i, keys), 0) for keys in combinations(face.keys, n))
+                for n in range(len(view.held_keys) + 1):
+                    yield from ((("loses power", i, keys), 0) for keys in combinations(view.held_keys, n))
             elif faults:
                 yield ("loses power", i, ()), 1
-                if not face.held:
+                if not view.held:
                     yield ("holds", i, None), 1
             if faults and not world.history.emptied:
                 yield ("is emptied", i, ()), 1
@@ -137,8 +137,8 @@
                 return
             at, name, what = LINKS[at][1], "hears", waiting[what]
         elif name in ("times out", "beats", "founds"):
-            faces = (self.all.faces[state] for state in world.of)
-            what = tuple((face.disk, face.node) for face in faces if face.up)
+            views = (self.machines.views[state] for state in world.states)
+            what = tuple((view.disk, view.node) for view in views if view.up)
         elif name == "is called":
             sent = dict(world.history.sent)
             sent[what] = sent.get(what, 0) + 1
@@ -151,65 +151,79 @@
                     world.links[link] = ()
         if name == "starts" and at >= FOUNDERS:
             world.history = evolve(world.history, fourth=True)
-        before, done = self.all.faces[world.of[at]], self.all.happens(world.of[at], name, what)
-        world.of[at] = done.state
-        disks = [self.all.faces[state].disk for state in world.of]
-        for receiver, word in done.words:
+        before, done = (
+            self.machines.views[world.states[at]],
+            self.machines.apply_event(world.states[at], name, what),
+        )
+        world.states[at] = done.state
+        disks = [self.machines.views[state].disk for state in world.states]
+        for receiver, message in done.messages:
             if receiver in disks and disks.index(receiver) != at:
                 link = LINKS.index((at, disks.index(receiver)))
-                if word not in world.links[link]:
-                    world.links[link] = (*world.links[link], word)[-LINK:]
-        after = self.all.faces[done.state]
+                if message not in world.links[link]:
+                    world.links[link] = (*world.links[link], message)[-MAX_LINK_MESSAGES:]
+        after = self.machines.views[done.state]
         if (
             done.answers
-            or after.lead != before.lead
+            or after.leading_term != before.leading_term
             or after.version != before.version
-            or (after.kept != before.kept or after.committed != before.committed or name == "is emptied")
+            or (
+                after.durable_entries != before.durable_entries
+                or after.committed != before.committed
+                or name == "is emptied"
+            )
         ):
             self._check(world, at, done.answers)
 
     # What must hold
 
     def _check(self, world: World, at: int, answers: tuple[tuple[str, int], ...]) -> None:
-        old, face = world.history, self.all.faces[world.of[at]]
+        old, view = world.history, self.machines.views[world.states[at]]
         leaders, acked, refused, chain = old.leaders, dict(old.acked), old.refused, old.chain
-        faces, least = [self.all.faces[state] for state in world.of], MAJORITY - old.emptied
-        committed = old.committed | ({face.committed} if face.committed[0] > 0 else set())
+        views, required_copies = (
+            [self.machines.views[state] for state in world.states],
+            MAJORITY - old.emptied,
+        )
+        committed = old.committed | ({view.committed} if view.committed[0] > 0 else set())
         for name, status in answers:
             if status == 200:
-                acked.setdefault(name, face.lead)
+                acked.setdefault(name, view.leading_term)
             elif status != 503:
                 refused |= {name}
                 if not any(version > CALLS[name][0] for version, _, _ in chain):
-                    raise BrokenError(f"{name} is refused, and nothing newer than its base is in force")
+                    raise InvariantViolationError(
+                        f"{name} is refused, and nothing newer than its base is in force"
+                    )
         bases = [CALLS[name][0] for name in acked]
         if len(set(bases)) < len(bases):
-            raise BrokenError(f"{' and '.join(sorted(acked))}: two are acknowledged on one base")
+            raise InvariantViolationError(f"{' and '.join(sorted(acked))}: two are acknowledged on one base")
         for name in acked:
-            on = sum(name in each.durable for each in faces)
-            if on < least:
-                raise BrokenError(f"{name} is acknowledged, and on {on} disks")
+            copies = sum(name in each.durable_calls for each in views)
+            if copies < required_copies:
+                raise InvariantViolationError(f"{name} is acknowledged, and on {copies} disks")
         for entry in committed:
-            on = sum(entry in each.kept for each in faces)
-            if on < least:
-                raise BrokenError(f"entry {entry[0]} of term {entry[1]} is committed, and on {on} disks")
+            copies = sum(entry in each.durable_entries for each in views)
+            if copies < required_copies:
+                raise InvariantViolationError(
+                    f"entry {entry[0]} of term {entry[1]} is committed, and on {copies} disks"
+                )
         if len({index for index, _ in committed}) < len(committed):
-            raise BrokenError("two entries are committed in one place")
-        if face.lead:
-            leaders |= {(face.lead, face.disk)}
-            if sum(term == face.lead for term, _ in leaders) > 1:
-                raise BrokenError(f"two lead in term {face.lead}")
+            raise InvariantViolationError("two entries are committed in one place")
+        if view.leading_term:
+            leaders |= {(view.leading_term, view.disk)}
+            if sum(term == view.leading_term for term, _ in leaders) > 1:
+                raise InvariantViolationError(f"two lead in term {view.leading_term}")
             for name, term in acked.items():
-                if term < face.lead and name not in face.known:
-                    raise BrokenError(f"{name} is acknowledged, and {face.node} leads without it")
-        if face.version:
-            chain |= {(face.version, face.base, face.identity)}
+                if term < view.leading_term and name not in view.known_calls:
+                    raise InvariantViolationError(f"{name} is acknowledged, and {view.node} leads without it")
+        if view.version:
+            chain |= {(view.version, view.base, view.identity)}
             if len({version for version, _, _ in chain}) < len(chain):
-                raise BrokenError(f"two are in force under version {face.version}")
+                raise InvariantViolationError(f"two are in force under version {view.version}")
             if len({base for _, base, _ in chain}) < len(chain):
-                raise BrokenError(f"two are in force on base {face.base}")
-            if face.identity[5:] in refused:
-                raise BrokenError(f"{face.identity[5:]} was refused, and is in force")
+                raise InvariantViolationError(f"two are in force on base {view.base}")
+            if view.identity[5:] in refused:
+                raise InvariantViolationError(f"{view.identity[5:]} was refused, and is in force")
         world.history = evolve(
             old,
             leaders=leaders,
@@ -221,42 +235,44 @@
 
     # Starts
 
-    def until_change(self, world: World, leader: int, among: str) -> None:
+    def advance_to_voter_change(self, world: World, leader: int, nodes: str) -> None:
         """Heartbeats until the leader has appended a change of the voters. Raises BrokenError."""
         before = self._voters(world, leader)
-        for _ in range(MOST_BEATS):
+        for _ in range(MAX_HEARTBEATS):
             self.act(world, ("beats", leader, None))
             if self._voters(world, leader) != before:
                 return
-            self.quiet(world, among)
-        raise BrokenError("no change of the voters")
+            self.deliver_all(world, nodes)
+        raise InvariantViolationError("no change of the voters")
 
     def _voters(self, world: World, at: int) -> dict[str, str]:
-        replica = self.all.states[world.of[at]].replica
+        replica = self.machines.states[world.states[at]].replica
         return replica.voters if replica is not None else {}
 
-    def quiet(self, world: World, among: str = "".join(NODES)) -> None:
+    def deliver_all(self, world: World, nodes: str = "".join(NODES)) -> None:
         """Words arrive among these, the oldest first, until there are none."""
-        links = [n for n, (i, j) in enumerate(LINKS) if NODES[i] in among and NODES[j] in among]
+        links = [n for n, (i, j) in enumerate(LINKS) if NODES[i] in nodes and NODES[j] in nodes]
         while waiting := [n for n in links if world.links[n]]:
             self.act(world, ("arrives", waiting[0], 0))
 
     def start(self, name: str) -> World:
         """A world of ``STARTS``. Raises BrokenError."""
-        world = World([self.all.state(Machine(node, node)) for node in NODES], [()] * len(LINKS), History())
+        world = World(
+            [self.machines.state(Machine(node, node)) for node in NODES], [()] * len(LINKS), History()
+        )
         for i in range(FOUNDERS):
             self.act(world, ("starts", i, None))
         self.act(world, ("founds", 0, None))
         self.act(world, ("beats", 0, None))
-        self.quiet(world)
+        self.deliver_all(world)
         self.act(world, ("is called", 0, "w"))
-        self.quiet(world)
+        self.deliver_all(world)
         for step in STARTS[name]:
             kind, _, where = step.partition(" ")
             if kind == "quiet":
-                self.quiet(world, where)
+                self.deliver_all(world, where)
             elif kind == "change":
-                self.until_change(world, NODES.index(where[0]), where)
+                self.advance_to_voter_change(world, NODES.index(where[0]), where)
             elif kind in ("word", "lose"):
                 link = LINKS.index((NODES.index(where[0]), NODES.index(where[1])))
                 self.act(world, ("arrives" if kind == "word" else "is lost", link, 0))
@@ -274,68 +290,68 @@
 
     # Breadth first
 
-    def explore(self, depth: int, faults: int, most: int, starts: tuple[str, ...] = ()) -> None:
+    def explore(self, depth: int, faults: int, max_worlds: int, starts: tuple[str, ...] = ()) -> None:
         """Plays all worlds to a depth or until there are ``most``; ``worlds`` and ``depth`` tell what was
         reached whole. Raises FoundError."""
         names = starts or tuple(STARTS)
-        spent: dict[bytes, int] = {}  # packed world -> the least faults with which it was met
+        min_faults: dict[bytes, int] = {}  # packed world -> the least faults with which it was met
         parents, steps = array("I"), array("I")  # of each world in the order in which they were met
         numbers: dict[Event, int] = {}
-        frontier, used = list[bytes](), bytearray()
+        frontier, faults_used = list[bytes](), bytearray()
         for n, name in enumerate(names):
             try:
                 frontier.append(self.pack(self.start(name)))
-            except BrokenError as error:
-                raise FoundError(str(error), name, []) from error
-            spent[frontier[-1]] = 0
-            used.append(0)
+            except InvariantViolationError as error:
+                raise CounterexampleError(str(error), name, []) from error
+            min_faults[frontier[-1]] = 0
+            faults_used.append(0)
             parents.append(n)
             steps.append(0)
         self.depth, first = 0, 0
         for level in range(1, depth + 1):
             reached, costs, following = list[bytes](), bytearray(), len(parents)
             for n, packed in enumerate(frontier):
-                if used[n] > spent[packed]:
+                if faults_used[n] > min_faults[packed]:
                     continue  # met in the same depth with fewer
-                here = self.unpack(packed)
-                for event, cost in self.events(here, faults - used[n]):
-                    world = World(list(here.of), list(here.links), here.history)
+                parent = self.unpack(packed)
+                for event, cost in self.events(parent, faults - faults_used[n]):
+                    world = World(list(parent.states), list(parent.links), parent.history)
                     try:
                         self.act(world, event)
-                    except BrokenError as error:
+                    except InvariantViolationError as error:
                         path = [event]
-                        index, known = first + n, list(numbers)
+                        index, events_by_number = first + n, list(numbers)
                         while index >= len(names):
-                            path.append(known[steps[index]])
+                            path.append(events_by_number[steps[index]])
                             index = parents[index]
-                        raise self._found(str(error), names[index], path[::-1]) from error
-                    after, total = self.pack(world), used[n] + cost
-                    if spent.get(after, faults + 1) <= total:
+                        raise self._counterexample(str(error), names[index], path[::-1]) from error
+                    after, total = self.pack(world), faults_used[n] + cost
+                    if min_faults.get(after, faults + 1) <= total:
                         continue
-                    spent[after] = total
+                    min_faults[after] = total
                     if level < depth:
                         reached.append(after)
                         costs.append(total)
                         parents.append(first + n)
                         steps.append(numbers.setdefault(event, len(numbers)))
-                self.worlds = len(spent)
-                if self.worlds >= most:
+                self.worlds = len(min_faults)
+                if self.worlds >= max_worlds:
                     return
-            self.depth, first, frontier, used = level, following, reached, costs
+            self.depth, first, frontier, faults_used = level, following, reached, costs
 
-    def _found(self, why: str, start: str, path: list[Event]) -> FoundError:
+    def _counterexample(self, reason: str, start: str, path: list[Event]) -> CounterexampleError:
         world, steps = self.start(start), []
         for event in path:
-            steps.append(self._told(world, event))
+            steps.append(self._describe(world, event))
             if len(steps) < len(path):
                 self.act(world, event)
-        return FoundError(why, start, steps)
+        return CounterexampleError(reason, start, steps)
 
-    def _told(self, world: World, event: Event) -> str:
+    def _describe(self, world: World, event: Event) -> str:
         name, at, what = event
         if name in ("arrives", "comes twice", "overtakes", "is lost"):
-            word = json.loads(self.all.words[world.links[at][what]][2])
-            return f"{word['kind']} of {NODES[LINKS[at][0]]} to {NODES[LINKS[at][1]]} {name}"
+            message = json.loads(self.machines.messages[world.links[at][what]][2])
+            return f"{message['kind']} of {NODES[LINKS[at][0]]} to {NODES[LINKS[at][1]]} {name}"
         tail = f" with {what}" if name == "is called" else f", saved: {','.join(what)}" if what else ""
         return f"{NODES[at]} {name}{tail}"
 
--- a/larklb/lab/consensus_machines.py
+++ b/larklb/lab/consensus_machines.py
@@ -29,30 +29,30 @@
 FOUNDERS = 3
 LINKS = tuple((i, j) for i in range(len(NODES)) for j in range(len(NODES)) if i != j)
 MAJORITY = 2
-LINK = 3  # words under way on a link
-SENT = 2  # times that an operator sends a call
-TIME_OUT = 1400.0  # ms, beyond the longest of an election and of a leader without word of a majority
-BEAT = 150.0  # ms, the leader's heartbeat
-MOST_BEATS = 60  # in which a silent voter must be about to be replaced
+MAX_LINK_MESSAGES = 3  # words under way on a link
+MAX_CALL_SENDS = 2  # times that an operator sends a call
+TIMEOUT_MS = 1400.0  # ms, beyond the longest of an election and of a leader without word of a majority
+HEARTBEAT_MS = 150.0  # ms, the leader's heartbeat
+MAX_HEARTBEATS = 60  # in which a silent voter must be about to be replaced
 
-Make = Callable[..., Replica]
+ReplicaFactory = Callable[..., Replica]
 Event = tuple[str, int, Any]
-Said = tuple[str, int]  # the receiver's disk, the word's number
+SentMessage = tuple[str, int]  # the receiver's disk, the word's number
 
 
-class BrokenError(AssertionError):
+class InvariantViolationError(AssertionError):
     """Something doesn't hold."""
 
 
-class FoundError(AssertionError):
+class CounterexampleError(AssertionError):
     """A world in which something doesn't hold; ``steps`` lead there from the start ``start``."""
 
-    def __init__(self, why: str, start: str, steps: list[str]) -> None:
-        super().__init__(f"{why}, {len(steps)} steps from '{start}': " + "; ".join(steps))
-        self.why, self.start, self.steps = why, start, steps
+    def __init__(self, reason: str, start: str, steps: list[str]) -> None:
+        super().__init__(f"{reason}, {len(steps)} steps from '{start}': " + "; ".join(steps))
+        self.reason, self.start, self.steps = reason, start, steps
 
 
-class Pinned(random.Random):
+class LongestDelays(random.Random):
     """Delays are the longest; a group_id is always the same."""
 
     def uniform(self, a: float, b: float) -> float:
@@ -62,7 +62,7 @@
         return 7
 
 
-PINNED = Pinned()
+LONGEST_DELAYS = LongestDelays()
 
 
 def apply(document: dict[str, Any] | None, call: Call) -> dict[str, Any]:
@@ -73,7 +73,7 @@
 CALLS = {"w": (0, 1), "x": (1, 2), "y": (1, 3), "z": (2, 4)}
 
 
-def call_of(name: str) -> Call:
+def make_call(name: str) -> Call:
     base, version = CALLS[name]
     return Call("replace", base, {"version": version}, f"call-{name}")
 
@@ -93,19 +93,19 @@
     if kind is set:
         return set(value)
     if attrs.has(kind) and kind.__setattr__ is object.__setattr__:
-        made = kind.__new__(kind)
+        copied = kind.__new__(kind)
         for each in attrs.fields(kind):
-            setattr(made, each.name, _clone(getattr(value, each.name)))
-        return made
+            setattr(copied, each.name, _clone(getattr(value, each.name)))
+        return copied
     return value
 
 
 #: Times of a replica, and the age from which on all count alike: nothing compares them with a greater one.
-TIMES = {
-    "_leader_contact_at": TIMING.election_timeout[1] + BEAT,
+MAX_AGES_MS = {
+    "_leader_contact_at": TIMING.election_timeout[1] + HEARTBEAT_MS,
     "_proposed_at": FOUNDING_RETRY_MS,
     "_broadcast_at": TIMING.heartbeat_interval,
-    "_saving_since": TIMING.save_timeout + BEAT,
+    "_saving_since": TIMING.save_timeout + HEARTBEAT_MS,
     "_save_failed_at": SAVE_RETRY_MS,
     "replied_at": max(TIMING.quorum_timeout, LEARNER_TIMEOUT_MS),
     "_quorum_contact_at": TIMING.quorum_timeout,
@@ -117,7 +117,7 @@
     "_reported_at": VOTER_SILENCE_MS,
 }
 #: A deadline is over whenever a time-out comes.
-UNSEEN = {"_now", "_rng", "_apply", "_tolerance", "_timing", "_election_deadline", "node", "encoded"}
+IGNORED_FIELDS = {"_now", "_rng", "_apply", "_tolerance", "_timing", "_election_deadline", "node", "encoded"}
 
 
 class CoarseRounds(Replica):
@@ -135,21 +135,21 @@
         super()._broadcast()
 
 
-def _look(name: str, value: Any, now: float) -> Any:
+def _canonical(name: str, value: Any, now: float) -> Any:
     """By what states are told apart: everything, with times as ages and sets in order."""
-    if isinstance(value, float) and name in TIMES:
-        return max(-TIMES[name], value - now)
+    if isinstance(value, float) and name in MAX_AGES_MS:
+        return max(-MAX_AGES_MS[name], value - now)
     if isinstance(value, dict):
-        return [(key, _look(name, part, now)) for key, part in sorted(value.items())]
+        return [(key, _canonical(name, part, now)) for key, part in sorted(value.items())]
     if isinstance(value, set):
         return sorted(value)
     if isinstance(value, list | deque | tuple):
-        return [_look(name, part, now) for part in value]
+        return [_canonical(name, part, now) for part in value]
     if attrs.has(type(value)):
         return [
-            _look(each.name, getattr(value, each.name), now)
+            _canonical(each.name, getattr(value, each.name), now)
             for each in attrs.fields(type(value))
-            if each.name not in UNSEEN
+            if each.name not in IGNORED_FIELDS
         ]
     return value
 
@@ -165,59 +165,69 @@
     replica: Replica | None = None
     held: bool = False
     saving: dict[str, bytes] | None = None
-    after: list[tuple[str, dict[str, Any]]] = field(factory=list)
+    deferred: list[tuple[str, dict[str, Any]]] = field(factory=list)
 
     def copy(self) -> Machine:
-        made = evolve(self, stored=dict(self.stored), after=list(self.after))
+        copied = evolve(self, stored=dict(self.stored), deferred=list(self.deferred))
         if self.replica is not None:
-            made.replica = type(self.replica).__new__(type(self.replica))
-            made.replica.__dict__ = {name: _clone(part) for name, part in vars(self.replica).items()}
-        return made
+            copied.replica = type(self.replica).__new__(type(self.replica))
+            copied.replica.__dict__ = {name: _clone(part) for name, part in vars(self.replica).items()}
+        return copied
 
-    def look(self) -> bytes:
-        inside = (
+    def digest(self) -> bytes:
+        replica_state = (
             None
             if self.replica is None
             else [
-                (name, _look(name, part, self.clock))
+                (name, _canonical(name, part, self.clock))
                 for name, part in sorted(vars(self.replica).items())
-                if name not in UNSEEN
+                if name not in IGNORED_FIELDS
             ]
         )
-        seen = (self.disk, sorted(self.stored.items()), self.held, self.saving, self.after, inside)
-        return hashlib.blake2b(repr(seen).encode(), digest_size=16).digest()
+        contents = (
+            self.disk,
+            sorted(self.stored.items()),
+            self.held,
+            self.saving,
+            self.deferred,
+            replica_state,
+        )
+        return hashlib.blake2b(repr(contents).encode(), digest_size=16).digest()
 
 
 @frozen
-class Face:
-    """What the checker reads of a machine's state. ``keys``: of the save that is held; ``lead``: the term in
-    which it leads, or 0; ``base`` and ``identity`` of the document in force; ``durable`` and ``known``: calls
-    on disk, and in memory; ``kept``: the entries on disk, (index, term); ``committed``: a leader's newest
-    that is committed."""
+class MachineView:
+    """What the checker reads of a machine's state.
+
+    ``held_keys`` are the keys of a held save. ``leading_term`` is the term in which the machine leads, or 0.
+    ``base`` and ``identity`` belong to the document in force. ``durable_calls`` are the calls on disk,
+    ``known_calls`` those in memory, and ``durable_entries`` the log entries on disk as (index, term).
+    ``committed`` is the newest committed entry of a leader.
+    """
 
     node: str
     disk: str
     up: bool
     held: bool
-    keys: tuple[str, ...] | None
-    lead: int
+    held_keys: tuple[str, ...] | None
+    leading_term: int
     version: int
     base: int
     identity: str
-    durable: frozenset[str]
-    known: frozenset[str]
-    kept: frozenset[tuple[int, int]]
+    durable_calls: frozenset[str]
+    known_calls: frozenset[str]
+    durable_entries: frozenset[tuple[int, int]]
     committed: tuple[int, int]
 
 
-def _face(machine: Machine) -> Face:
+def _view_of(machine: Machine) -> MachineView:
     replica, stored = machine.replica, machine.stored.get("log", b"")
     durable = frozenset(name for name in CALLS if f'"call-{name}"'.encode() in stored)
     entries = Log.from_bytes(stored).entries if stored else []
     kept = frozenset((entry.index, entry.term) for entry in entries)
     keys = None if machine.saving is None else tuple(sorted(machine.saving))
     if replica is None:
-        return Face(
+        return MachineView(
             machine.node,
             machine.disk,
             False,
@@ -238,7 +248,7 @@
         *(entry.identity for entry in log.entries),
     }
     lead = replica.term if replica.is_leader else 0
-    return Face(
+    return MachineView(
         machine.node,
         machine.disk,
         True,
@@ -260,47 +270,47 @@
     """Of one event at one machine: its next state's number, words, and answers (call, status)."""
 
     state: int
-    words: tuple[Said, ...]
+    messages: tuple[SentMessage, ...]
     answers: tuple[tuple[str, int], ...]
 
 
 class Machines:
     """All states of machines met so far, and what each event did to each."""
 
-    def __init__(self, make: Make, keep_id: bool = False) -> None:
+    def __init__(self, make: ReplicaFactory, keep_id: bool = False) -> None:
         self.make, self.keep_id = make, keep_id
         self.states: list[Machine] = []
-        self.faces: list[Face] = []
-        self.words: list[tuple[str, str, str]] = []  # sender's disk, receiver's, JSON
-        self._state_of: dict[bytes, int] = {}
-        self._word_of: dict[tuple[str, str, str], int] = {}
-        self._done: dict[tuple[int, str, Any], Outcome] = {}
+        self.views: list[MachineView] = []
+        self.messages: list[tuple[str, str, str]] = []  # sender's disk, receiver's, JSON
+        self._state_numbers: dict[bytes, int] = {}
+        self._message_numbers: dict[tuple[str, str, str], int] = {}
+        self._outcomes: dict[tuple[int, str, Any], Outcome] = {}
 
     def state(self, machine: Machine) -> int:
-        look = machine.look()
-        number = self._state_of.setdefault(look, len(self.states))
+        digest = machine.digest()
+        number = self._state_numbers.setdefault(digest, len(self.states))
         if number == len(self.states):
             self.states.append(machine)
-            self.faces.append(_face(machine))
+            self.views.append(_view_of(machine))
         return number
 
-    def word(self, sender: str, receiver: str, message: dict[str, Any]) -> int:
-        word = (sender, receiver, json.dumps(message, sort_keys=True))
-        number = self._word_of.setdefault(word, len(self.words))
-        if number == len(self.words):
-            self.words.append(word)
+    def message_number(self, sender: str, receiver: str, message: dict[str, Any]) -> int:
+        entry = (sender, receiver, json.dumps(message, sort_keys=True))
+        number = self._message_numbers.setdefault(entry, len(self.messages))
+        if number == len(self.messages):
+            self.messages.append(entry)
         return number
 
-    def happens(self, state: int, name: str, what: Any) -> Outcome:
+    def apply_event(self, state: int, name: str, what: Any) -> Outcome:
         """Raises BrokenError."""
         key = (state, name, what)
-        if key not in self._done:
-            self._done[key] = self._play(self.states[state].copy(), name, what)
-        return self._done[key]
+        if key not in self._outcomes:
+            self._outcomes[key] = self._apply_event(self.states[state].copy(), name, what)
+        return self._outcomes[key]
 
-    def _play(self, machine: Machine, name: str, what: Any) -> Outcome:
+    def _apply_event(self, machine: Machine, name: str, what: Any) -> Outcome:
         replica, version = machine.replica, 0 if machine.replica is None else machine.replica.version
-        out: list[tuple[str, dict[str, Any]]] = []
+        sent: list[tuple[str, dict[str, Any]]] = []
         answers: list[tuple[str, int]] = []
         if name == "starts":
             machine.replica = replica = self.make(
@@ -312,76 +322,78 @@
                 tolerance=1,
                 apply=apply,
             )
-            replica._rng = PINNED
+            replica._rng = LONGEST_DELAYS
             replica._election_deadline = replica._random_election_deadline()
         elif name in ("loses power", "is emptied"):
             machine.stored |= {key: (machine.saving or {})[key] for key in what}
             if name == "is emptied":
                 machine.stored = {}
                 machine.disk += "" if self.keep_id else "'"
-            machine.replica, machine.saving, machine.after, machine.held = None, None, [], False
+            machine.replica, machine.saving, machine.deferred, machine.held = None, None, [], False
             replica = None
         elif name == "holds":
             machine.held = True
         assert replica is not None or machine.replica is None
         if replica is not None:
-            self._at_replica(machine, replica, name, what, out)
-            self._pump(machine, replica, out, answers)
+            self._apply_to_replica(machine, replica, name, what, sent)
+            self._pump(machine, replica, sent, answers)
             if replica.version < version:
-                raise BrokenError(
+                raise InvariantViolationError(
                     f"the version at {machine.node} goes back from {version} to {replica.version}"
                 )
-        words = tuple((receiver, self.word(machine.disk, receiver, message)) for receiver, message in out)
-        return Outcome(self.state(machine), words, tuple(answers))
+        messages = tuple(
+            (receiver, self.message_number(machine.disk, receiver, message)) for receiver, message in sent
+        )
+        return Outcome(self.state(machine), messages, tuple(answers))
 
-    def _at_replica(
-        self, machine: Machine, replica: Replica, name: str, what: Any, out: list[tuple[str, dict[str, Any]]]
+    def _apply_to_replica(
+        self, machine: Machine, replica: Replica, name: str, what: Any, sent: list[tuple[str, dict[str, Any]]]
     ) -> None:
         match name:
             case "hears":
-                sender, _, text = self.words[what]
+                sender, _, text = self.messages[what]
                 replica.step(machine.clock, sender, json.loads(text))
             case "times out" | "beats":
-                machine.clock += TIME_OUT if name == "times out" else BEAT
+                machine.clock += TIMEOUT_MS if name == "times out" else HEARTBEAT_MS
                 replica.tick(machine.clock, dict(what))
             case "is called":
-                replica.call(machine.clock, what, call_of(what[0]))
+                replica.call(machine.clock, what, make_call(what[0]))
             case "founds":
                 replica.propose_founding(machine.clock, dict(what))
             case "saves" | "fails to save":
                 if name == "saves":
                     machine.stored |= machine.saving or {}
-                    self._post(machine, machine.after, out)
-                machine.saving, machine.after, machine.held = None, [], False
+                    self._send(machine, machine.deferred, sent)
+                machine.saving, machine.deferred, machine.held = None, [], False
                 replica.saved(name == "saves")
 
     def _pump(
         self,
         machine: Machine,
         replica: Replica,
-        out: list[tuple[str, dict[str, Any]]],
+        sent: list[tuple[str, dict[str, Any]]],
         answers: list[tuple[str, int]],
     ) -> None:
         while (ready := replica.ready()) is not None:
             answers += [(ticket[0], answer.status) for ticket, answer in ready.answers]
             if ready.save is None:
-                self._post(machine, ready.messages, out)
+                self._send(machine, ready.messages, sent)
             elif machine.held:
-                machine.saving, machine.after = ready.save, ready.messages
+                machine.saving, machine.deferred = ready.save, ready.messages
             else:
                 machine.stored |= ready.save
                 replica.saved(True)
-                self._post(machine, ready.messages, out)
+                self._send(machine, ready.messages, sent)
 
-    def _post(
+    def _send(
         self,
         machine: Machine,
         messages: list[tuple[str, dict[str, Any]]],
-        out: list[tuple[str, dict[str, Any]]],
+        sent: list[tuple[str, dict[str, Any]]],
     ) -> None:
         for _, message in messages:
             if message["kind"] in ("vote_reply", "pre_vote_reply") and message["yes"]:
                 kept = machine.stored.get("log")
                 if kept is None or Log.from_bytes(kept).last_index < 0:
-                    raise BrokenError(f"the blank disk of {machine.node} votes")
-        out += messages
+                    raise InvariantViolationError(f"the blank disk of {machine.node} votes")
+        sent += messages
--- a/larklb/lab/control_callers.py
+++ b/larklb/lab/control_callers.py
@@ -17,32 +17,32 @@
 from larklb.gateway.control import OperatorRequest
 from larklb.gateway.control_plane import ControlPlane
 from larklb.gateway.messages import CallResult
-from larklb.lab.control_history import BrokenError, History, Order, Read
-from larklb.lab.control_world import WIRE_MS, Machine, World
+from larklb.lab.control_history import History, InvariantViolationError, Order, Read
+from larklb.lab.control_world import NETWORK_DELAY_MS, Machine, World
 from larklb.registry.registry import DRAINING, STEADY, Server
 
-SILENCE_MS = 1_000.0  # after which a caller turns to another machine
-PAUSE_MS = (80.0, 900.0)  # between two tries: the first, and the longest
-GIVE_UP_MS = 25_000.0  # of an order without a clear answer: it may be in force or not
-MARK = 1_000  # added to an order's number: by it a document tells which order brought it
-LEAVE_MS = 3_000.0  # that a server serves on once its drain is acknowledged
-STALE_MS = 1_500.0  # a machine may tell a version for so long after a newer one was acknowledged
+CALL_TIMEOUT_MS = 1_000.0  # after which a caller turns to another machine
+RETRY_BACKOFF_MS = (80.0, 900.0)  # between two tries: the first, and the longest
+RETRY_LIMIT_MS = 25_000.0  # of an order without a clear answer: it may be in force or not
+ORDER_MARKER = 1_000  # added to an order's number: by it a document tells which order brought it
+DRAIN_GRACE_MS = 3_000.0  # that a server serves on once its drain is acknowledged
+MAX_STALENESS_MS = 1_500.0  # a machine may tell a version for so long after a newer one was acknowledged
 
 
-def body_of(number: int, version: int) -> str:
+def encode_configuration(number: int, version: int) -> str:
     """A whole configuration that names its order."""
-    service = {"name": "orders", "probe": "/up", "saturation": MARK + number}
+    service = {"name": "orders", "probe": "/up", "saturation": ORDER_MARKER + number}
     limits = {"headerBytes": 16384, "bodyBytes": 1048576, "headerMs": 3000, "idleMs": 15000}
     return json.dumps(
         {"version": version, "services": [service], "limits": limits, "tenants": [], "hosts": []}
     )
 
 
-def order_of(document: dict[str, Any] | None) -> tuple[int, str]:
+def decode_configuration(document: dict[str, Any] | None) -> tuple[int, str]:
     """The version of a document, and the name of the order that brought it."""
     if document is None:
         return 0, ""
-    return int(document["version"]), f"order {document['services'][0]['saturation'] - MARK}"
+    return int(document["version"]), f"order {document['services'][0]['saturation'] - ORDER_MARKER}"
 
 
 @define
@@ -58,58 +58,62 @@
 
     world: World
     history: History = field(factory=History)
-    known: int = 0  # the newest version that they know of
-    lost: float = 0.0  # the share of answers that get lost
-    lost_until: float = 0.0  # when answers were lost last
-    seen_in_force: dict[str, int] = field(factory=dict)
+    newest_version: int = 0  # the newest version that they know of
+    answer_loss_rate: float = 0.0  # the share of answers that get lost
+    answers_lost_at: float = 0.0  # when answers were lost last
+    versions_in_force: dict[str, int] = field(factory=dict)
     acknowledged: int = 0
     sent: int = 0
-    quiet: bool = False  # no new orders
+    paused: bool = False  # no new orders
 
     def __attrs_post_init__(self) -> None:
-        self.world.told = self._told
-        self.world.in_force = self._in_force
+        self.world.on_configuration_sent = self._check_sent_version
+        self.world.on_configuration_applied = self._record_applied
 
-    def _told(self, machine: Machine, version: int) -> None:
-        newest = self.history.newest_acknowledged(self.world.now - STALE_MS)
+    def _check_sent_version(self, machine: Machine, version: int) -> None:
+        newest = self.history.newest_acknowledged(self.world.now - MAX_STALENESS_MS)
         if version < newest:
-            raise BrokenError(f"{machine.node} hands out version {version}, and {newest} was acknowledged")
+            raise InvariantViolationError(
+                f"{machine.node} hands out version {version}, and {newest} was acknowledged"
+            )
 
-    def _in_force(self, machine: Machine, document: dict[str, Any]) -> None:
-        version, name = order_of(document)
-        self.seen_in_force[name] = version
+    def _record_applied(self, machine: Machine, document: dict[str, Any]) -> None:
+        version, name = decode_configuration(document)
+        self.versions_in_force[name] = version
 
     def order(self, base: int, version: int) -> Order:
         """Sends a new order."""
         self.sent += 1
         name = f"order {self.sent}"
-        order = Order(name, base, version, body_of(self.sent, version), self.world.now)
+        order = Order(name, base, version, encode_configuration(self.sent, version), self.world.now)
         self.history.orders[name] = order
-        self._send(order, PAUSE_MS[0])
-        self.world.at(self.world.bounds.ack_ms + 1.0, lambda: self._due(order))
+        self._send(order, RETRY_BACKOFF_MS[0])
+        self.world.at(self.world.bounds.ack_ms + 1.0, lambda: self._check_acknowledged(order))
         return order
 
-    def _due(self, order: Order) -> None:
+    def _check_acknowledged(self, order: Order) -> None:
         """An order without an answer, though the core was settled long enough."""
         now, bounds = self.world.now, self.world.bounds
-        if self._settled(order) or now - order.begin > GIVE_UP_MS:
+        if self._is_answered(order) or now - order.begin > RETRY_LIMIT_MS:
             return
-        settled_since = max(order.begin, self.world.core_troubled + bounds.contact_ms, self.lost_until)
-        if self.lost == 0.0 and not self.world.loss and now - settled_since > bounds.ack_ms:
-            raise BrokenError(
+        settled_since = max(
+            order.begin, self.world.core_disturbed_at + bounds.contact_ms, self.answers_lost_at
+        )
+        if self.answer_loss_rate == 0.0 and not self.world.loss_rate and now - settled_since > bounds.ack_ms:
+            raise InvariantViolationError(
                 f"{order.name} has no acknowledgement {bounds.ack_ms:.0f} ms after the core settled"
             )
-        self.world.at(500.0, lambda: self._due(order))
+        self.world.at(500.0, lambda: self._check_acknowledged(order))
 
     @staticmethod
-    def _settled(order: Order) -> bool:
+    def _is_answered(order: Order) -> bool:
         return order.acknowledged < float("inf") or order.refused < float("inf")
 
-    def _send(self, order: Order, pause: float, silent: Machine | None = None) -> None:
+    def _send(self, order: Order, pause: float, unresponsive: Machine | None = None) -> None:
         """To any machine but the one that was ``silent``."""
-        if self.world.now - order.begin > GIVE_UP_MS:
+        if self.world.now - order.begin > RETRY_LIMIT_MS:
             return
-        others = [machine for machine in self.world.machines.values() if machine is not silent]
+        others = [machine for machine in self.world.machines.values() if machine is not unresponsive]
         machine = self.world.rng.choice(others)
         call = OperatorRequest("replace", order.base, order.body)
 
@@ -117,24 +121,24 @@
             if result is not None and result.status == 200:
                 self.history.acknowledge(order, self.world.now)
                 self.acknowledged += 1
-                self.known = max(self.known, order.version)
+                self.newest_version = max(self.newest_version, order.version)
             elif result is not None and result.status == 412:
                 self.history.refuse(order, self.world.now)
                 self.read()
             elif result is not None and result.status == 400:
-                raise BrokenError(f"{order.name} is valid, and answered 400: {result.text}")
+                raise InvariantViolationError(f"{order.name} is valid, and answered 400: {result.text}")
             else:
                 # Where nobody listens the next machine is tried soon; who says 'not now' is given time.
-                wait = pause if result is not None else PAUSE_MS[0]
-                again = min(PAUSE_MS[1], 1.6 * pause)
-                unheard = machine if result is None else None
-                self.world.at(wait, lambda: self._send(order, again, unheard))
+                delay_ms = pause if result is not None else RETRY_BACKOFF_MS[0]
+                again = min(RETRY_BACKOFF_MS[1], 1.6 * pause)
+                next_unresponsive = machine if result is None else None
+                self.world.at(delay_ms, lambda: self._send(order, again, next_unresponsive))
 
-        self.ask(lambda plane, done: plane.operator_call(self.world.now, call, done), answered, machine)
+        self.send_call(lambda plane, done: plane.operator_call(self.world.now, call, done), answered, machine)
 
-    def again(self, order: Order) -> None:
+    def resend(self, order: Order) -> None:
         """An order that may long be answered is sent once more, as after a lost answer."""
-        self._send(order, PAUSE_MS[0])
+        self._send(order, RETRY_BACKOFF_MS[0])
 
     def read(
         self, machine: Machine | None = None, done: Callable[[Read], object] = lambda read: None
@@ -145,43 +149,45 @@
         def answered(result: CallResult | None) -> None:
             if result is None or result.status != 200:
                 return
-            version, name = order_of(result.document)
+            version, name = decode_configuration(result.document)
             read = Read(version, name, begin, self.world.now)
             self.history.reads.append(read)
-            self.known = max(self.known, version)
+            self.newest_version = max(self.newest_version, version)
             done(read)
 
         call = OperatorRequest("read")
-        self.ask(lambda plane, told: plane.operator_call(self.world.now, call, told), answered, machine)
+        self.send_call(
+            lambda plane, reply: plane.operator_call(self.world.now, call, reply), answered, machine
+        )
 
-    def ask(
+    def send_call(
         self,
-        act: Callable[[ControlPlane, Callable[[CallResult], object]], object],
+        action: Callable[[ControlPlane, Callable[[CallResult], object]], object],
         answered: Callable[[CallResult | None], object],
         machine: Machine | None = None,
     ) -> None:
         """A call at some machine; ``answered`` once, with None where no answer comes."""
         world, call = self.world, Call()
         machine = machine or world.rng.choice(list(world.machines.values()))
-        life = machine.life
+        incarnation = machine.incarnation
 
-        def come(result: CallResult | None) -> None:
+        def resolve(result: CallResult | None) -> None:
             if call.open:
                 call.open = False
                 answered(result)
 
         def done(result: CallResult) -> None:
-            if machine.life == life and world.rng.random() >= self.lost:
-                world.at(world.rng.uniform(*WIRE_MS), lambda: come(result))
+            if machine.incarnation == incarnation and world.rng.random() >= self.answer_loss_rate:
+                world.at(world.rng.uniform(*NETWORK_DELAY_MS), lambda: resolve(result))
 
         def arrive() -> None:
-            if machine.life != life or machine.plane is None:
-                come(None)
+            if machine.incarnation != incarnation or machine.plane is None:
+                resolve(None)
                 return
-            world.call(machine, lambda plane: act(plane, done))
+            world.call(machine, lambda plane: action(plane, done))
 
-        world.at(world.rng.uniform(*WIRE_MS), arrive)
-        world.at(SILENCE_MS, lambda: come(None))
+        world.at(world.rng.uniform(*NETWORK_DELAY_MS), arrive)
+        world.at(CALL_TIMEOUT_MS, lambda: resolve(None))
 
 
 @define
@@ -192,7 +198,7 @@
     report_to: str = ""
     draining: bool = False
     acknowledged: bool = False
-    ended: bool = False
+    stopped: bool = False
 
 
 @define
@@ -202,21 +208,21 @@
     world: World
     operators: Operators
     servers: dict[str, SimulatedServer] = field(factory=dict)
-    started: int = 0
-    drains: int = 0  # acknowledged, and looked up at all limiters in touch
+    started_count: int = 0
+    verified_drains: int = 0  # acknowledged, and looked up at all limiters in touch
     on_drained: Callable[[Machine], object] | None = None  # once, with the core machine that says so
 
     def start(self) -> None:
         """A new server begins to beat."""
-        self.started += 1
-        name = f"s{self.started}"
+        self.started_count += 1
+        name = f"s{self.started_count}"
         zone = self.world.rng.choice(["north", "south", "east"])
-        server = SimulatedServer(Server(name, "orders", f"h:{self.started}", zone, 2, sequence=0))
+        server = SimulatedServer(Server(name, "orders", f"h:{self.started_count}", zone, 2, sequence=0))
         self.servers[name] = server
-        self._beat(server)
+        self._send_heartbeat(server)
 
-    def _beat(self, server: SimulatedServer) -> None:
-        if server.ended:
+    def _send_heartbeat(self, server: SimulatedServer) -> None:
+        if server.stopped:
             return
         server.row = evolve(
             server.row, sequence=server.row.sequence + 1, state=DRAINING if server.draining else STEADY
@@ -229,12 +235,14 @@
             if result is not None and result.status == 200:
                 server.report_to = result.report_to.partition(":")[0]
                 if row.state == DRAINING and not server.acknowledged:
-                    self._drained(server, machine)
-                self.world.at(1_500.0 * self.world.rng.uniform(0.9, 1.1), lambda: self._beat(server))
+                    self._handle_drain_acknowledged(server, machine)
+                self.world.at(
+                    1_500.0 * self.world.rng.uniform(0.9, 1.1), lambda: self._send_heartbeat(server)
+                )
             else:
-                self.world.at(100.0, lambda: self._beat(server))
+                self.world.at(100.0, lambda: self._send_heartbeat(server))
 
-        self.operators.ask(
+        self.operators.send_call(
             lambda plane, done: plane.server_call(self.world.now, row, done), answered, machine
         )
 
@@ -246,50 +254,56 @@
             server.draining = True
             self.start()
 
-    def _drained(self, server: SimulatedServer, machine: Machine) -> None:
+    def _handle_drain_acknowledged(self, server: SimulatedServer, machine: Machine) -> None:
         server.acknowledged = True
         bounds, now = self.world.bounds, self.world.now
-        if self._in_touch(machine):
-            self.world.at(bounds.drain_ms, lambda: self._known(server, now))
+        if self._is_connected(machine):
+            self.world.at(bounds.drain_ms, lambda: self._check_drain_propagated(server, now))
         if self.on_drained is not None and (core := self._core_of(machine)) is not None:
-            server.ended = True  # or its next beat would tell another core machine
-            lose, self.on_drained = self.on_drained, None
-            lose(core)
-        self.world.at(LEAVE_MS, lambda: self._end(server))
+            server.stopped = True  # or its next beat would tell another core machine
+            callback, self.on_drained = self.on_drained, None
+            callback(core)
+        self.world.at(DRAIN_GRACE_MS, lambda: self._stop(server))
 
     def _core_of(self, machine: Machine) -> Machine | None:
         """The core machine that settles servers' calls which come to ``machine``."""
         if machine.core is not None:
             return machine
-        home = machine.plane.subscriber.home if machine.plane is not None else ""
-        return self.world.machines.get(home)
+        home_core = machine.plane.subscriber.home if machine.plane is not None else ""
+        return self.world.machines.get(home_core)
 
-    def _in_touch(self, machine: Machine) -> bool:
-        calm = self.world.now - self.world.bounds.contact_ms
-        if self.world.loss or self.world.core_troubled > calm:
+    def _is_connected(self, machine: Machine) -> bool:
+        undisturbed_before = self.world.now - self.world.bounds.contact_ms
+        if self.world.loss_rate or self.world.core_disturbed_at > undisturbed_before:
             return False
-        return machine.up and machine.well_since <= calm and self.world.is_well(machine)
+        return (
+            machine.up and machine.undisturbed_since <= undisturbed_before and self.world.is_healthy(machine)
+        )
 
-    def _known(self, server: SimulatedServer, acknowledged: float) -> None:
+    def _check_drain_propagated(self, server: SimulatedServer, acknowledged: float) -> None:
         """All know of a drain who have had no trouble for ``contactMs``.
 
         Nothing else may have happened to the core but the loss, just then, of the machine that said so.
         """
-        if self.world.loss or self.world.core_troubled > acknowledged:
+        if self.world.loss_rate or self.world.core_disturbed_at > acknowledged:
             return
-        self.drains += 1
-        calm = self.world.now - self.world.bounds.contact_ms
+        self.verified_drains += 1
+        undisturbed_before = self.world.now - self.world.bounds.contact_ms
         for machine in self.world.machines.values():
-            if machine.plane is None or machine.well_since > calm or not self.world.is_well(machine):
+            if (
+                machine.plane is None
+                or machine.undisturbed_since > undisturbed_before
+                or not self.world.is_healthy(machine)
+            ):
                 continue
             known = machine.plane.subscriber.servers.get(server.row.id)
             if known is not None and known.state == STEADY:
-                raise BrokenError(f"{machine.node} doesn't know that {server.row.id} drains")
+                raise InvariantViolationError(f"{machine.node} doesn't know that {server.row.id} drains")
 
-    def _end(self, server: SimulatedServer) -> None:
-        server.ended = True
+    def _stop(self, server: SimulatedServer) -> None:
+        server.stopped = True
         self.servers.pop(server.row.id, None)
         name = server.row.id
-        self.operators.ask(
+        self.operators.send_call(
             lambda plane, done: plane.server_call(self.world.now, name, done), lambda result: None
         )
--- a/larklb/lab/control_day.py
+++ b/larklb/lab/control_day.py
@@ -11,15 +11,15 @@
 
 from larklb.lab.control_callers import Operators, Servers
 from larklb.lab.control_day_faults import FAULTS, Faults
-from larklb.lab.control_history import BrokenError, Read
+from larklb.lab.control_history import InvariantViolationError, Read
 from larklb.lab.control_world import World
 
 SCENARIOS = ("cut", "races", "replacement", "history", "answers", "mixed")
 LENGTH_MS = 40_000.0  # of a day, without its beginning and end
-FOUNDED_MS = 12_000.0  # in which a group must have been founded and taken its first order
+MAX_FOUNDING_MS = 12_000.0  # in which a group must have been founded and taken its first order
 
 GAP_MS = {"history": (40.0, 160.0), "races": (60.0, 500.0)}  # between orders; else ...
-USUAL_GAP_MS = (200.0, 1_200.0)
+DEFAULT_GAP_MS = (200.0, 1_200.0)
 FAULT_GAP_MS = (300.0, 3_500.0)
 
 
@@ -31,13 +31,13 @@
     seed: int
     cores: int
     tolerance: int
-    most_faults: int = 1 << 30  # of the day, the first ones
+    max_faults: int = 1 << 30  # of the day, the first ones
     length: float = LENGTH_MS
     world: World = field(init=False)
     operators: Operators = field(init=False)
     servers: Servers = field(init=False)
     faults: Faults = field(init=False)
-    done: int = 0
+    fault_count: int = 0
 
     def __attrs_post_init__(self) -> None:
         self.world = World(self.seed, self.cores, self.tolerance)
@@ -49,96 +49,98 @@
 
     def play(self) -> None:
         """Raises BrokenError."""
-        self._found()
+        self._found_group()
         for _ in range(3):
             self.servers.start()
         end = self.world.now + self.length
-        self.world.at(0.0, lambda: self._orders(end))
-        self.world.at(500.0, lambda: self._reads(end))
-        self.world.at(1_500.0, lambda: self._drains(end))
-        self.world.at(self.world.rng.uniform(*FAULT_GAP_MS), lambda: self._faults(end))
+        self.world.at(0.0, lambda: self._send_orders(end))
+        self.world.at(500.0, lambda: self._send_reads(end))
+        self.world.at(1_500.0, lambda: self._start_drains(end))
+        self.world.at(self.world.rng.uniform(*FAULT_GAP_MS), lambda: self._inject_faults(end))
         self.world.run(self.length)
         self._finish()
 
-    def _found(self) -> None:
+    def _found_group(self) -> None:
         """A first start, at times with as many machines away as a founding bears."""
         world = self.world
         cores = world.cores()
-        away = min(self.tolerance, self.cores - 2 * self.tolerance)
-        late = world.rng.sample(cores, away) if world.rng.random() < 0.3 else []
+        absent_count = min(self.tolerance, self.cores - 2 * self.tolerance)
+        latecomers = world.rng.sample(cores, absent_count) if world.rng.random() < 0.3 else []
         for machine in world.machines.values():
-            if machine not in late:
+            if machine not in latecomers:
                 world.at(world.rng.uniform(0, 300), partial(world.start, machine))
         first = self.operators.order(0, 1)
-        while first.acknowledged == math.inf and world.now < FOUNDED_MS:
+        while first.acknowledged == math.inf and world.now < MAX_FOUNDING_MS:
             world.run(500.0)
         world.bootstrap = False
         if first.acknowledged == math.inf:
-            raise BrokenError("no group has been founded")
-        for machine in late:
+            raise InvariantViolationError("no group has been founded")
+        for machine in latecomers:
             world.note(f"{machine.node} comes late")
             world.restart(machine)
-            self.faults.count_lost(machine, 0.0)
+            self.faults.mark_lost(machine, 0.0)
 
     def _finish(self) -> None:
         """All faults end; then an order is acknowledged in time, and what is read fits all that was
         answered."""
         world, bounds = self.world, self.world.bounds
-        self.operators.quiet, self.operators.lost = True, 0.0
+        self.operators.paused, self.operators.answer_loss_rate = True, 0.0
         world.heal()
         world.run(bounds.contact_ms)
-        last = self.operators.order(self.operators.known, self.operators.known + 1)
+        last = self.operators.order(self.operators.newest_version, self.operators.newest_version + 1)
         world.run(bounds.ack_ms)
         if last.acknowledged == math.inf and last.refused == math.inf:
-            raise BrokenError("no order is acknowledged after the day")
-        found: list[Read] = []
+            raise InvariantViolationError("no order is acknowledged after the day")
+        reads: list[Read] = []
         for _ in range(20):
-            if not found:
-                self.operators.read(done=found.append)
+            if not reads:
+                self.operators.read(done=reads.append)
                 world.run(1_000.0)
-        if not found:
-            raise BrokenError("no read is answered after the day")
-        self.operators.history.check(found[-1])
-        newest = found[-1].version
+        if not reads:
+            raise InvariantViolationError("no read is answered after the day")
+        self.operators.history.check(reads[-1])
+        newest = reads[-1].version
         behind = [m.node for m in world.machines.values() if m.version < newest]
         if behind:
-            raise BrokenError(f"{', '.join(behind)} haven't learnt version {newest}")
-        for name in self.operators.seen_in_force:
+            raise InvariantViolationError(f"{', '.join(behind)} haven't learnt version {newest}")
+        for name in self.operators.versions_in_force:
             if self.operators.history.orders[name].refused < math.inf:
-                raise BrokenError(f"{name} was refused, and was in force")
+                raise InvariantViolationError(f"{name} was refused, and was in force")
 
-    def _orders(self, end: float) -> None:
+    def _send_orders(self, end: float) -> None:
         world, operators = self.world, self.operators
         if world.now >= end:
             return
-        world.at(world.rng.uniform(*GAP_MS.get(self.scenario, USUAL_GAP_MS)), lambda: self._orders(end))
-        base = operators.known
-        together = 1
+        world.at(
+            world.rng.uniform(*GAP_MS.get(self.scenario, DEFAULT_GAP_MS)), lambda: self._send_orders(end)
+        )
+        base = operators.newest_version
+        concurrent_count = 1
         if self.scenario in ("races", "mixed") and world.rng.random() < 0.5:
-            together = world.rng.choice((2, 2, 3, 8))
-        same = world.rng.random() < 0.5
-        for index in range(together):
-            step = 1 if same else 1 + index
+            concurrent_count = world.rng.choice((2, 2, 3, 8))
+        same_version = world.rng.random() < 0.5
+        for index in range(concurrent_count):
+            step = 1 if same_version else 1 + index
             operators.order(base, base + step)
 
-    def _reads(self, end: float) -> None:
+    def _send_reads(self, end: float) -> None:
         if self.world.now < end:
-            self.world.at(self.world.rng.uniform(150, 900), lambda: self._reads(end))
+            self.world.at(self.world.rng.uniform(150, 900), lambda: self._send_reads(end))
             self.operators.read()
 
-    def _drains(self, end: float) -> None:
+    def _start_drains(self, end: float) -> None:
         if self.world.now < end:
-            self.world.at(self.world.rng.uniform(1_000, 5_000), lambda: self._drains(end))
+            self.world.at(self.world.rng.uniform(1_000, 5_000), lambda: self._start_drains(end))
             self.servers.drain()
 
     # Faults ---------------------------------------------------------------------------------
 
-    def _faults(self, end: float) -> None:
+    def _inject_faults(self, end: float) -> None:
         world = self.world
-        if world.now >= end or self.done >= self.most_faults:
+        if world.now >= end or self.fault_count >= self.max_faults:
             return
-        self.done += 1
+        self.fault_count += 1
         names = FAULTS[self.scenario]
         name = world.rng.choices(list(names), list(names.values()))[0]
-        self.faults.bring(name)
-        world.at(world.rng.uniform(*FAULT_GAP_MS), lambda: self._faults(end))
+        self.faults.inject(name)
+        world.at(world.rng.uniform(*FAULT_GAP_MS), lambda: self._inject_faults(end))
--- a/larklb/lab/control_day_faults.py
+++ b/larklb/lab/control_day_faults.py
@@ -10,7 +10,7 @@
 from larklb.gateway.control import OperatorRequest
 from larklb.gateway.messages import CallResult
 from larklb.lab.control_callers import Operators, Servers
-from larklb.lab.control_history import BrokenError
+from larklb.lab.control_history import InvariantViolationError
 from larklb.lab.control_world import Machine, World
 
 #: The faults of each scenario, with how often each is drawn.
@@ -69,8 +69,10 @@
     },
 }
 
-PROMPT_MS = 300.0  # in which a machine that is cut off answers that it is: messages on the way, a turn, spare
-CATCH_UP_MS = 6_000.0  # away for so long, a machine lacks more changes than are kept as entries
+FAIL_FAST_MS = (
+    300.0  # in which a machine that is cut off answers that it is: messages on the way, a turn, spare
+)
+SNAPSHOT_LAG_MS = 6_000.0  # away for so long, a machine lacks more changes than are kept as entries
 
 
 @define
@@ -85,15 +87,15 @@
     tolerance: int
     lost: dict[str, float] = field(factory=dict)  # core machines that count as lost, and until when
 
-    def bring(self, name: str) -> None:
+    def inject(self, name: str) -> None:
         """The fault of a name in ``FAULTS``."""
         getattr(self, f"_{name}")()
 
-    def count_lost(self, machine: Machine, for_ms: float) -> None:
+    def mark_lost(self, machine: Machine, duration_ms: float) -> None:
         """It counts as lost while its trouble lasts, and for ``convergenceS`` after it."""
-        self.lost[machine.node] = self.world.now + for_ms + self.world.bounds.convergence_ms
+        self.lost[machine.node] = self.world.now + duration_ms + self.world.bounds.convergence_ms
 
-    def _room(self) -> int:
+    def _remaining_tolerance(self) -> int:
         self.lost = {node: until for node, until in self.lost.items() if until > self.world.now}
         return self.tolerance - len(self.lost)
 
@@ -101,66 +103,75 @@
         cores = [m for m in self.world.cores() if m.up and m.core is not None and m.core.replica.is_leader]
         return cores[0] if cores else None
 
-    def _victim(self, leader: bool = False) -> Machine | None:
+    def _choose_target(self, leader: bool = False) -> Machine | None:
         """A core machine that may be lost now."""
-        if self._room() <= 0:
+        if self._remaining_tolerance() <= 0:
             return None
-        free = [m for m in self.world.cores() if m.up and m.node not in self.lost]
-        found = self._leader() if leader else None
-        if found is not None and found in free:
-            return found
-        return self.world.rng.choice(free) if free else None
+        candidates = [m for m in self.world.cores() if m.up and m.node not in self.lost]
+        current_leader = self._leader() if leader else None
+        if current_leader is not None and current_leader in candidates:
+            return current_leader
+        return self.world.rng.choice(candidates) if candidates else None
 
     def _others(self, machine: Machine) -> list[Machine]:
-        every = self.world.rng.random() < 0.5
-        others = self.world.machines.values() if every else self.world.cores()
+        include_limiters = self.world.rng.random() < 0.5
+        others = self.world.machines.values() if include_limiters else self.world.cores()
         return [other for other in others if other is not machine]
 
     def _cut(self, leader: bool = False) -> None:
-        if (machine := self._victim(leader)) is None:
+        if (machine := self._choose_target(leader)) is None:
             return
-        for_ms = self.world.rng.choice((3_000.0, 8_000.0, 20_000.0))
-        self.count_lost(machine, for_ms)
+        duration_ms = self.world.rng.choice((3_000.0, 8_000.0, 20_000.0))
+        self.mark_lost(machine, duration_ms)
         one_way = self.world.rng.random() < 0.3
         self.world.cut_off(machine, self._others(machine), one_way)
-        for delay in (200.0, 1_500.0, for_ms / 2):
+        for delay in (200.0, 1_500.0, duration_ms / 2):
             self.world.at(delay, lambda: self.operators.read(machine))
-        asked = self.world.bounds.contact_ms + PROMPT_MS
-        if not one_way and asked + PROMPT_MS < for_ms:
-            life = machine.life
-            self.world.at(asked, lambda: self._gives_up_at_once(machine, life))
-        self.world.at(for_ms, lambda: self.world.join(machine))
+        check_delay_ms = self.world.bounds.contact_ms + FAIL_FAST_MS
+        if not one_way and check_delay_ms + FAIL_FAST_MS < duration_ms:
+            incarnation = machine.incarnation
+            self.world.at(check_delay_ms, lambda: self._check_fails_fast(machine, incarnation))
+        self.world.at(duration_ms, lambda: self.world.reconnect(machine))
 
-    def _gives_up_at_once(self, machine: Machine, life: int) -> None:
+    def _check_fails_fast(self, machine: Machine, incarnation: int) -> None:
         """A machine that has reached no other core machine for ``contactMs`` doesn't let callers wait."""
-        sent, calm = self.world.now, self.world.now - self.world.bounds.contact_ms
-        if machine.life != life or machine.disk_mode != "well" or machine.well_since > calm:
+        sent_at, undisturbed_before = self.world.now, self.world.now - self.world.bounds.contact_ms
+        if (
+            machine.incarnation != incarnation
+            or machine.disk_mode != "well"
+            or machine.undisturbed_since > undisturbed_before
+        ):
             return
-        if not self.world.is_cut_off(machine) or self.operators.lost > 0.0:
+        if not self.world.is_cut_off(machine) or self.operators.answer_loss_rate > 0.0:
             return
         answers: list[CallResult | None] = []
-        call = OperatorRequest("replace", self.operators.known, "{}")
-        self.operators.ask(
+        call = OperatorRequest("replace", self.operators.newest_version, "{}")
+        self.operators.send_call(
             lambda plane, done: plane.operator_call(self.world.now, call, done), answers.append, machine
         )
 
-        def look() -> None:
-            still = machine.life == life and not machine.frozen and machine.well_since <= calm
-            if still and not answers and self.operators.lost == 0.0:
-                raise BrokenError(
-                    f"{machine.node}, cut off, lets a call of {sent / 1000.0:.3f} s wait {PROMPT_MS:.0f} ms"
+        def check() -> None:
+            still_undisturbed = (
+                machine.incarnation == incarnation
+                and not machine.frozen
+                and machine.undisturbed_since <= undisturbed_before
+            )
+            if still_undisturbed and not answers and self.operators.answer_loss_rate == 0.0:
+                raise InvariantViolationError(
+                    f"{machine.node}, cut off, lets a call of {sent_at / 1000.0:.3f} s wait "
+                    f"{FAIL_FAST_MS:.0f} ms"
                 )
 
-        self.world.at(PROMPT_MS, look)
+        self.world.at(FAIL_FAST_MS, check)
 
     def _leader_cut(self) -> None:
         self._cut(leader=True)
 
     def _cut_and_restart(self) -> None:
         """A machine restarts behind a cut, and a limiter finds only it among its seeds."""
-        if (machine := self._victim()) is None:
+        if (machine := self._choose_target()) is None:
             return
-        self.count_lost(machine, 12_000.0)
+        self.mark_lost(machine, 12_000.0)
         self.world.cut_off(machine, [m for m in self.world.cores() if m is not machine], False)
         self.world.at(2_000.0, lambda: self.world.kill(machine))
         self.world.at(2_400.0, lambda: self.world.restart(machine))
@@ -168,28 +179,28 @@
         self.world.seeds = [machine.node]
         self.world.at(3_000.0, lambda: self.world.kill(limiter))
         self.world.at(3_300.0, lambda: self.world.restart(limiter))
-        self.world.at(12_000.0, lambda: self.world.join(machine))
-        self.world.at(12_000.0, self._usual_seeds)
+        self.world.at(12_000.0, lambda: self.world.reconnect(machine))
+        self.world.at(12_000.0, self._reset_seeds)
 
-    def _usual_seeds(self) -> None:
+    def _reset_seeds(self) -> None:
         self.world.seeds = [machine.node for machine in self.world.cores()][:3]
 
     def _freeze(self, leader: bool = False) -> None:
-        if (machine := self._victim(leader)) is None:
+        if (machine := self._choose_target(leader)) is None:
             return
-        for_ms = self.world.rng.uniform(600, 6_000)
-        self.count_lost(machine, for_ms)
+        duration_ms = self.world.rng.uniform(600, 6_000)
+        self.mark_lost(machine, duration_ms)
         self.world.freeze(machine)
         for _ in range(3):
-            delay = for_ms - self.world.rng.uniform(5, 600)
-            self.world.at(max(0.0, delay), lambda: self._order_at(machine))
-        self.world.at(for_ms, lambda: self.world.thaw(machine))
+            delay = duration_ms - self.world.rng.uniform(5, 600)
+            self.world.at(max(0.0, delay), lambda: self._send_order_to(machine))
+        self.world.at(duration_ms, lambda: self.world.thaw(machine))
 
-    def _order_at(self, machine: Machine) -> None:
+    def _send_order_to(self, machine: Machine) -> None:
         """An order and a read lie at a machine that stands still; at a day's end there are no new orders."""
-        if self.operators.quiet:
+        if self.operators.paused:
             return
-        base = self.operators.known
+        base = self.operators.newest_version
         order = self.operators.order(base, base + 1)
         call = OperatorRequest("replace", base, order.body)
 
@@ -199,7 +210,7 @@
             elif status == 412:
                 self.operators.history.refuse(order, self.world.now)
 
-        self.operators.ask(
+        self.operators.send_call(
             lambda plane, done: plane.operator_call(self.world.now, call, done),
             lambda result: answered(result.status if result is not None else 503),
             machine,
@@ -210,160 +221,160 @@
         self._freeze(leader=True)
 
     def _disk(self) -> None:
-        if (machine := self._victim(self.world.rng.random() < 0.5)) is None:
+        if (machine := self._choose_target(self.world.rng.random() < 0.5)) is None:
             return
-        for_ms = self.world.rng.uniform(2_000, 6_000)
-        self.count_lost(machine, for_ms)
-        self.world.disk_trouble(machine, self.world.rng.choice(("slow", "full", "hanging")))
-        self.world.at(for_ms, lambda: self.world.disk_trouble(machine, "well"))
+        duration_ms = self.world.rng.uniform(2_000, 6_000)
+        self.mark_lost(machine, duration_ms)
+        self.world.set_disk_mode(machine, self.world.rng.choice(("slow", "full", "hanging")))
+        self.world.at(duration_ms, lambda: self.world.set_disk_mode(machine, "well"))
 
     def _kill(self) -> None:
-        if (machine := self._victim(self.world.rng.random() < 0.5)) is None:
+        if (machine := self._choose_target(self.world.rng.random() < 0.5)) is None:
             return
-        for_ms = self.world.rng.uniform(300, 3_000)
-        self.count_lost(machine, for_ms)
+        duration_ms = self.world.rng.uniform(300, 3_000)
+        self.mark_lost(machine, duration_ms)
         self.world.kill(machine, power=self.world.rng.random() < 0.5)
-        self.world.at(for_ms, lambda: self.world.restart(machine))
+        self.world.at(duration_ms, lambda: self.world.restart(machine))
 
     def _kill_all(self) -> None:
-        if self._room() < self.tolerance:
+        if self._remaining_tolerance() < self.tolerance:
             return
         for machine in self.world.cores():
             self.world.kill(machine, power=True)
-            self.count_lost(machine, 1_000.0)
+            self.mark_lost(machine, 1_000.0)
             self.world.at(self.world.rng.uniform(200, 1_000), partial(self.world.restart, machine))
 
     def _wipe(self) -> None:
-        if (machine := self._victim(self.world.rng.random() < 0.5)) is None:
+        if (machine := self._choose_target(self.world.rng.random() < 0.5)) is None:
             return
-        self._wiped(machine)
+        self._wipe_and_restart(machine)
 
-    def _wiped(self, machine: Machine) -> None:
-        for_ms = self.world.rng.uniform(300, 3_000)
-        self.count_lost(machine, for_ms)
+    def _wipe_and_restart(self, machine: Machine) -> None:
+        duration_ms = self.world.rng.uniform(300, 3_000)
+        self.mark_lost(machine, duration_ms)
         self.world.wipe(machine)
-        self.world.at(for_ms, lambda: self.world.restart(machine))
+        self.world.at(duration_ms, lambda: self.world.restart(machine))
 
     def _wipe_after_ack(self) -> None:
         """As many as may be lost lose their disks right after an acknowledgement; the others lose power."""
-        if self._room() < self.tolerance:
+        if self._remaining_tolerance() < self.tolerance:
             return
         before = self.operators.acknowledged
 
-        def look() -> None:
+        def check() -> None:
             if self.operators.acknowledged == before:
-                if not self.operators.quiet:
-                    self.world.at(1.0, look)
+                if not self.operators.paused:
+                    self.world.at(1.0, check)
                 return
-            if self._room() < self.tolerance:
+            if self._remaining_tolerance() < self.tolerance:
                 return
             cores = self.world.cores()
             wiped = self.world.rng.sample(cores, self.tolerance)
             for machine in cores:
                 if machine in wiped:
-                    self._wiped(machine)
+                    self._wipe_and_restart(machine)
                 else:
                     self.world.kill(machine, power=True)
-                    back = self.world.rng.uniform(200, 1_000)
-                    self.world.at(back, partial(self.world.restart, machine))
+                    restart_delay_ms = self.world.rng.uniform(200, 1_000)
+                    self.world.at(restart_delay_ms, partial(self.world.restart, machine))
 
-        look()
+        check()
 
     def _replace(self) -> None:
-        if (machine := self._victim(self.world.rng.random() < 0.5)) is None:
+        if (machine := self._choose_target(self.world.rng.random() < 0.5)) is None:
             return
-        self.count_lost(machine, 1_000.0)
+        self.mark_lost(machine, 1_000.0)
         self.world.remove(machine)
-        self.world.at(1_000.0, self._newcomer)
+        self.world.at(1_000.0, self._add_replacement)
 
-    def _newcomer(self) -> Machine:
+    def _add_replacement(self) -> Machine:
         machine = self.world.add_core(f"n{len(self.world.log)}")
         self.world.note(f"{machine.node} is new, with an empty disk")
-        self.world.trouble(machine)
-        self.count_lost(machine, 0.0)
-        self._usual_seeds()
+        self.world.mark_disturbed(machine)
+        self.mark_lost(machine, 0.0)
+        self._reset_seeds()
         return machine
 
     def _planned(self) -> None:
         """The successor first; then the other is told to end."""
-        if (machine := self._victim(self.world.rng.random() < 0.5)) is None:
+        if (machine := self._choose_target(self.world.rng.random() < 0.5)) is None:
             return
-        self.count_lost(machine, 8_000.0)
-        self._newcomer()
+        self.mark_lost(machine, 8_000.0)
+        self._add_replacement()
         self.world.at(1_500.0, lambda: self.world.terminate(machine, 4_000.0))
-        self.world.at(5_600.0, partial(self._gone, machine))
+        self.world.at(5_600.0, partial(self._remove_if_present, machine))
 
     def _replacement_stopped(self) -> None:
         """A successor is lost on its way into the group; the machine that it was to replace stays."""
-        if self._room() <= 0:
+        if self._remaining_tolerance() <= 0:
             return
-        newcomer = self._newcomer()
-        self.world.at(self.world.rng.uniform(200, 6_000), lambda: self._stop_replacement(newcomer))
+        replacement = self._add_replacement()
+        self.world.at(self.world.rng.uniform(200, 6_000), lambda: self._stop_replacement(replacement))
 
-    def _stop_replacement(self, newcomer: Machine) -> None:
-        if newcomer.node not in self.lost and self._room() <= 0:
+    def _stop_replacement(self, replacement: Machine) -> None:
+        if replacement.node not in self.lost and self._remaining_tolerance() <= 0:
             return  # it has come to count, and no other may be lost now
-        self.count_lost(newcomer, 0.0)
-        self._gone(newcomer)
+        self.mark_lost(replacement, 0.0)
+        self._remove_if_present(replacement)
 
-    def _gone(self, machine: Machine) -> None:
+    def _remove_if_present(self, machine: Machine) -> None:
         if machine.node in self.world.machines:
             self.world.remove(machine)
 
     def _terminate(self) -> None:
-        if (machine := self._victim(self.world.rng.random() < 0.5)) is None:
+        if (machine := self._choose_target(self.world.rng.random() < 0.5)) is None:
             return
-        grace = self.world.rng.uniform(100, 4_000)
-        self.count_lost(machine, grace + 500.0)
-        self.world.terminate(machine, grace)
-        self.world.at(grace + 500.0, lambda: self.world.restart(machine))
+        grace_ms = self.world.rng.uniform(100, 4_000)
+        self.mark_lost(machine, grace_ms + 500.0)
+        self.world.terminate(machine, grace_ms)
+        self.world.at(grace_ms + 500.0, lambda: self.world.restart(machine))
 
     def _away(self) -> None:
         """Away for hundreds of changes."""
-        if (machine := self._victim()) is None:
+        if (machine := self._choose_target()) is None:
             return
-        for_ms = self.world.rng.uniform(8_000, 20_000)
-        self.count_lost(machine, for_ms)
+        duration_ms = self.world.rng.uniform(8_000, 20_000)
+        self.mark_lost(machine, duration_ms)
         if self.world.rng.random() < 0.5:
             self.world.kill(machine, power=True)
-            self.world.at(for_ms, lambda: self.world.restart(machine))
+            self.world.at(duration_ms, lambda: self.world.restart(machine))
         else:
             self.world.cut_off(machine, self._others(machine), False)
-            self.world.at(for_ms, lambda: self.world.join(machine))
+            self.world.at(duration_ms, lambda: self.world.reconnect(machine))
 
     def _restarts(self) -> None:
         """Killed again and again while it catches up, on a slow disk."""
-        if (machine := self._victim()) is None:
+        if (machine := self._choose_target()) is None:
             return
-        self.count_lost(machine, 8_000.0)
-        self.world.disk_trouble(machine, "slow")
+        self.mark_lost(machine, 8_000.0)
+        self.world.set_disk_mode(machine, "slow")
         for at in (0.0, 3_000.0, 3_900.0, 4_800.0, 5_700.0):
             self.world.at(at, lambda: self.world.kill(machine, power=True))
             self.world.at(at + 400.0, lambda: self.world.restart(machine))
-        self.world.at(8_000.0, lambda: self.world.disk_trouble(machine, "well"))
+        self.world.at(8_000.0, lambda: self.world.set_disk_mode(machine, "well"))
 
     def _leader_lost_on_return(self) -> None:
         """A machine that lacks changes is back just as the leader loses power; one that had to catch up by a
         snapshot before gets a late copy of that."""
-        if self._victim() is None or (leader := self._leader()) is None:
+        if self._choose_target() is None or (leader := self._leader()) is None:
             return
         others = [m for m in self.world.cores() if m is not leader and m.up and m.node not in self.lost]
         if len(others) < 2:
             return
         first, second = self.world.rng.sample(others, 2)
-        begin = 0.0
+        start_ms = 0.0
         if self.world.rng.random() < 0.5:
-            begin = CATCH_UP_MS + 1_000.0
+            start_ms = SNAPSHOT_LAG_MS + 1_000.0
             self.world.cut_off(first, self._others(first), False)
-            self.world.at(CATCH_UP_MS, lambda: self.world.join(first))
-        away = self.world.rng.uniform(1_000, 3_000)
+            self.world.at(SNAPSHOT_LAG_MS, lambda: self.world.reconnect(first))
+        away_ms = self.world.rng.uniform(1_000, 3_000)
         for machine in (first, second, leader):
-            self.count_lost(machine, begin + away + 3_000.0)
-        self.world.at(begin, lambda: self.world.cut_off(second, self._others(second), False))
-        self.world.at(begin + away, lambda: self._return_and_lose(second, leader))
+            self.mark_lost(machine, start_ms + away_ms + 3_000.0)
+        self.world.at(start_ms, lambda: self.world.cut_off(second, self._others(second), False))
+        self.world.at(start_ms + away_ms, lambda: self._return_and_lose(second, leader))
 
     def _return_and_lose(self, machine: Machine, leader: Machine) -> None:
-        self.world.join(machine)
+        self.world.reconnect(machine)
         self.world.kill(leader, power=True)
         for other in self.world.cores():
             if other is not leader:
@@ -372,40 +383,40 @@
 
     def _drain_and_lose(self) -> None:
         """The core machine that acknowledges a drain loses power at once, and the server ends."""
-        if self._room() <= 0:
+        if self._remaining_tolerance() <= 0:
             return
 
-        def lose(machine: Machine) -> None:
-            if self._room() <= 0 or not machine.up or machine.node in self.lost:
+        def kill_acknowledger(machine: Machine) -> None:
+            if self._remaining_tolerance() <= 0 or not machine.up or machine.node in self.lost:
                 return
-            for_ms = self.world.bounds.drain_ms + self.world.rng.uniform(100, 1_000)
-            self.count_lost(machine, for_ms)
+            duration_ms = self.world.bounds.drain_ms + self.world.rng.uniform(100, 1_000)
+            self.mark_lost(machine, duration_ms)
             self.world.kill(machine, power=True)
-            self.world.at(for_ms, lambda: self.world.restart(machine))
+            self.world.at(duration_ms, lambda: self.world.restart(machine))
 
-        self.servers.on_drained = lose
+        self.servers.on_drained = kill_acknowledger
         self.servers.drain()
 
     def _loss(self) -> None:
         """Messages between all machines are lost, come twice and late."""
         world = self.world
         world.note("messages are lost and repeated")
-        world.loss, world.repeats, world.core_troubled = 0.1, 0.1, world.now
-        world.at(3_000.0, self._no_loss)
+        world.loss_rate, world.duplicate_rate, world.core_disturbed_at = 0.1, 0.1, world.now
+        world.at(3_000.0, self._end_loss)
 
-    def _no_loss(self) -> None:
+    def _end_loss(self) -> None:
         self.world.note("messages come as usual")
-        self.world.loss = self.world.repeats = 0.0
-        self.world.core_troubled = self.world.now
+        self.world.loss_rate = self.world.duplicate_rate = 0.0
+        self.world.core_disturbed_at = self.world.now
 
     def _lost_answers(self) -> None:
         """Answers to callers get lost."""
         self.world.note("answers to callers get lost")
-        self.operators.lost = 0.5
-        self.world.at(4_000.0, self._no_lost_answers)
+        self.operators.answer_loss_rate = 0.5
+        self.world.at(4_000.0, self._end_lost_answers)
 
-    def _no_lost_answers(self) -> None:
-        self.operators.lost, self.operators.lost_until = 0.0, self.world.now
+    def _end_lost_answers(self) -> None:
+        self.operators.answer_loss_rate, self.operators.answers_lost_at = 0.0, self.world.now
 
     def _resend(self) -> None:
         """An old order is sent once more, as after a lost answer."""
@@ -413,7 +424,7 @@
         if orders:
             order = self.world.rng.choice([*orders[-80:], orders[0]])
             self.world.note(f"{order.name} is sent again")
-            self.operators.again(order)
+            self.operators.resend(order)
 
     def _late_answers(self) -> None:
         """A limiter ends with calls passed on, and what answers them comes late, to its next process."""
@@ -422,14 +433,14 @@
             return
         machine, world = self.world.rng.choice(limiters), self.world
         world.note(f"{machine.node} ends with calls passed on, and answers come late")
-        world.repeats, world.core_troubled = 0.5, world.now
+        world.duplicate_rate, world.core_disturbed_at = 0.5, world.now
         for _ in range(6):
-            self._order_at(machine)
+            self._send_order_to(machine)
         world.at(3.0, partial(world.kill, machine))
         world.at(4.0, partial(world.restart, machine))
         for index in range(30):
-            world.at(100.0 + 50.0 * index, partial(self._order_at, machine))
-        world.at(2_500.0, self._no_loss)
+            world.at(100.0 + 50.0 * index, partial(self._send_order_to, machine))
+        world.at(2_500.0, self._end_loss)
 
     def _limiter(self) -> None:
         """A machine without a disk is restarted, at times at once."""
--- a/larklb/lab/control_faults.py
+++ b/larklb/lab/control_faults.py
@@ -40,10 +40,10 @@
 
 from larklb.lab.control_breaks import BREAKS, without
 from larklb.lab.control_day import LENGTH_MS, SCENARIOS, Day
-from larklb.lab.control_history import BrokenError
+from larklb.lab.control_history import InvariantViolationError
 
-BREAK_DAYS = 300  # in which a guard that is out must be found
-SHOWN = 60  # steps of a day that failed, the last ones
+MAX_DETECTION_DAYS = 300  # in which a guard that is out must be found
+SHOWN_STEPS = 60  # steps of a day that failed, the last ones
 CORES = (3, 3, 3, 4, 5, 5, 6, 7, 8)
 
 
@@ -63,8 +63,8 @@
     @property
     def tolerance(self) -> int:
         """The most disks that this core may lose at once; at times one less, for cores of five and more."""
-        most = (self.cores - 1) // 2
-        return most if self.seed % 2 or most == 1 else most - 1
+        max_tolerance = (self.cores - 1) // 2
+        return max_tolerance if self.seed % 2 or max_tolerance == 1 else max_tolerance - 1
 
 
 @define(frozen=True)
@@ -72,10 +72,12 @@
     """``why`` is empty where nothing broke."""
 
     task: Task
-    why: str = ""
+    reason: str = ""
 
 
-def tasks(days: int, seed: int, scenario: str = "", cores: int = 0, guard: str = "") -> Iterator[Task]:
+def generate_tasks(
+    days: int, seed: int, scenario: str = "", cores: int = 0, guard: str = ""
+) -> Iterator[Task]:
     """The days of a run."""
     names = (scenario,) if scenario else SCENARIOS
     for number in range(seed, seed + days):
@@ -84,13 +86,13 @@
         )
 
 
-def played(task: Task, faults: int = 1 << 30) -> tuple[Outcome, Day]:
+def play_day(task: Task, faults: int = 1 << 30) -> tuple[Outcome, Day]:
     """Plays a day, or its first faults."""
     with without(task.guard) if task.guard else nullcontext():
         day = Day(task.scenario, task.seed, task.cores, task.tolerance, faults, task.length)
         try:
             day.play()
-        except BrokenError as error:
+        except InvariantViolationError as error:
             return Outcome(task, str(error)), day
         except Exception as error:  # a fault of the program under test, as a process would end by it
             if not task.guard:
@@ -99,69 +101,69 @@
     return Outcome(task), day
 
 
-def outcome(task: Task) -> Outcome:
+def play_task(task: Task) -> Outcome:
     """Plays a day; for a pool of processes."""
     logging.getLogger("larklb").setLevel(logging.CRITICAL)
-    return played(task)[0]
+    return play_day(task)[0]
 
 
-def shortest(task: Task) -> tuple[Outcome, Day]:
+def shortest_failing_prefix(task: Task) -> tuple[Outcome, Day]:
     """The fewest first faults of a day that still break something."""
-    result, day = played(task)
-    for faults in range(day.done):
-        attempt, shorter = played(task, faults)
-        if attempt.why:
-            return attempt, shorter
+    result, day = play_day(task)
+    for faults in range(day.fault_count):
+        attempt, shorter_day = play_day(task, faults)
+        if attempt.reason:
+            return attempt, shorter_day
     return result, day
 
 
-def outcomes(jobs: int, all_tasks: Iterable[Task]) -> Iterator[Outcome]:
+def play_all(jobs: int, all_tasks: Iterable[Task]) -> Iterator[Outcome]:
     """Each as it is played."""
     if jobs <= 1:
-        yield from map(outcome, all_tasks)
+        yield from map(play_task, all_tasks)
         return
     with multiprocessing.Pool(jobs) as pool:
-        yield from pool.imap_unordered(outcome, all_tasks)
+        yield from pool.imap_unordered(play_task, all_tasks)
 
 
-def hunt(days: int, seed: int, scenario: str, cores: int, jobs: int) -> int:
+def run_days(days: int, seed: int, scenario: str, cores: int, jobs: int) -> int:
     """Plays days until one breaks something; the exit status."""
-    began, count = time.monotonic(), 0
-    for result in outcomes(jobs, tasks(days, seed, scenario, cores)):
+    started_at, count = time.monotonic(), 0
+    for result in play_all(jobs, generate_tasks(days, seed, scenario, cores)):
         count += 1
-        if result.why:
-            return _tell(result)
+        if result.reason:
+            return _report_failure(result)
         if count % 100 == 0:
-            print(f"{count} days, {count / (time.monotonic() - began):.1f} a second", flush=True)
-    took = time.monotonic() - began
+            print(f"{count} days, {count / (time.monotonic() - started_at):.1f} a second", flush=True)
+    elapsed_s = time.monotonic() - started_at
     names = 1 if scenario else len(SCENARIOS)
-    print(f"{count / took:.2f} days a second")
+    print(f"{count / elapsed_s:.2f} days a second")
     print(f"{count} days of {names} scenarios: nothing broken")
     return 0
 
 
-def _tell(result: Outcome) -> int:
+def _report_failure(result: Outcome) -> int:
     task = result.task
-    print(f"broken: {result.why}")
+    print(f"broken: {result.reason}")
     print(
         f"scenario {task.scenario}, seed {task.seed}, core of {task.cores}, tolerance {task.tolerance}",
         flush=True,
     )
-    again, day = shortest(task)
-    print(f"shortest: the first {day.done} faults: {again.why}")
-    print("\n".join(day.world.log[-SHOWN:]))
+    shortest_outcome, day = shortest_failing_prefix(task)
+    print(f"shortest: the first {day.fault_count} faults: {shortest_outcome.reason}")
+    print("\n".join(day.world.log[-SHOWN_STEPS:]))
     return 1
 
 
-def find(guard: str, days: int, seed: int, jobs: int) -> int | None:
+def days_until_detected(guard: str, days: int, seed: int, jobs: int) -> int | None:
     """After how many days a guard that is out was found; None if it wasn't."""
     scenario = BREAKS[guard].scenario
     for count, result in enumerate(
-        outcomes(jobs, tasks(days, seed, scenario, BREAKS[guard].cores, guard)), 1
+        play_all(jobs, generate_tasks(days, seed, scenario, BREAKS[guard].cores, guard)), 1
     ):
-        if result.why:
+        if result.reason:
             print(
-                f"{guard}: found after {count} days of {scenario}, seed {result.task.seed}: {result.why}",
+                f"{guard}: found after {count} days of {scenario}, seed {result.task.seed}: {result.reason}",
                 flush=True,
             )
             return count
@@ -186,8 +188,17 @@
     logging.getLogger("larklb").setLevel(logging.CRITICAL)
     if options.guard:
         guards = list(BREAKS) if options.guard == "all" else [options.guard]
-        return 0 if all([find(guard, BREAK_DAYS, options.seed, options.jobs) for guard in guards]) else 1
-    return hunt(options.days, options.seed, options.scenario, options.core, options.jobs)
+        return (
+            0
+            if all(
+                [
+                    days_until_detected(guard, MAX_DETECTION_DAYS, options.seed, options.jobs)
+                    for guard in guards
+                ]
+            )
+            else 1
+        )
+    return run_days(options.days, options.seed, options.scenario, options.core, options.jobs)
 
 
 if __name__ == "__main__":
--- a/larklb/lab/control_history.py
+++ b/larklb/lab/control_history.py
@@ -12,7 +12,7 @@
 from attrs import define, field
 
 
-class BrokenError(AssertionError):
+class InvariantViolationError(AssertionError):
     """Something that must hold doesn't."""
 
 
@@ -49,16 +49,18 @@
     def acknowledge(self, order: Order, now: float) -> None:
         """An order was answered with 200."""
         if order.refused < math.inf:
-            raise BrokenError(f"{order.name} was refused, and is acknowledged")
+            raise InvariantViolationError(f"{order.name} was refused, and is acknowledged")
         for other in self.orders.values():
             if other.base == order.base and other is not order and other.acknowledged < math.inf:
-                raise BrokenError(f"{other.name} and {order.name} on version {order.base} are acknowledged")
+                raise InvariantViolationError(
+                    f"{other.name} and {order.name} on version {order.base} are acknowledged"
+                )
         order.acknowledged = min(order.acknowledged, now)
 
     def refuse(self, order: Order, now: float) -> None:
         """An order was answered with 412."""
         if order.acknowledged < math.inf:
-            raise BrokenError(f"{order.name} was acknowledged, and is refused")
+            raise InvariantViolationError(f"{order.name} was acknowledged, and is refused")
         order.refused = min(order.refused, now)
 
     def newest_acknowledged(self, before: float = math.inf) -> int:
@@ -67,64 +69,76 @@
 
     def check(self, last: Read) -> None:
         """Whether the whole history can be true, given what is read at its end."""
-        chain = self._chain(last)
-        on_chain = {order.name for order in chain}
+        chain = self._write_chain(last)
+        chain_names = {order.name for order in chain}
         for order in self.orders.values():
-            if order.acknowledged < math.inf and order.name not in on_chain:
-                raise BrokenError(f"{order.name} was acknowledged, and is lost")
-            if order.refused < math.inf and order.name in on_chain:
-                raise BrokenError(f"{order.name} was refused, and is in force")
-        place = {order.version: index for index, order in enumerate(chain)}
+            if order.acknowledged < math.inf and order.name not in chain_names:
+                raise InvariantViolationError(f"{order.name} was acknowledged, and is lost")
+            if order.refused < math.inf and order.name in chain_names:
+                raise InvariantViolationError(f"{order.name} was refused, and is in force")
+        position_by_version = {order.version: index for index, order in enumerate(chain)}
         earliest = [order.begin for order in chain]
         latest = [order.acknowledged for order in chain]
         for read in [*self.reads, last]:
-            self._bound_by_read(read, chain, place, earliest, latest)
+            self._bound_by_read(read, chain, position_by_version, earliest, latest)
         for order in self.orders.values():
             if order.refused < math.inf:
-                self._bound_by_refusal(order, place, latest)
-        at = -math.inf
+                self._bound_by_refusal(order, position_by_version, latest)
+        moment = -math.inf
         for order, begin, end in zip(chain, earliest, latest, strict=True):
-            at = max(at, begin)
-            if at > end:
-                raise BrokenError(f"no moment at which {order.name} became current fits all answers")
+            moment = max(moment, begin)
+            if moment > end:
+                raise InvariantViolationError(
+                    f"no moment at which {order.name} became current fits all answers"
+                )
 
-    def _chain(self, last: Read) -> list[Order]:
+    def _write_chain(self, last: Read) -> list[Order]:
         by_version: dict[tuple[int, str], Order] = {(o.version, o.name): o for o in self.orders.values()}
         chain: list[Order] = []
         version, name = last.version, last.order
         while version:
             order = by_version.get((version, name))
             if order is None:
-                raise BrokenError(f"version {version} was never sent")
+                raise InvariantViolationError(f"version {version} was never sent")
             chain.append(order)
             version = order.base
             if version:
-                below = [o for o in self.orders.values() if o.version == version and o.refused == math.inf]
-                known = [o for o in below if o.acknowledged < math.inf] or below
-                if not known:
-                    raise BrokenError(f"version {version}, which {order.name} builds on, was never taken")
-                name = known[0].name
+                candidates = [
+                    o for o in self.orders.values() if o.version == version and o.refused == math.inf
+                ]
+                preferred = [o for o in candidates if o.acknowledged < math.inf] or candidates
+                if not preferred:
+                    raise InvariantViolationError(
+                        f"version {version}, which {order.name} builds on, was never taken"
+                    )
+                name = preferred[0].name
         return chain[::-1]
 
     @staticmethod
     def _bound_by_read(
-        read: Read, chain: list[Order], place: dict[int, int], earliest: list[float], latest: list[float]
+        read: Read,
+        chain: list[Order],
+        position_by_version: dict[int, int],
+        earliest: list[float],
+        latest: list[float],
     ) -> None:
-        index = place.get(read.version, -1)
+        index = position_by_version.get(read.version, -1)
         if read.version and (index < 0 or chain[index].name != read.order):
-            raise BrokenError(f"a read found {read.order} as version {read.version}, which was never current")
+            raise InvariantViolationError(
+                f"a read found {read.order} as version {read.version}, which was never current"
+            )
         if index >= 0:
             latest[index] = min(latest[index], read.end)
         if index + 1 < len(chain):
             earliest[index + 1] = max(earliest[index + 1], read.begin)
 
     @staticmethod
-    def _bound_by_refusal(order: Order, place: dict[int, int], latest: list[float]) -> None:
-        index = place.get(order.base, -1 if order.base == 0 else None)
+    def _bound_by_refusal(order: Order, position_by_version: dict[int, int], latest: list[float]) -> None:
+        index = position_by_version.get(order.base, -1 if order.base == 0 else None)
         if index is None:
             return  # its base was never current
         if index + 1 >= len(latest):
-            raise BrokenError(
+            raise InvariantViolationError(
                 f"{order.name} was refused, and its base {order.base} was current all the while"
             )
         latest[index + 1] = min(latest[index + 1], order.refused)
--- a/larklb/lab/control_world.py
+++ b/larklb/lab/control_world.py
@@ -24,15 +24,15 @@
 from larklb.gateway.core import Core
 from larklb.gateway.messages import Configuration, Message, Raft
 from larklb.gateway.settings import Bounds, Settings
-from larklb.lab.control_history import BrokenError
+from larklb.lab.control_history import InvariantViolationError
 from larklb.membership.members import Member
 
 CORE_TICK_MS, TICK_MS = 50.0, 100.0
-WIRE_MS = (0.2, 2.0)  # one way
-LATE_MS = (20.0, 1500.0)  # of a message that is overtaken
-SYNC_MS = ((2.0, 8.0), (2.0, 8.0), (15.0, 40.0))  # of a save on a disk that is well
-SLOW_SYNC_MS = (80.0, 250.0)
-MOST_BUFFERED = 2_000  # messages that wait at a machine that stands still
+NETWORK_DELAY_MS = (0.2, 2.0)  # one way
+LATE_DELAY_MS = (20.0, 1500.0)  # of a message that is overtaken
+SYNC_DURATIONS_MS = ((2.0, 8.0), (2.0, 8.0), (15.0, 40.0))  # of a save on a disk that is well
+SLOW_SYNC_DURATION_MS = (80.0, 250.0)
+MAX_BUFFERED_MESSAGES = 2_000  # messages that wait at a machine that stands still
 ZONES = ("north", "south", "east")
 CONTROL_PORT = 8407
 #: Terms of a day, in ms: the usual ones, shorter and longer ones.
@@ -51,11 +51,11 @@
 class Timer:
     """One that goes off unless it is cancelled."""
 
-    act: Callable[[], object] | None
+    action: Callable[[], object] | None
 
     def cancel(self) -> None:
         """It doesn't go off any more."""
-        self.act = None
+        self.action = None
 
 
 @define(eq=False)
@@ -68,13 +68,13 @@
     disk_id: str = ""
     disk_mode: str = "well"  # or slow, full, hanging
     plane: ControlPlane | None = None
-    life: int = 0
+    incarnation: int = 0
     version: int = 0  # in force in this life
     frozen: bool = False
     leaving: bool = False
-    buffered: deque[Callable[[], object]] = field(factory=lambda: deque(maxlen=MOST_BUFFERED))
+    buffered: deque[Callable[[], object]] = field(factory=lambda: deque(maxlen=MAX_BUFFERED_MESSAGES))
     saving: Ready | None = None
-    well_since: float = 0.0  # without any trouble of its own
+    undisturbed_since: float = 0.0  # without any trouble of its own
 
     @property
     def up(self) -> bool:
@@ -93,23 +93,23 @@
 
     def __init__(self, seed: int, cores: int = 3, tolerance: int = 1, limiters: int = 2) -> None:
         self.rng = random.Random(seed)
-        self.sync_ms = self.rng.choice(SYNC_MS)
+        self.sync_ms = self.rng.choice(SYNC_DURATIONS_MS)
         self.tolerance = tolerance
         self.bounds = self.rng.choice(BOUNDS)
-        self.now, self._count = 0.0, 0
+        self.now, self._event_count = 0.0, 0
         self._events: list[tuple[float, int, Callable[[], object]]] = []
         self.machines: dict[str, Machine] = {}
-        self.cut: set[tuple[str, str]] = set()
-        self.loss = 0.0
-        self.repeats = 0.0
+        self.blocked_links: set[tuple[str, str]] = set()
+        self.loss_rate = 0.0
+        self.duplicate_rate = 0.0
         self.bootstrap = True
         self.healed = False  # no faults begin any more
         self.log: list[str] = []  # what was done, as readable text
-        self.told: Callable[[Machine, int], object] = lambda machine, version: None
-        self.in_force: Callable[[Machine, Document], object] = lambda machine, document: None
-        self.core_troubled = 0.0  # when the core was last in trouble
+        self.on_configuration_sent: Callable[[Machine, int], object] = lambda machine, version: None
+        self.on_configuration_applied: Callable[[Machine, Document], object] = lambda machine, document: None
+        self.core_disturbed_at = 0.0  # when the core was last in trouble
         self.leaders: dict[int, str] = {}
-        self._last_disk = 0
+        self._last_disk_number = 0
         self._snapshots: dict[str, tuple[str, bytes]] = {}  # by receiver: sender and line of the last one
         for index in range(cores):
             self.add_core(f"c{index}", start=False)
@@ -119,29 +119,29 @@
 
     # Time -----------------------------------------------------------------------------------
 
-    def at(self, delay: float, act: Callable[[], object]) -> None:
+    def at(self, delay: float, action: Callable[[], object]) -> None:
         """Something happens after ``delay`` ms."""
-        self._count += 1
-        heapq.heappush(self._events, (self.now + delay, self._count, act))
+        self._event_count += 1
+        heapq.heappush(self._events, (self.now + delay, self._event_count, action))
 
     def run(self, ms: float) -> None:
         """Lets time pass."""
         end = self.now + ms
         while self._events and self._events[0][0] <= end:
-            self.now, _, act = heapq.heappop(self._events)
-            act()
+            self.now, _, action = heapq.heappop(self._events)
+            action()
         self.now = end
 
-    def note(self, what: str) -> None:
+    def note(self, text: str) -> None:
         """A step of the day, for whoever reads its trace."""
-        self.log.append(f"{self.now / 1000.0:8.3f} s  {what}")
+        self.log.append(f"{self.now / 1000.0:8.3f} s  {text}")
 
     # Machines -------------------------------------------------------------------------------
 
     def add_core(self, node: str, start: bool = True) -> Machine:
         """A core machine with a blank disk."""
-        self._last_disk += 1
-        machine = Machine(node, ZONES[len(self.machines) % len(ZONES)], {}, f"d{self._last_disk}")
+        self._last_disk_number += 1
+        machine = Machine(node, ZONES[len(self.machines) % len(ZONES)], {}, f"d{self._last_disk_number}")
         self.machines[node] = machine
         if start:
             self.start(machine)
@@ -153,22 +153,26 @@
 
     def start(self, machine: Machine) -> None:
         """A new process, with what the disk holds."""
-        machine.life += 1
+        machine.incarnation += 1
         machine.frozen = machine.leaving = False
         machine.version, machine.saving = 0, None
         machine.buffered.clear()
         settings = self._settings(machine)
-        born = int(self.now) + machine.life  # the time of day, which rises
-        me = Member(machine.node, machine.node, machine.zone, born, machine.disk_id)
+        member_incarnation = int(self.now) + machine.incarnation  # the time of day, which rises
+        member = Member(machine.node, machine.node, machine.zone, member_incarnation, machine.disk_id)
         rng = random.Random(self.rng.randrange(1 << 30))
         plane = ControlPlane(
             settings,
-            me,
-            f"{machine.node}-{machine.life}-{self.rng.randrange(1 << 30)}",
+            member,
+            f"{machine.node}-{machine.incarnation}-{self.rng.randrange(1 << 30)}",
             self.now,
-            send=lambda ip, message, life=machine.life: self._post(machine, life, ip, message),  # type: ignore[misc]
-            after=lambda delay, act, life=machine.life: self._timer(machine, life, delay, act),  # type: ignore[misc]
-            apply_configuration=lambda document: self._take(machine, document),
+            send=lambda ip, message, incarnation=machine.incarnation: self._send(
+                machine, incarnation, ip, message
+            ),  # type: ignore[misc]
+            after=lambda delay, action, incarnation=machine.incarnation: self._timer(
+                machine, incarnation, delay, action
+            ),  # type: ignore[misc]
+            apply_configuration=lambda document: self._apply_configuration(machine, document),
             current_version=lambda: machine.version,
             on_change=lambda: None,
             rng=rng,
@@ -177,15 +181,18 @@
             stored = dict(machine.disk) or None
             plane.core = Core(
                 settings,
-                me,
+                member,
                 stored,
                 self.now,
                 rng.randrange(1 << 30),
                 plane.send,
-                lambda ready: self._save(machine, machine.life, ready),
+                lambda ready: self._begin_save(machine, machine.incarnation, ready),
             )
         machine.plane = plane
-        self.at(self.rng.uniform(0, CORE_TICK_MS), lambda life=machine.life: self._tick(machine, life))  # type: ignore[misc]
+        self.at(
+            self.rng.uniform(0, CORE_TICK_MS),
+            lambda incarnation=machine.incarnation: self._tick(machine, incarnation),  # type: ignore[misc]
+        )
 
     def _settings(self, machine: Machine) -> Settings:
         address = (machine.node, CONTROL_PORT)
@@ -212,55 +219,57 @@
             bounds=self.bounds,
         )
 
-    def _tick(self, machine: Machine, life: int) -> None:
-        if machine.life != life or machine.plane is None:
+    def _tick(self, machine: Machine, incarnation: int) -> None:
+        if machine.incarnation != incarnation or machine.plane is None:
             return
-        self.at(CORE_TICK_MS if machine.disk is not None else TICK_MS, lambda: self._tick(machine, life))
+        self.at(
+            CORE_TICK_MS if machine.disk is not None else TICK_MS, lambda: self._tick(machine, incarnation)
+        )
         if machine.frozen:
             return
         machine.plane.tick(self.now)
-        self._watch(machine)
+        self._check_single_leader(machine)
 
-    def _watch(self, machine: Machine) -> None:
+    def _check_single_leader(self, machine: Machine) -> None:
         core = machine.core
         if core is not None and core.replica.is_leader:
             first = self.leaders.setdefault(core.replica.term, core.disk)
             if first != core.disk:
-                raise BrokenError(f"two leaders in term {core.replica.term}")
+                raise InvariantViolationError(f"two leaders in term {core.replica.term}")
 
-    def _take(self, machine: Machine, document: Document) -> None:
+    def _apply_configuration(self, machine: Machine, document: Document) -> None:
         version = int(document["version"])
         if version > machine.version:
             machine.version = version
-            self.in_force(machine, document)
+            self.on_configuration_applied(machine, document)
 
-    def _timer(self, machine: Machine, life: int, delay: float, act: Callable[[], object]) -> Timer:
-        timer = Timer(act)
+    def _timer(self, machine: Machine, incarnation: int, delay: float, action: Callable[[], object]) -> Timer:
+        timer = Timer(action)
 
         def fire() -> None:
-            if machine.life != life or machine.plane is None:
+            if machine.incarnation != incarnation or machine.plane is None:
                 return
             if machine.frozen:
                 self.at(TICK_MS, fire)
-            elif timer.act is not None:
-                timer.act()
+            elif timer.action is not None:
+                timer.action()
 
         self.at(delay, fire)
         return timer
 
     # Disks ----------------------------------------------------------------------------------
 
-    def _save(self, machine: Machine, life: int, ready: Ready) -> None:
+    def _begin_save(self, machine: Machine, incarnation: int, ready: Ready) -> None:
         machine.saving = ready
-        spread = SLOW_SYNC_MS if machine.disk_mode == "slow" else self.sync_ms
-        self.at(self.rng.uniform(*spread), lambda: self._saved(machine, life, ready))
+        delay_range = SLOW_SYNC_DURATION_MS if machine.disk_mode == "slow" else self.sync_ms
+        self.at(self.rng.uniform(*delay_range), lambda: self._finish_save(machine, incarnation, ready))
 
-    def _saved(self, machine: Machine, life: int, ready: Ready) -> None:
+    def _finish_save(self, machine: Machine, incarnation: int, ready: Ready) -> None:
         core = machine.core
-        if machine.life != life or core is None or machine.disk is None:
+        if machine.incarnation != incarnation or core is None or machine.disk is None:
             return
         if machine.frozen or machine.disk_mode == "hanging":
-            self.at(TICK_MS, lambda: self._saved(machine, life, ready))
+            self.at(TICK_MS, lambda: self._finish_save(machine, incarnation, ready))
             return
         machine.saving = None
         ok = machine.disk_mode != "full"
@@ -270,28 +279,31 @@
         if ok:
             core.process_ready(self.now)
         else:
-            self.at(200.0, lambda: self._work_again(machine, core))
+            self.at(200.0, lambda: self._retry_save(machine, core))
 
-    def _work_again(self, machine: Machine, core: Core) -> None:
+    def _retry_save(self, machine: Machine, core: Core) -> None:
         if machine.core is core and machine.up:
             core.process_ready(self.now)
 
     # Messages -------------------------------------------------------------------------------
 
-    def _post(self, machine: Machine, life: int, ip: str, message: Message) -> None:
-        if machine.life != life:
+    def _send(self, machine: Machine, incarnation: int, ip: str, message: Message) -> None:
+        if machine.incarnation != incarnation:
             return
         line = messages.encode(messages.with_sender(message, machine.node, machine.node))
         if isinstance(message, Configuration) and ip != machine.node:
-            self.told(machine, int(message.document["version"]))
+            self.on_configuration_sent(machine, int(message.document["version"]))
         if ip == machine.node:
             self.at(0.0, lambda: self._deliver(machine.node, machine.node, line))
             return
-        for _ in range(1 + (self.rng.random() < self.repeats)):
-            if self.rng.random() < self.loss:
+        for _ in range(1 + (self.rng.random() < self.duplicate_rate)):
+            if self.rng.random() < self.loss_rate:
                 continue
-            late = self.rng.uniform(*LATE_MS) if self.rng.random() < self.repeats else 0.0
-            self.at(self.rng.uniform(*WIRE_MS) + late, lambda: self._deliver(machine.node, ip, line))
+            extra_delay = self.rng.uniform(*LATE_DELAY_MS) if self.rng.random() < self.duplicate_rate else 0.0
+            self.at(
+                self.rng.uniform(*NETWORK_DELAY_MS) + extra_delay,
+                lambda: self._deliver(machine.node, ip, line),
+            )
         if isinstance(message, Raft) and message.message["kind"] == SNAPSHOT_KIND:
             self._snapshots[ip] = (machine.node, line)
 
@@ -299,69 +311,69 @@
         """A copy of the last snapshot that was sent to a machine comes once more."""
         if machine.node in self._snapshots:
             sender, line = self._snapshots[machine.node]
-            self.at(self.rng.uniform(*WIRE_MS), lambda: self._deliver(sender, machine.node, line))
+            self.at(self.rng.uniform(*NETWORK_DELAY_MS), lambda: self._deliver(sender, machine.node, line))
 
     def _deliver(self, sender: str, receiver: str, line: bytes) -> None:
         machine = self.machines.get(receiver)
-        if machine is None or machine.plane is None or (sender, receiver) in self.cut:
+        if machine is None or machine.plane is None or (sender, receiver) in self.blocked_links:
             return
         if machine.frozen:
             machine.buffered.append(lambda: self._deliver(sender, receiver, line))
             return
         machine.plane.handle_message(self.now, messages.decode(line))  # type: ignore[arg-type]
-        self._watch(machine)
+        self._check_single_leader(machine)
 
-    def call(self, machine: Machine, act: Callable[[ControlPlane], object]) -> None:
+    def call(self, machine: Machine, action: Callable[[ControlPlane], object]) -> None:
         """A caller's connection brings a call; one that stands still finds it when it goes on, before or
         after the messages of other machines."""
         if machine.plane is None:
             return
         if not machine.frozen:
-            act(machine.plane)
+            action(machine.plane)
             return
-        put = machine.buffered.appendleft if self.rng.random() < 0.5 else machine.buffered.append
-        put(lambda: act(machine.plane) if machine.plane is not None else None)
+        enqueue = machine.buffered.appendleft if self.rng.random() < 0.5 else machine.buffered.append
+        enqueue(lambda: action(machine.plane) if machine.plane is not None else None)
 
     # Faults ---------------------------------------------------------------------------------
 
-    def is_well(self, machine: Machine) -> bool:
+    def is_healthy(self, machine: Machine) -> bool:
         """Whether nothing is wrong with it now."""
-        reached = all(machine.node not in pair for pair in self.cut)
-        return machine.up and not machine.leaving and machine.disk_mode == "well" and reached
+        reachable = all(machine.node not in pair for pair in self.blocked_links)
+        return machine.up and not machine.leaving and machine.disk_mode == "well" and reachable
 
     def is_cut_off(self, machine: Machine) -> bool:
         """Whether no message passes between it and any other core machine."""
         others = [other.node for other in self.cores() if other is not machine]
-        return all({(machine.node, other), (other, machine.node)} <= self.cut for other in others)
+        return all({(machine.node, other), (other, machine.node)} <= self.blocked_links for other in others)
 
-    def trouble(self, machine: Machine) -> None:
+    def mark_disturbed(self, machine: Machine) -> None:
         """This machine is in trouble now, or just was."""
-        machine.well_since = self.now
+        machine.undisturbed_since = self.now
         if machine.disk is not None:
-            self.core_troubled = self.now
+            self.core_disturbed_at = self.now
 
     def kill(self, machine: Machine, power: bool = False) -> None:
         """Ends the process; of a save under way each value is durable or not by itself."""
         if not self.healed:
-            self._end(machine, power)
+            self._stop(machine, power)
 
-    def _end(self, machine: Machine, power: bool) -> None:
+    def _stop(self, machine: Machine, power: bool) -> None:
         if machine.plane is None:
             return
         self.note(f"{machine.node} {'loses power' if power else 'is killed'}")
-        self.trouble(machine)
+        self.mark_disturbed(machine)
         if machine.saving is not None and machine.disk is not None:
             for key, value in (machine.saving.save or {}).items():
                 if self.rng.random() < 0.5:
                     machine.disk[key] = value
         machine.plane, machine.saving = None, None
-        machine.life += 1
+        machine.incarnation += 1
 
     def restart(self, machine: Machine) -> None:
         """Starts its process, if none runs."""
         if machine.plane is None and self.machines.get(machine.node) is machine:
             self.note(f"{machine.node} starts")
-            self.trouble(machine)
+            self.mark_disturbed(machine)
             self.start(machine)
 
     def wipe(self, machine: Machine) -> None:
@@ -370,8 +382,8 @@
             return
         self.kill(machine, power=True)
         self.note(f"{machine.node} loses its disk")
-        self._last_disk += 1
-        machine.disk, machine.disk_id = {}, f"d{self._last_disk}"
+        self._last_disk_number += 1
+        machine.disk, machine.disk_id = {}, f"d{self._last_disk_number}"
 
     def remove(self, machine: Machine) -> None:
         """Gone for good."""
@@ -386,7 +398,7 @@
         if self.healed:
             return
         self.note(f"{machine.node} stands still")
-        self.trouble(machine)
+        self.mark_disturbed(machine)
         machine.frozen = True
 
     def thaw(self, machine: Machine) -> None:
@@ -394,7 +406,7 @@
         if not machine.frozen:
             return
         self.note(f"{machine.node} goes on")
-        self.trouble(machine)
+        self.mark_disturbed(machine)
         machine.frozen = False
         while machine.buffered and machine.up:
             machine.buffered.popleft()()
@@ -404,52 +416,52 @@
         if self.healed:
             return
         self.note(f"{machine.node} is cut off from {', '.join(o.node for o in others)}{' one way' * one_way}")
-        self.trouble(machine)
+        self.mark_disturbed(machine)
         for other in others:
-            self.cut.add((machine.node, other.node))
+            self.blocked_links.add((machine.node, other.node))
             if not one_way:
-                self.cut.add((other.node, machine.node))
+                self.blocked_links.add((other.node, machine.node))
 
-    def join(self, machine: Machine) -> None:
+    def reconnect(self, machine: Machine) -> None:
         """Its cuts end."""
-        if any(machine.node in pair for pair in self.cut):
+        if any(machine.node in pair for pair in self.blocked_links):
             self.note(f"{machine.node} is reached again")
-            self.trouble(machine)
-            self.cut = {pair for pair in self.cut if machine.node not in pair}
+            self.mark_disturbed(machine)
+            self.blocked_links = {pair for pair in self.blocked_links if machine.node not in pair}
 
     def terminate(self, machine: Machine, grace_ms: float) -> None:
         """SIGTERM: it leaves in order, and its process ends after ``grace_ms``."""
         if machine.plane is None or machine.frozen or self.healed:
             return
         self.note(f"{machine.node} is told to end")
-        self.trouble(machine)
+        self.mark_disturbed(machine)
         machine.leaving = True
         machine.plane.leave(self.now)
-        life = machine.life
-        self.at(grace_ms, lambda: self._end(machine, False) if machine.life == life else None)
+        incarnation = machine.incarnation
+        self.at(grace_ms, lambda: self._stop(machine, False) if machine.incarnation == incarnation else None)
 
-    def disk_trouble(self, machine: Machine, mode: str) -> None:
+    def set_disk_mode(self, machine: Machine, mode: str) -> None:
         """The disk is ``well``, ``slow``, ``full`` or ``hanging`` from now on."""
         if self.healed:
             return
         self.note(f"the disk of {machine.node} is {mode}")
-        self.trouble(machine)
+        self.mark_disturbed(machine)
         machine.disk_mode = mode
 
     def heal(self) -> None:
         """All faults end, and no others begin."""
         self.note("all faults end")
         self.healed = True
-        self.loss = self.repeats = 0.0
-        self.cut.clear()
-        self.core_troubled = self.now
+        self.loss_rate = self.duplicate_rate = 0.0
+        self.blocked_links.clear()
+        self.core_disturbed_at = self.now
         for machine in list(self.machines.values()):
             machine.disk_mode = "well"
-            machine.well_since = self.now
+            machine.undisturbed_since = self.now
             self.thaw(machine)
             if machine.plane is None:
                 self.start(machine)
 
-    def settings_of(self, **bounds: float) -> None:
+    def override_bounds(self, **bounds: float) -> None:
         """Other terms than the usual ones."""
         self.bounds = evolve(self.bounds, **bounds)
--- a/tests/test_check_consensus.py
+++ b/tests/test_check_consensus.py
@@ -10,7 +10,7 @@
 from larklb.lab.check_consensus import main, seeded
 from larklb.lab.consensus_breaks import SEEDED
 from larklb.lab.consensus_explorer import STARTS, Explorer, World
-from larklb.lab.consensus_machines import FoundError, Machine, Machines, Outcome
+from larklb.lab.consensus_machines import CounterexampleError, Machine, Machines, Outcome
 
 pytestmark = pytest.mark.simulation
 
@@ -52,7 +52,7 @@
 @pytest.mark.parametrize("name", SEEDED)
 def test_each_seeded_fault_is_found_by_its_shortest_trace(name: str) -> None:
     start, steps, faults, why = SHORTEST[name]
-    with pytest.raises(FoundError, match=why) as found:
+    with pytest.raises(CounterexampleError, match=why) as found:
         seeded(name).explore(steps, faults, 1_000_000, (start,))
     assert len(found.value.steps) == steps, "breadth first: no shorter one"
 
@@ -68,12 +68,12 @@
     """Merges no states and replays each event."""
 
     def state(self, machine: Machine) -> int:
-        self._state_of.clear()
+        self._state_numbers.clear()
         return super().state(machine)
 
-    def happens(self, state: int, name: str, what: object) -> Outcome:
-        self._done.clear()
-        return super().happens(state, name, what)
+    def apply_event(self, state: int, name: str, what: object) -> Outcome:
+        self._outcomes.clear()
+        return super().apply_event(state, name, what)
 
 
 def test_merged_states_behave_alike() -> None:
@@ -82,12 +82,12 @@
     merged.explore(3, 2, 1_000_000)  # walks then reach states that others were merged into
 
     def visible_state(explorer: Explorer, world: World) -> object:
-        words = [[explorer.all.words[word] for word in link] for link in world.links]
-        return [explorer.all.faces[state] for state in world.of], words, world.history
+        messages = [[explorer.machines.messages[number] for number in link] for link in world.links]
+        return [explorer.machines.views[state] for state in world.states], messages, world.history
 
     for walk in range(140):
         plain = Explorer()
-        plain.all = UnmergedMachines(plain.all.make)
+        plain.machines = UnmergedMachines(plain.machines.make)
         name = list(STARTS)[walk % len(STARTS)]
         one, other = merged.start(name), plain.start(name)
         for _ in range(25):
--- a/tests/test_control_faults.py
+++ b/tests/test_control_faults.py
@@ -13,8 +13,8 @@
 from larklb.gateway.messages import CallResult
 from larklb.lab.control_breaks import BREAKS
 from larklb.lab.control_day import SCENARIOS, Day
-from larklb.lab.control_faults import Task, main, played, tasks
-from larklb.lab.control_history import BrokenError, History, Order, Read
+from larklb.lab.control_faults import Task, generate_tasks, main, play_day
+from larklb.lab.control_history import History, InvariantViolationError, Order, Read
 from larklb.lab.control_world import World
 from larklb.membership.members import DOWN, LEASE_MS, UP, Member
 from larklb.registry.replica import RegistryReplica
@@ -27,19 +27,19 @@
 
 @pytest.mark.parametrize("part", range(12))
 def test_short_days_break_nothing(part: int) -> None:
-    for task in tasks(9, 10_000 + 9 * part):
-        result, day = played(evolve(task, length=SHORT_MS))
-        assert not result.why, (task, day.world.log)
+    for task in generate_tasks(9, 10_000 + 9 * part):
+        result, day = play_day(evolve(task, length=SHORT_MS))
+        assert not result.reason, (task, day.world.log)
 
 
 @pytest.mark.parametrize("guard", QUICKLY_FOUND)
 def test_a_guard_that_is_out_is_found(guard: str) -> None:
     scenario, cores = BREAKS[guard].scenario, BREAKS[guard].cores or 3
-    assert any(played(Task(scenario, seed, cores, guard))[0].why for seed in range(12))
+    assert any(play_day(Task(scenario, seed, cores, guard))[0].reason for seed in range(12))
 
 
 def test_the_same_seed_is_the_same_day() -> None:
-    one, other = (played(Task("mixed", 7, 3, length=SHORT_MS))[1] for _ in range(2))
+    one, other = (play_day(Task("mixed", 7, 3, length=SHORT_MS))[1] for _ in range(2))
     assert one.world.log == other.world.log and one.operators.sent == other.operators.sent
 
 
@@ -115,7 +115,7 @@
         told.check(last)
         told.reads.append(Read(1, "order 1", 8.5, 8.9))
         why = "no moment"
-    with pytest.raises(BrokenError, match=why):
+    with pytest.raises(InvariantViolationError, match=why):
         told.check(last)
 
 
@@ -123,9 +123,9 @@
     one, other = order(1, 0, 1, 0), order(2, 0, 2, 0)
     told = history(one, other)
     told.acknowledge(one, 1.0)
-    with pytest.raises(BrokenError):
+    with pytest.raises(InvariantViolationError):
         told.acknowledge(other, 2.0)
-    with pytest.raises(BrokenError):
+    with pytest.raises(InvariantViolationError):
         told.refuse(one, 2.0)
 
 
@@ -136,7 +136,7 @@
     """Times follow from the terms: an order is acknowledged within ackMs of a core that settles sooner."""
     for seed in range(3):
         day = Day("mixed", seed, 3, 1, length=SHORT_MS)
-        day.world.settings_of(contact_ms=contact, convergence_ms=convergence, ack_ms=contact + 2_000.0)
+        day.world.override_bounds(contact_ms=contact, convergence_ms=convergence, ack_ms=contact + 2_000.0)
         day.play()
 
 
@@ -185,4 +185,4 @@
 
 def test_no_order_is_sent_while_a_day_reads_its_end() -> None:
     """In this day one was, for a machine that had stood still: it came into force after the last read."""
-    assert played(Task("races", 400_429, 4))[0].why == ""
+    assert play_day(Task("races", 400_429, 4))[0].reason == ""
