--- a/larklb/serve.py
+++ b/larklb/serve.py
@@ -69,10 +69,10 @@
         loop.add_signal_handler(name, stop.set)
     loop.add_signal_handler(signal.SIGUSR1, lambda: print(counters.as_json(), file=sys.stderr, flush=True))
     wheel = Wheel(config.settings.tick, functools.partial(counters.add, "errors.timer"))
-    desk = _desk(config, base, operator, counters, wheel) if operator is not None else None
+    desk = _create_desk(config, base, operator, counters, wheel) if operator is not None else None
     entitlements = desk.book if desk is not None else Entitlements(
         config.settings.plans, max_customers=customers_for_memory(config.memory_mb))
-    limits = _limits(config, operator, wheel) if operator is not None else None
+    limits = _create_limits(config, operator, wheel) if operator is not None else None
     core = Core(config.settings, config.seed, wheel, counters, entitlements, limits)
     core.ledger = desk.ledger if desk is not None else None
     if operator is not None:
@@ -81,7 +81,7 @@
     machines = Machines(config, core)
     nodes = ExecuteNodes(config, core, machines)
     front = Front(config, core, nodes, phase)
-    keeper = _keeper(config, operator, core, nodes, phase, desk) if operator is not None else None
+    keeper = _create_keeper(config, operator, core, nodes, phase, desk) if operator is not None else None
     front.keeper = keeper
     console = Console(core, phase)
     if config.admin is not None:
@@ -95,7 +95,7 @@
     core.start()
     if handover.state is None:
         machines.apply_cached_list()
-    store = await _store(config, store_entry, core) if store_entry is not None else None
+    store = await _open_store(config, store_entry, core) if store_entry is not None else None
     listener = await _listening(peers.listen(config, core, handover.peers, handover.shared))
     takeover.peers = listener
     watch = functools.partial(run_forever, "watch", machines.watch, counters)
@@ -103,7 +103,7 @@
 
     def reload() -> None:
         """Handles SIGHUP: validates the whole file, applies it, and watches discovery at its new address."""
-        renewed = _renewed(config, core)
+        renewed = _reload_configuration(config, core)
         if renewed is not None:
             nodes.apply_config(renewed)
             takeover.settings_applied()
@@ -116,7 +116,7 @@
     loop.add_signal_handler(signal.SIGHUP, reload)
     if store is not None:
         tasks.append(_background(run_forever("store", store.run, counters)))
-    second = await _second_front(entry.grpc, core) if entry is not None and entry.grpc else None
+    grpc_front = await _start_grpc_front(entry.grpc, core) if entry is not None and entry.grpc else None
     if keeper is not None:
         await _listening(keeper.start())
     if desk is not None:
@@ -138,7 +138,7 @@
     gc.freeze()
     gc.set_threshold(10000, 20, 20)
     await stop.wait()
-    await asyncio.gather(front.stop(), *((second.stop(),) if second is not None else ()))
+    await asyncio.gather(front.stop(), *((grpc_front.stop(),) if grpc_front is not None else ()))
     if keeper is not None:
         await keeper.stop()
     for task in tasks:
@@ -188,7 +188,7 @@
     return Handover(channel, state, parcel.listening, parcel.peers)
 
 
-def _renewed(config: Config, core: Core) -> Config | None:
+def _reload_configuration(config: Config, core: Core) -> Config | None:
     """Reloads the configuration and applies its settings; None, and no change, if it is invalid."""
     counters = core.counters
     try:
@@ -212,7 +212,7 @@
     return renewed
 
 
-def _limits(config: Config, operator: Operator, wheel: Wheel) -> FleetLimits:
+def _create_limits(config: Config, operator: Operator, wheel: Wheel) -> FleetLimits:
     """Creates the fleet-wide limits on attempts from the operator's file."""
     settings, limits = config.settings, operator.limits
     return FleetLimits(settings.number, settings.gateways, wheel.now(),
@@ -220,7 +220,7 @@
                        limits.node_attempts, limits.further_attempts)
 
 
-def _keeper(config: Config, operator: Operator, core: Core, nodes: ExecuteNodes, phase: Phase,
+def _create_keeper(config: Config, operator: Operator, core: Core, nodes: ExecuteNodes, phase: Phase,
             desk: Desk | None) -> CustodyKeeper | None:
     """Creates the custody service if the operator's file enables it.
 
@@ -244,7 +244,7 @@
     return CustodyKeeper(config, operator.custody, zones, core, nodes, core.counters, phase, core.crash_point)
 
 
-def _desk(config: Config, base: Path, operator: Operator, counters: Counters, wheel: Wheel) -> Desk:
+def _create_desk(config: Config, base: Path, operator: Operator, counters: Counters, wheel: Wheel) -> Desk:
     """Creates the desk; imported only here, because without an operator's file it is not needed.
 
     Raises StartError if its logs cannot be used.
@@ -257,7 +257,7 @@
         raise StartError(error) from error
 
 
-async def _second_front(listen: str, core: Core) -> RateLimitFront:
+async def _start_grpc_front(listen: str, core: Core) -> RateLimitFront:
     """Starts the gRPC front end; imported only here, so that gRPC takes no memory unless it is enabled."""
     from larklb.grpc.front import RateLimitFront
     try:
@@ -276,7 +276,7 @@
         raise StartError(error) from error
 
 
-async def _store(config: Config, entry: StoreEntry, core: Core) -> BucketStore:
+async def _open_store(config: Config, entry: StoreEntry, core: Core) -> BucketStore:
     from larklb.store import BucketStore
     store = BucketStore(entry.url, f"{entry.prefix}:{config.name}", core)
     await store.reload()
@@ -285,11 +285,11 @@
 
 def _background(work: object) -> asyncio.Task[None]:
     task: asyncio.Task[None] = asyncio.get_running_loop().create_task(work)     # type: ignore[arg-type]
-    task.add_done_callback(_ended)
+    task.add_done_callback(_log_failure)
     return task
 
 
-def _ended(task: asyncio.Task[None]) -> None:
+def _log_failure(task: asyncio.Task[None]) -> None:
     if not task.cancelled() and task.exception() is not None:
         log.error("a background task failed", exc_info=task.exception())
 
--- a/larklb/takeover.py
+++ b/larklb/takeover.py
@@ -66,12 +66,12 @@
 
     # The new process ----------------------------------------------------------------------
 
-    def install(self, handed: HandoverState) -> None:
+    def install(self, state: HandoverState) -> None:
         """Restores the old process's state; called before any other event is handled."""
-        restore(self.core.gateway, handed, self.wheel.now())
+        restore(self.core.gateway, state, self.wheel.now())
         self.machines.restore({name: Machine((p.host, p.port), p.closed_at)
-                               for name, p in handed.node_addresses.items()},
-                              handed.offset, handed.generation, handed.discovery)
+                               for name, p in state.node_addresses.items()},
+                              state.offset, state.generation, state.discovery)
 
     async def confirm(self, channel: Channel) -> None:
         """Confirms the takeover to the old process, before this one reports itself ready."""
@@ -84,14 +84,14 @@
             # The old process has ended or will end; this one serves in any case.
             log.warning("takeover from the previous process: %s", error)
 
-    def begin_serving(self, channel: Channel, handed: HandoverState) -> None:
+    def begin_serving(self, channel: Channel, state: HandoverState) -> None:
         """Marks this process as serving; the old one passes on its connections as they become idle."""
-        if handed.draining:
+        if state.draining:
             self.phase.move("drain", self.wheel.now())
         self.nodes.share_descriptors(True)
         self.predecessor = channel
         channel.listen(self._receive_connections, self._predecessor_ended)
-        log.info("took over from the previous process, with %d buckets", len(handed.buckets))
+        log.info("took over from the previous process, with %d buckets", len(state.buckets))
 
     def _receive_connections(self, packet: bytes, fds: list[int]) -> None:
         for fd in fds:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -34,7 +34,7 @@
 PULSE_S = 0.05
 
 
-async def beside(yard: Yard) -> tuple[Process, int]:
+async def start_second_process(yard: Yard) -> tuple[Process, int]:
     """Starts a second process of the limiter with another admin address."""
     port = with_console(yard)
     env = {**os.environ, "EDGE_CONFIG": str(yard.limiters[0].config()), "PYTHONPATH": str(ROOT),
@@ -43,7 +43,7 @@
         sys.executable, "-m", "larklb", "serve", env=env, stderr=asyncio.subprocess.PIPE), port
 
 
-async def says_yes(port: int, within: float = 20.0) -> float:
+async def wait_until_ready(port: int, within: float = 20.0) -> float:
     began = time.monotonic()
     while time.monotonic() - began < within:
         with suppress(OSError):
@@ -53,24 +53,24 @@
     raise AssertionError("the second process is not ready")
 
 
-async def upgraded(yard: Yard) -> tuple[Process, int]:
+async def upgrade(yard: Yard) -> tuple[Process, int]:
     """Upgrades the limiter; returns the old process, which was sent SIGTERM, and the new admin port."""
     old = yard.limiters[0].process
     assert old is not None
-    yard.limiters[0].process, port = await beside(yard)
-    await says_yes(port)
+    yard.limiters[0].process, port = await start_second_process(yard)
+    await wait_until_ready(port)
     old.send_signal(signal.SIGTERM)
     return old, port
 
 
-async def exits(process: Process, status: int = 0) -> str:
+async def wait_for_exit(process: Process, status: int = 0) -> str:
     _, errors = await asyncio.wait_for(process.communicate(), 20)
     assert process.returncode == status, errors.decode()
     assert b"Traceback" not in errors, errors.decode()
     return errors.decode()
 
 
-def yard_in(tmp_path: Path, **more: int) -> Yard:
+def new_yard(tmp_path: Path, **more: int) -> Yard:
     yard = Yard(tmp_path, **more)         # type: ignore[arg-type]
     yard.environment["TMPDIR"] = str(tmp_path)
     return yard
@@ -83,34 +83,34 @@
     with a shorter deadline would rightly be refused, so the deadline is longer and stalls are subtracted.
     """
     async def go() -> None:
-        yard = yard_in(tmp_path)
+        yard = new_yard(tmp_path)
         with_console(yard)
         yard.settings = {"classes": [{**c, "deadline": 1000.0 * LONG_S} for c in CLASSES]}
         async with yard:
             port, ended = yard.limiters[0].port, asyncio.Event()
-            heard: Counter[int] = Counter()
+            answers_by_status: Counter[int] = Counter()
             slow: Counter[int] = Counter()
-            stood_still = 0.0                  # total stall of this process in s
+            stalled_s = 0.0                  # total stall of this process in s
 
             async def pulse() -> None:
-                nonlocal stood_still
+                nonlocal stalled_s
                 while True:
                     before = time.monotonic()
                     await asyncio.sleep(PULSE_S)
-                    stood_still += time.monotonic() - before - PULSE_S
+                    stalled_s += time.monotonic() - before - PULSE_S
 
             async def submitter(n: int) -> None:
                 reader, writer = await asyncio.open_connection("127.0.0.1", port)
                 while not ended.is_set():
                     service = ("stock-check", "place-order")[n % 2]
-                    begin, still = time.monotonic(), stood_still
+                    begin, still = time.monotonic(), stalled_s
                     writer.write(job(service=service, account=100 + n, left=LONG_S).encode())
                     status, headers, _ = await asyncio.wait_for(read_answer(reader), LONG_S)
                     # A stall that ends with this answer is counted by the next pulse.
-                    if time.monotonic() - begin - (stood_still - still) >= ANSWER_S:
+                    if time.monotonic() - begin - (stalled_s - still) >= ANSWER_S:
                         await asyncio.sleep(2 * PULSE_S)
-                        assert time.monotonic() - begin - (stood_still - still) < ANSWER_S + 2 * PULSE_S
-                    heard[status] += 1
+                        assert time.monotonic() - begin - (stalled_s - still) < ANSWER_S + 2 * PULSE_S
+                    answers_by_status[status] += 1
                     assert headers.get("connection") != "close"
                 writer.close()
 
@@ -124,12 +124,12 @@
             tasks.append(asyncio.create_task(spender()))
             for _ in range(3):
                 await asyncio.sleep(0.3)
-                old, _ = await upgraded(yard)
-                await exits(old)
+                old, _ = await upgrade(yard)
+                await wait_for_exit(old)
             ended.set()
             await asyncio.gather(*tasks)
             beat.cancel()
-            assert set(heard) == {200} and heard[200] > 200
+            assert set(answers_by_status) == {200} and answers_by_status[200] > 200
             assert set(slow) == {200, 429} and slow[200] == 10
             assert set(yard.seen().values()) == {1}
             assert await yard.limiters[0].stop() == 0
@@ -139,7 +139,7 @@
 
 def test_jobs_on_a_slow_node_are_finished_by_the_process_that_accepted_them(tmp_path: Path) -> None:
     async def go() -> None:
-        yard = yard_in(tmp_path)
+        yard = new_yard(tmp_path)
         with_console(yard)
         async with yard:
             async def late(headers: dict[str, str], body: bytes) -> bytes:
@@ -152,14 +152,14 @@
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(job("00000000000000aa").encode())
             await asyncio.sleep(0.3)
-            old, _ = await upgraded(yard)
+            old, _ = await upgrade(yard)
             assert (await ask(port, HEALTH))[0] == 200
             assert (await read_answer(reader))[2] == b"done 00000000000000aa"
             for node in yard.nodes:
                 node.reply = served
             writer.write(job("00000000000000ab").encode())       # the new process has the connection
             assert (await read_answer(reader))[2] == b"done 00000000000000ab"
-            await exits(old)
+            await wait_for_exit(old)
     asyncio.run(go())
 
 
@@ -167,7 +167,7 @@
 def test_new_process_that_dies_during_the_takeover_changes_nothing(tmp_path: Path, step: str) -> None:
     """The old process has paused accepting work by then and must resume it."""
     async def go() -> None:
-        yard = yard_in(tmp_path)
+        yard = new_yard(tmp_path)
         with_console(yard)
         async with yard:
             limiter, wheel = yard.limiters[0], Wheel(4.0)
@@ -198,20 +198,20 @@
             writer.write(job().encode())
             assert (await asyncio.wait_for(read_answer(reader), 3))[0] == 200
             assert (await ask(limiter.port, job()))[0] == 200
-            old, _ = await upgraded(yard)                # a later process can take over
-            assert "has our place" in await exits(old)
+            old, _ = await upgrade(yard)                # a later process can take over
+            assert "has our place" in await wait_for_exit(old)
             assert (await ask(limiter.port, job()))[0] == 200
     asyncio.run(go())
 
 
 def test_old_process_serves_again_if_the_new_one_dies_before_it_was_told_to_stop(tmp_path: Path) -> None:
     async def go() -> None:
-        yard = yard_in(tmp_path, limiters=2)
+        yard = new_yard(tmp_path, limiters=2)
         with_console(yard)
         async with yard:
             limiter = yard.limiters[0]
-            new, port = await beside(yard)
-            await says_yes(port)
+            new, port = await start_second_process(yard)
+            await wait_until_ready(port)
             assert (await ask(limiter.port, job()))[0] == 200
             new.kill()
             await new.wait()
@@ -227,7 +227,7 @@
 @pytest.mark.parametrize("how", ["stuck", "left over", "no folder", "gone at give", "silent"])
 def test_new_process_serves_even_if_the_old_one_cannot_hand_over(tmp_path: Path, how: str) -> None:
     async def go() -> None:
-        yard = yard_in(tmp_path)
+        yard = new_yard(tmp_path)
         with_console(yard)
         if how == "no folder":
             yard.environment["TMPDIR"] = str(tmp_path / "none")
@@ -248,14 +248,14 @@
                 ends = (lambda c: c.close()) if how == "gone at give" else (lambda c: None)
                 doors.append(handover.HandoverListener(place, Wheel(4.0), ends))
                 doors[0].open()
-            limiter.process, port = await beside(yard)
-            assert await says_yes(port) < 6.0
+            limiter.process, port = await start_second_process(yard)
+            assert await wait_until_ready(port) < 6.0
             if how != "left over":
                 old.send_signal(signal.SIGKILL if how == "stuck" else signal.SIGTERM)
                 if how == "stuck":
                     await old.wait()
                 else:
-                    await exits(old)
+                    await wait_for_exit(old)
             for door in doors:
                 door.close()
             for _ in range(5):
@@ -265,13 +265,13 @@
 
 def test_drain_is_handed_over_and_ended_at_the_new_process(tmp_path: Path) -> None:
     async def go() -> None:
-        yard = yard_in(tmp_path)
+        yard = new_yard(tmp_path)
         port = with_console(yard)
         async with yard:
             assert (await call(port, b"DRAIN\n"))[0].startswith("+OK")
             old = yard.limiters[0].process
             assert old is not None
-            yard.limiters[0].process, port = await beside(yard)
+            yard.limiters[0].process, port = await start_second_process(yard)
             while True:
                 with suppress(OSError):
                     if (await call(port, b"READY\n"))[0] == "-ERR draining\r\n":
@@ -279,7 +279,7 @@
                 await asyncio.sleep(0.05)
             assert (await ask(yard.limiters[0].port, HEALTH))[0] == 503
             old.send_signal(signal.SIGTERM)
-            await exits(old)
+            await wait_for_exit(old)
             assert (await call(port, b"UNDRAIN\n"))[0].startswith("+OK")
             assert (await ask(yard.limiters[0].port, HEALTH))[0] == 200
     asyncio.run(go())
@@ -288,7 +288,7 @@
 def test_address_of_another_instance_is_not_shared(tmp_path: Path) -> None:
     """Guards against two limiters under one address: only processes of one instance may share it."""
     async def go() -> None:
-        yard = yard_in(tmp_path)
+        yard = new_yard(tmp_path)
         with_console(yard)
         async with yard:
             with_console(yard)
