--- a/larklb/gateway/client_reader.py
+++ b/larklb/gateway/client_reader.py
@@ -32,4 +32,4 @@
         poll.register(sock.fileno(), select.POLLRDHUP)
         if any(events & _CLOSE_EVENTS for _, events in poll.poll(0)):
             self.close_detected = True
-            self._tell()
+            self._notify()
--- a/larklb/net/bulk.py
+++ b/larklb/net/bulk.py
@@ -1,8 +1,8 @@
-"""Bodies and answers that are not held whole: they flow from one connection to the other in pieces.
+"""Streaming of bodies and answers that are too long to be buffered.
 
-An ``Upload`` is a submitter's body on its way to an execute node, a ``Sink`` takes a node's answer on its
-way to the submitter.  Each piece is written out before the next one is read, so that whoever is slow slows
-the other side down and nothing piles up here.
+An ``Upload`` is a client's body on its way to an execute node; a ``Sink`` takes a node's answer on its way
+to the client.  Each chunk is written before the next one is read, so that a slow receiver applies
+backpressure to the sender and memory stays bounded.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 
 
 class UploadAbortedError(Exception):
-    """The submitter has gone, or was given up, in the middle of its body."""
+    """The client has gone, or was too slow, in the middle of its body."""
 
 
 class Upload:
-    """A body of which ``first`` is kept and the rest is still to come.
+    """A body of which ``first`` is buffered and the rest is still to be read.
 
-    ``length``: of all of it in bytes, None where its end shows only when it comes (chunks).
+    ``length`` is that of the whole body in bytes, or None for chunked encoding.
     """
 
     def __init__(self, link: Link, first: bytes) -> None:
@@ -33,14 +33,15 @@
         self.spent = False
 
     def set_callbacks(self, spent: Callable[[], object], whole: Callable[[], object]) -> None:
-        """``spent`` is called when more than ``first`` is passed on: it cannot be sent again; ``whole`` with
-        its last byte."""
+        """Sets the callbacks: ``spent`` once more than ``first`` was passed on, so that the body can't be
+        sent again, and ``whole`` after its last byte."""
         self._spent, self._whole = spent, whole
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """From the start on; once more than ``first`` has been taken there is no second time.
+        """Yields the body from its start; it can be restarted until more than ``first`` was taken.
 
-        OSError, LateError, RemoteProtocolError where the submitter fails, TooLongError beyond MOST_BULK."""
+        Raises OSError, PeerTooSlowError or RemoteProtocolError if the client fails, TooLongError beyond
+        MAX_BODY_BYTES."""
         assert not self.spent
         yield self.first
         self.spent = True
@@ -53,13 +54,15 @@
 
 
 class Sink(Protocol):
-    """Where an answer goes that is too long to be held."""
+    """Destination of an answer that is too long to be buffered."""
 
     async def begin(self, kind: bytes, length: int | None) -> None:
-        """Its type, and its length in bytes if that is known; OSError where nobody takes it any more."""
+        """Starts the answer with its content type and, if known, its length in bytes.
+
+        Raises OSError where the receiver has gone."""
 
     async def piece(self, data: bytes) -> None:
-        """Returns when it has been written out."""
+        """Writes a chunk; returns when it has been sent."""
 
     async def end(self) -> None:
-        """It is whole."""
+        """Completes the answer."""
--- a/larklb/net/console.py
+++ b/larklb/net/console.py
@@ -1,8 +1,8 @@
-"""The second address: one line from the operators' staff, one answer, whatever else this instance has to do.
+"""Operators' console on a second address, which answers even when this instance is busy.
 
-``READY``, ``STATS``, ``DRAIN`` and ``UNDRAIN``, a call to a connection.  An answer is a line that begins with
-``+OK`` or ``-ERR``; that of STATS is the figures as JSON and a line with a full stop.  Lines end with CR LF.
-Who connects and says nothing holds one of few places: the longest waiting makes room for the next.
+The commands are ``READY``, ``STATS``, ``DRAIN`` and ``UNDRAIN``, one per connection.  An answer is a line
+that begins with ``+OK`` or ``-ERR``; that of STATS is a JSON object and a line with a full stop.  Lines end
+with CR LF.  Connections are limited: a new one evicts the oldest that has not sent a complete command.
 """
 
 from __future__ import annotations
@@ -18,34 +18,38 @@
 from larklb.operator_stats import stats
 from larklb.phase import Phase
 
-MAX_CONSOLE_CONNECTIONS = 12          # connections, and as many descriptors set aside for them
-MOST_LINE = 64             # bytes of a call
-PATIENCE = 6000.0          # ms for a whole call; those who hold a connection without one stay out of the way
-ANSWERED = 2000.0          # ms in which an answer has to leave
-BACKLOG = 128
+# As many descriptors are reserved for the console.
+MAX_CONSOLE_CONNECTIONS = 12
+MAX_COMMAND_BYTES = 64
+# Time for a complete command, so that silent connections don't occupy the console.
+COMMAND_TIMEOUT_MS = 6000.0
+# Time for writing the answer.
+ANSWER_TIMEOUT_MS = 2000.0
+LISTEN_BACKLOG = 128
 
 
 class Console:
-    """Answers calls at one address."""
+    """Answers console commands on one address."""
 
     def __init__(self, core: Core, phase: Phase) -> None:
         self.core, self.phase, self.wheel = core, phase, core.wheel
         self.server: asyncio.Server | None = None
-        self.calls: dict[str, Callable[[], str]] = {
+        self.commands: dict[str, Callable[[], str]] = {
             "READY": self._ready, "STATS": self._stats, "DRAIN": self._drain, "UNDRAIN": self._undrain}
-        # Those that have not said a whole call yet, the longest waiting first.
+        # Connections without a complete command yet, oldest first.
         self.waiting: dict[asyncio.StreamWriter, None] = {}
         self.open: dict[asyncio.Task[None], asyncio.StreamWriter] = {}
 
     async def start(self, host: str, port: int) -> None:
-        """OSError where the address is taken or not ours."""
+        """Listens on the address; raises OSError if it is not available."""
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
-        listening = socket.create_server((host, port), family=family, backlog=BACKLOG)
-        self.server = await asyncio.start_server(self._connected, sock=listening, limit=MOST_LINE,
+        listening = socket.create_server((host, port), family=family, backlog=LISTEN_BACKLOG)
+        self.server = await asyncio.start_server(self._connected, sock=listening, limit=MAX_COMMAND_BYTES,
                                                  backlog=MAX_CONSOLE_CONNECTIONS)
-        listening.listen(BACKLOG)        # asyncio has one figure for what waits and what it takes in at once
+        listening.listen(LISTEN_BACKLOG)        # asyncio uses one number for backlog and accepts
 
     async def stop(self) -> None:
+        """Closes the address and all connections."""
         if self.server is not None:
             self.server.close()
         for writer in self.open.values():
@@ -66,12 +70,12 @@
         assert task is not None
         self.open[task] = writer
         self.waiting[writer] = None
-        timer = self.wheel.after(PATIENCE, writer.transport.abort)
+        timer = self.wheel.after(COMMAND_TIMEOUT_MS, writer.transport.abort)
         try:
             line = await self._line(reader)
             self.waiting.pop(writer, None)
             timer.cancel()
-            timer = self.wheel.after(ANSWERED, writer.transport.abort)
+            timer = self.wheel.after(ANSWER_TIMEOUT_MS, writer.transport.abort)
             if line is not None:
                 writer.write(self._answer(line).replace("\n", "\r\n").encode())
                 await writer.drain()
@@ -84,10 +88,10 @@
             writer.close()
 
     async def _line(self, reader: asyncio.StreamReader) -> bytes | None:
-        """A call with all that came behind it; None where the caller left before its end."""
+        """Reads a command and anything sent after it; None if the client left before its end."""
         data = b""
-        while b"\n" not in data and len(data) <= MOST_LINE:
-            more = await reader.read(MOST_LINE)
+        while b"\n" not in data and len(data) <= MAX_COMMAND_BYTES:
+            more = await reader.read(MAX_COMMAND_BYTES)
             if not more:
                 return None
             data += more
@@ -95,22 +99,22 @@
 
     def _answer(self, data: bytes) -> str:
         line, end, behind = data.partition(b"\n")
-        if not end or len(line) > MOST_LINE:
-            return f"-ERR a call has {MOST_LINE} bytes at the most\n"
+        if not end or len(line) > MAX_COMMAND_BYTES:
+            return f"-ERR a call has {MAX_COMMAND_BYTES} bytes at the most\n"
         if behind:
             return "-ERR one call to a connection, nothing was done\n"
-        call = self.calls.get(line.decode("ascii", "replace").strip())
-        if call is None:
-            return f"-ERR no such call; there are {', '.join(self.calls)}\n"
+        command = self.commands.get(line.decode("ascii", "replace").strip())
+        if command is None:
+            return f"-ERR no such call; there are {', '.join(self.commands)}\n"
         self.core.counters.add("console.answered")
-        return call()
+        return command()
 
     def _ready(self) -> str:
         return "+OK ready\n" if self.phase.ready else f"-ERR {self.phase.state.value}\n"
 
     def _stats(self) -> str:
-        figures: dict[str, Any] = stats(self.core, self.wheel.now())
-        return f"{msgspec.json.encode(figures).decode()}\n.\n"
+        statistics: dict[str, Any] = stats(self.core, self.wheel.now())
+        return f"{msgspec.json.encode(statistics).decode()}\n.\n"
 
     def _drain(self) -> str:
         if self.phase.move("drain", self.wheel.now()):
--- a/larklb/net/front.py
+++ b/larklb/net/front.py
@@ -570,8 +570,8 @@
                         self.core.attempt_ended(job, action.server, io.Result.CONNECT_FAILED, 0.0,
                                                 server_blameless=True)
                         return _upload_aborted_answer(error.__cause__), "failed"
-                    self.core.attempt_ended(job, action.server, ended.result, ended.took, ended.spoilt,
-                                            ended.stale)
+                    self.core.attempt_ended(job, action.server, ended.result, ended.duration, ended.unusable,
+                                      ended.stale)
                     if ended.streamed:
                         return None, "served" if ended.whole else "failed"
                     if ended.result is io.Result.OK:
--- a/larklb/net/keeper.py
+++ b/larklb/net/keeper.py
@@ -390,8 +390,8 @@
                     return
                 ended = await self.nodes.attempt(
                     job, action, Content(c.method, c.target, c.headers, c.body), _Nobody())
-                self.core.attempt_ended(job, action.server, ended.result, ended.took, ended.spoilt,
-                                        ended.stale)
+                self.core.attempt_ended(job, action.server, ended.result, ended.duration, ended.unusable,
+                                  ended.stale)
                 if ended.result is io.Result.OK:
                     if not ended.streamed:
                         await hold.answered(200, ended.kind, ended.body)
--- a/larklb/net/peers.py
+++ b/larklb/net/peers.py
@@ -1,4 +1,4 @@
-"""Datagrams between limiters."""
+"""UDP datagrams between limiters."""
 
 from __future__ import annotations
 
@@ -15,57 +15,60 @@
 
 log = logging.getLogger(__name__)
 
-REOPEN_DELAY_MS = 500.0              # ms before a socket that failed is opened again
+# Delay before a failed socket is opened again.
+REOPEN_DELAY_MS = 500.0
 
 
 class Peers(asyncio.DatagramProtocol):
-    """Takes datagrams from known limiters only; what is not one of theirs is counted and dropped."""
+    """Exchanges datagrams with the configured limiters; all others are counted and dropped."""
 
     def __init__(self, config: Config, core: Core) -> None:
         self.core = core
         self.addresses = config.peers
-        self.numbers = {place: i for i, place in enumerate(config.peers) if i != config.settings.number}
-        self.where = config.peer_listen
+        self.number_by_address = {address: i for i, address in enumerate(config.peers)
+                                  if i != config.settings.number}
+        self.listen_address = config.peer_listen
         self.transport: asyncio.DatagramTransport | None = None
         self.closing = False
-        self.opening: asyncio.Task[None] | None = None
+        self.reopen_task: asyncio.Task[None] | None = None
 
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
         self.core.send_to_peer = self.tell
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """A socket that failed is opened again: without it a limiter is apart from all others for good."""
+        """Reopens a failed socket, since without it the limiter stays isolated from the others."""
         self.transport = None
         if not self.closing:
             self.core.counters.add("errors.peers_socket")
-            log.error("the socket between limiters failed: %s", exc)
-            self.core.wheel.after(REOPEN_DELAY_MS, self._again)
+            log.error("peer socket failed: %s", exc)
+            self.core.wheel.after(REOPEN_DELAY_MS, self._reopen)
 
-    def _again(self) -> None:
-        async def again() -> None:
+    def _reopen(self) -> None:
+        async def reopen() -> None:
             try:
                 await self.open()
             except OSError as error:
-                log.error("the socket between limiters: %s", error)
-                self.core.wheel.after(REOPEN_DELAY_MS, self._again)
+                log.error("cannot reopen the peer socket: %s", error)
+                self.core.wheel.after(REOPEN_DELAY_MS, self._reopen)
         if not self.closing:
-            self.opening = asyncio.ensure_future(again())
+            self.reopen_task = asyncio.ensure_future(reopen())
 
     async def open(self, sock: socket.socket | None = None, shared: bool = False) -> None:
-        """OSError where the address cannot be had.  ``sock``: it is had already; ``shared``: with a process
-        of this limiter that cannot hand it over."""
+        """Opens the socket, or uses ``sock``; ``shared`` permits another process of this limiter there.
+
+        Raises OSError if the address is not available."""
         loop = asyncio.get_running_loop()
         self.closing = False
         if sock is not None:
             await loop.create_datagram_endpoint(lambda: self, sock=sock)
             return
-        await loop.create_datagram_endpoint(lambda: self, self.where, reuse_port=shared)
-        if self.transport is not None:        # set now, not before: a stranger at our address is told
+        await loop.create_datagram_endpoint(lambda: self, self.listen_address, reuse_port=shared)
+        if self.transport is not None:        # set only now, so that a conflict is reported
             self.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
 
-    def release(self) -> socket.socket | None:
-        """Reads no more; the socket itself, in which datagrams wait for the next to open it."""
+    def detach(self) -> socket.socket | None:
+        """Stops reading; returns a copy of the socket, which keeps unread datagrams for the next process."""
         if self.transport is None:
             return None
         kept = socket.socket(fileno=os.dup(self.transport.get_extra_info("socket").fileno()))
@@ -73,11 +76,13 @@
         return kept
 
     def close(self) -> None:
+        """Closes the socket for good."""
         self.closing = True
         if self.transport is not None:
             self.transport.close()
 
     def tell(self, peer: int, data: bytes) -> None:
+        """Sends a datagram to a limiter by its number; best effort."""
         if self.transport is None or not 0 <= peer < len(self.addresses):
             return
         if len(data) > MAX_DATAGRAM_BYTES:
@@ -87,7 +92,7 @@
         self.transport.sendto(data, self.addresses[peer])
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
-        number = self.numbers.get((addr[0], addr[1]))
+        number = self.number_by_address.get((addr[0], addr[1]))
         if number is None or len(data) > MAX_DATAGRAM_BYTES or not unpack(data):
             self.core.counters.add("peer.dropped")
             return
@@ -100,6 +105,7 @@
 
 async def listen(config: Config, core: Core, sock: socket.socket | None = None,
                  shared: bool = False) -> Peers | None:
+    """Opens the peer socket; None where no address is configured."""
     if config.peer_listen is None:
         return None
     peers = Peers(config, core)
--- a/larklb/takeover.py
+++ b/larklb/takeover.py
@@ -148,7 +148,7 @@
                     request.pending_ask is not None and not request.ended
                     for request in self.core.gateway.pending.values()):
                 await self.wheel.sleep(PENDING_CHECK_INTERVAL)
-            peer_socket = self.peers.release() if self.peers is not None else None
+            peer_socket = self.peers.detach() if self.peers is not None else None
             await send_state(channel, HandoverPayload(self._state(), listening, peer_socket))
         except Exception as error:
             # After any failure this process must serve again, because otherwise no process reads the sockets.
@@ -172,7 +172,8 @@
         machines = self.machines
         return pack(self.core.gateway, draining=self.phase.state is State.DRAINING,
                     generation=machines.generation, discovery=machines.discovery, offset=machines.offset,
-                    node_addresses={n: NodeAddress(*m.place, m.closed_at) for n, m in machines.by_id.items()})
+                    node_addresses={n: NodeAddress(*m.address, m.closed_at)
+                                    for n, m in machines.by_id.items()})
 
     def _retire(self) -> None:
         gateway = self.core.gateway
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -42,15 +42,15 @@
 def test_trusted_idle_time_follows_the_connections_found_closed() -> None:
     """Guards against writing jobs to kept connections that a node has closed early (753 jobs on one day)."""
     nodes = object.__new__(execute.ExecuteNodes)
-    nodes.idle_limit = nodes.fresh = 12000.0
+    nodes.idle_limit = nodes.max_idle = 12000.0
     for _ in range(20):
-        nodes._learn_fresh(150.0, stale=True)
-    assert execute.FRESH_LEAST <= nodes.fresh <= 150.0
-    nodes._learn_fresh(15.0, stale=False)
-    low = nodes.fresh
+        nodes._adjust_max_idle(150.0, stale=True)
+    assert execute.MIN_MAX_IDLE_MS <= nodes.max_idle <= 150.0
+    nodes._adjust_max_idle(15.0, stale=False)
+    low = nodes.max_idle
     for _ in range(500):
-        nodes._learn_fresh(nodes.fresh * 0.9, stale=False)
-    assert low < nodes.fresh == nodes.idle_limit
+        nodes._adjust_max_idle(nodes.max_idle * 0.9, stale=False)
+    assert low < nodes.max_idle == nodes.idle_limit
 
 
 def test_unread_data_in_the_socket_counts_as_activity_and_a_closed_socket_is_no_error() -> None:
--- a/tests/test_hardening.py
+++ b/tests/test_hardening.py
@@ -240,12 +240,12 @@
         assert isinstance(action, io.Send)
         ended = await nodes.attempt(taken, action, CONTENT, NOBODY)
         assert ended.result is io.Result.CONNECT_FAILED
-        core.attempt_ended(taken, "s", ended.result, ended.took, ended.spoilt, ended.stale)
+        core.attempt_ended(taken, "s", ended.result, ended.duration, ended.unusable, ended.stale)
         server = core.gateway.servers["s"]
         assert (
             server.decayed_slowness(core.wheel.now(), ALL_WORK) == 1.0 and not core.gateway.verdicts.findings
         )
-        assert core.counters["errors.no_descriptor"] == 1 and nodes.open == 0
+        assert core.counters["errors.no_descriptor"] == 1 and nodes.open_count == 0
     asyncio.run(go())
 
 
