--- a/larklb/cli/common.py
+++ b/larklb/cli/common.py
@@ -17,9 +17,9 @@
 if TYPE_CHECKING:
     from larklb.settings import Config, InstanceEntry, Operator
 
-SILENT = 1                 # exit status: an instance does not answer, or what should agree differs
-UNUSABLE = 2               # a file or an argument cannot be used, nothing was changed
-REFUSED = 3                # the instances turned it down, nothing was changed
+EXIT_FAILED = 1                 # exit status: an instance does not answer, or what should agree differs
+EXIT_UNUSABLE = 2               # a file or an argument cannot be used, nothing was changed
+EXIT_REFUSED = 3                # the instances turned it down, nothing was changed
 
 app = typer.Typer(no_args_is_help=True, add_completion=False, pretty_exceptions_enable=False,
                   help="A quota-keeping limiter.")
@@ -27,30 +27,30 @@
 AsJson = Annotated[bool, typer.Option("--json", help="JSON for programs, not a table for people.")]
 
 
-def group(name: str, words: str) -> typer.Typer:
+def command_group(name: str, words: str) -> typer.Typer:
     """A group of commands under one name."""
     commands = typer.Typer(no_args_is_help=True, add_completion=False, help=words)
     app.add_typer(commands, name=name)
     return commands
 
 
-def stop(error: Exception | str, status: int = UNUSABLE) -> typer.Exit:
+def exit_error(error: Exception | str, status: int = EXIT_UNUSABLE) -> typer.Exit:
     """One plain line and the exit status, for ``raise``."""
     print(f"larklb: {error}", file=sys.stderr)
     return typer.Exit(status)
 
 
 @contextmanager
-def usable() -> Iterator[None]:
+def exit_on_config_error() -> Iterator[None]:
     """What cannot be used ends the command with one line and status 2."""
     from larklb.settings import ConfigError
     try:
         yield
     except ConfigError as error:
-        raise stop(error) from error
+        raise exit_error(error) from error
 
 
-def show(rows: Sequence[dict[str, Any]], columns: Sequence[str], as_json: bool) -> None:
+def print_rows(rows: Sequence[dict[str, Any]], columns: Sequence[str], as_json: bool) -> None:
     """A table, or one JSON line for each row."""
     if as_json:
         import msgspec
@@ -63,20 +63,20 @@
         print("  ".join(text.ljust(w) for text, w in zip(line, widths, strict=True)).rstrip())
 
 
-def instance_of(operator: Path, entry: InstanceEntry) -> Config:
+def load_instance_config(operator: Path, entry: InstanceEntry) -> Config:
     """The configuration that the operator's file names for an instance."""
     from larklb.settings import load
     return load({"EDGE_NAME": entry.name, "EDGE_CONFIG": str(operator.parent / entry.config)})
 
 
-def gathered(operator: Path, loaded: Operator, question: dict[str, Any], key: str,
-             more: Callable[[dict[str, Any]], dict[str, Any]] = lambda answer: {},
-             ) -> tuple[list[dict[str, Any]], list[str]]:
+def gather_rows(operator: Path, loaded: Operator, question: dict[str, Any], key: str,
+                more: Callable[[dict[str, Any]], dict[str, Any]] = lambda answer: {},
+                ) -> tuple[list[dict[str, Any]], list[str]]:
     """The rows under ``key`` of all instances' answers, each with its instance's name and what ``more`` takes
     from the answer; and a line for each instance that has none."""
     rows: list[dict[str, Any]] = []
     silent = []
-    for entry, answer in asked(operator, loaded, lambda e: dict(question), at_once=True):
+    for entry, answer in ask_instances(operator, loaded, lambda e: dict(question), at_once=True):
         if key not in answer:
             silent.append(f"{entry.name}: {answer.get('silent') or answer.get('error', '')}")
             continue
@@ -84,8 +84,8 @@
     return rows, silent
 
 
-def asked(operator: Path, loaded: Operator, question: Callable[[InstanceEntry], dict[str, Any]],
-          at_once: bool = False) -> Iterator[tuple[InstanceEntry, dict[str, Any]]]:
+def ask_instances(operator: Path, loaded: Operator, question: Callable[[InstanceEntry], dict[str, Any]],
+                  at_once: bool = False) -> Iterator[tuple[InstanceEntry, dict[str, Any]]]:
     """Each instance with its answer to a question, or with ``silent`` or ``error`` and why; one after the
     other, or all ``at_once``."""
     from concurrent.futures import ThreadPoolExecutor
--- a/larklb/cli/fleet.py
+++ b/larklb/cli/fleet.py
@@ -7,16 +7,16 @@
 import typer
 
 from larklb.cli.common import (
-    SILENT,
+    EXIT_FAILED,
     AsJson,
     OperatorFile,
-    asked,
-    gathered,
-    group,
-    instance_of,
-    show,
-    stop,
-    usable,
+    ask_instances,
+    command_group,
+    exit_error,
+    exit_on_config_error,
+    gather_rows,
+    load_instance_config,
+    print_rows,
 )
 
 LONG_MS = 1300.0           # the instance called three times within it: who is not heard since does not answer
@@ -24,7 +24,7 @@
 PATIENCE_PART = 0.375      # of the least aim: an attempt that hears nothing is given up by then (decide.py)
 INTO_PER_S = 4.0           # attempts of one limiter into a zone, for the figures that are stated
 
-fleet = group("fleet", "Limits and verdicts that hold for the whole fleet.")
+fleet = command_group("fleet", "Limits and verdicts that hold for the whole fleet.")
 
 
 @fleet.command()
@@ -38,9 +38,9 @@
     from larklb.fleet import bound as stated
     from larklb.quota.shares import error_bound as quota
     from larklb.settings import load_operator
-    with usable():
+    with exit_on_config_error():
         loaded = load_operator(operator)
-        settings = instance_of(operator, loaded.instance[0]).settings
+        settings = load_instance_config(operator, loaded.instance[0]).settings
     n = limiters or settings.gateways
     aim = min(c.aim for c in settings.classes)
     age, seen = stated.age(n, loss), stated.detection_times(n, loss, aim, ASK_TIMEOUT_AIMS)
@@ -87,7 +87,7 @@
         rows.append({"what": f"quota of {plan.name}, {spread} limiters a customer, apart {apart:g} s",
                      "unit": "units", "noticed": round(seen.quiet), "over": round(b.over, 1),
                      "under": round(b.under, 1)})
-    show(rows, ("what", "unit", "linked", "noticed", "over", "under"), as_json)
+    print_rows(rows, ("what", "unit", "linked", "noticed", "over", "under"), as_json)
 
 
 @fleet.command()
@@ -96,30 +96,30 @@
     from larklb.settings import load_operator
     rows: list[dict[str, Any]] = []
     silent = False
-    with usable():
+    with exit_on_config_error():
         loaded = load_operator(operator)
-        for entry, answer in asked(operator, loaded, lambda e: {"do": "fleet.state"}, at_once=True):
+        for entry, answer in ask_instances(operator, loaded, lambda e: {"do": "fleet.state"}, at_once=True):
             silent |= "members" not in answer
             note = answer.get("silent") or answer.get("error", "")
             rows.append({"name": entry.name, **answer, "note": note})
     if as_json:
-        show(rows, (), True)
+        print_rows(rows, (), True)
     else:
-        show([_row(r) for r in rows],
-             ("name", "heard", "quiet", "silent", "nodes", "reach", "verdicts", "inbox", "note"), False)
-        show([{"name": r["name"], "node": v["node"], "topic": v["topic"], "verdict": v["verdict"],
-               "observers": "; ".join(f"n{o} {x['slow']:g} ({x['age_ms']} ms ago)"
-                                      for o, x in v["observers"].items())}
-              for r in rows for v in r.get("verdicts", ())],
-             ("name", "node", "topic", "verdict", "observers"), False)
+        print_rows([_row(r) for r in rows],
+                   ("name", "heard", "quiet", "silent", "nodes", "reach", "verdicts", "inbox", "note"), False)
+        print_rows([{"name": r["name"], "node": v["node"], "topic": v["topic"], "verdict": v["verdict"],
+                     "observers": "; ".join(f"n{o} {x['slow']:g} ({x['age_ms']} ms ago)"
+                                            for o, x in v["observers"].items())}
+                    for r in rows for v in r.get("verdicts", ())],
+                   ("name", "node", "topic", "verdict", "observers"), False)
         slots = [{"name": r["name"], **v, "lent": "; ".join(f"n{h} {n}" for h, n in v["lent"].items())}
                  for r in rows for v in r.get("slots", ())]
         if slots:
-            show(slots, ("name", "node", "allowed", "base", "pool", "lender", "lent"), False)
+            print_rows(slots, ("name", "node", "allowed", "base", "pool", "lender", "lent"), False)
     differ = disagreements(rows)
     for line in differ:
         print(line)
-    raise typer.Exit(SILENT if silent or differ else 0)
+    raise typer.Exit(EXIT_FAILED if silent or differ else 0)
 
 
 @fleet.command()
@@ -133,21 +133,21 @@
     from larklb.fleet.custody import key_of
     from larklb.settings import load_operator
     if bool(account) != bool(service) or account and not key:
-        raise stop("an Idempotency-Key needs --account and --class beside --key")
+        raise exit_error("an Idempotency-Key needs --account and --class beside --key")
     wanted = f"{key_of(account, service, key.encode()):016x}" if account else key
     if wanted and not all(c in "0123456789abcdefABCDEF" for c in wanted):
-        raise stop(f"{key!r} is no listed key: an Idempotency-Key needs --account and --class")
-    with usable():
+        raise exit_error(f"{key!r} is no listed key: an Idempotency-Key needs --account and --class")
+    with exit_on_config_error():
         loaded = load_operator(operator)
-        rows, silent = gathered(operator, loaded, {"do": "fleet.jobs", "key": wanted}, "jobs")
+        rows, silent = gather_rows(operator, loaded, {"do": "fleet.jobs", "key": wanted}, "jobs")
     rows.sort(key=lambda r: (r["key"], r["name"]))
     if not as_json:
         rows = [{**r, "group": " ".join(f"n{i}" for i in r["group"]), "holder": f"n{r['holder']}",
                  "sent": "; ".join(r["sent"])} for r in rows]
-    show(rows, ("key", "name", "group", "state", "term", "holder", "lease_ms", "sent", "why"), as_json)
+    print_rows(rows, ("key", "name", "group", "state", "term", "holder", "lease_ms", "sent", "why"), as_json)
     for line in silent:
         print(line)
-    raise typer.Exit(SILENT if silent else 0)
+    raise typer.Exit(EXIT_FAILED if silent else 0)
 
 
 @fleet.command()
@@ -166,10 +166,10 @@
     from larklb.state.folder import held
     from larklb.state.log import LogError
     rows: list[dict[str, Any]] = []
-    with usable():
+    with exit_on_config_error():
         loaded = load_operator(operator)
         if loaded.export is None:
-            raise stop(f"{operator}: it names no receiver for use")
+            raise exit_error(f"{operator}: it names no receiver for use")
         if name:
             loaded.instance_entry(name)
         for entry in loaded.instance:
@@ -193,12 +193,12 @@
                 row |= {"state": "exported" if done.get("waiting") == 0 else "not all of it",
                         "waiting": done["waiting"], "word": done.get("error") or done.get("word", "")}
             rows.append(row)
-    show(rows, ("name", "state", "uncut", "waiting", "in flight", "stays", "word"), as_json)
+    print_rows(rows, ("name", "state", "uncut", "waiting", "in flight", "stays", "word"), as_json)
     if not yes and any(r["state"] == "away" for r in rows):
         print("nothing was changed; --yes exports it: tries in flight at the end count as sent, and what "
               "stays is read by the instance itself alone")
     failed = any(r["state"].startswith(("not all", "unreadable")) for r in rows)
-    raise typer.Exit(SILENT if failed else 0)
+    raise typer.Exit(EXIT_FAILED if failed else 0)
 
 
 def _row(r: dict[str, Any]) -> dict[str, Any]:
--- a/larklb/cli/instances.py
+++ b/larklb/cli/instances.py
@@ -8,7 +8,7 @@
 import typer
 
 from larklb import __version__
-from larklb.cli.common import OperatorFile, app, stop
+from larklb.cli.common import OperatorFile, app, exit_error
 
 
 @app.command()
@@ -29,7 +29,7 @@
         if more is not None:
             more.instance_entry(config.name)
     except ConfigError as error:
-        raise stop(error) from error
+        raise exit_error(error) from error
     program.run(config, more, operator.parent if operator is not None else Path())
 
 
@@ -41,7 +41,7 @@
     try:
         loaded = load_operator(operator)
     except ConfigError as error:
-        raise stop(error) from error
+        raise exit_error(error) from error
     raise typer.Exit(program.run(operator, loaded))
 
 
@@ -64,5 +64,5 @@
                 print(f"{entry.name} does not answer: {error}")
                 silent += 1
     except ConfigError as error:
-        raise stop(error) from error
+        raise exit_error(error) from error
     raise typer.Exit(1 if silent else 0)
--- a/larklb/cli/lab.py
+++ b/larklb/cli/lab.py
@@ -8,16 +8,16 @@
 import typer
 
 from larklb.cli.common import (
-    SILENT,
+    EXIT_FAILED,
     AsJson,
     OperatorFile,
     app,
-    asked,
-    group,
-    instance_of,
-    show,
-    stop,
-    usable,
+    ask_instances,
+    command_group,
+    exit_error,
+    exit_on_config_error,
+    load_instance_config,
+    print_rows,
 )
 
 Once = Annotated[bool, typer.Option(help="End after the show; 1 if something was not as it should be.")]
@@ -36,7 +36,7 @@
     raise typer.Exit(program.run(once))
 
 
-lab = group("lab", "Experiments: in simulated time, or with limiters of their own on loopback.")
+lab = command_group("lab", "Experiments: in simulated time, or with limiters of their own on loopback.")
 
 
 @lab.command("quota")
@@ -49,15 +49,16 @@
     from larklb.lab import net
     from larklb.quota.entitlements import Entitlements
     if scenario == "list":
-        show([{"name": s.name, "what": s.words} for s in net.SCENARIOS.values()], ("name", "what"), as_json)
+        print_rows([{"name": s.name, "what": s.words} for s in net.SCENARIOS.values()],
+                   ("name", "what"), as_json)
         return
     if scenario not in net.SCENARIOS:
-        raise stop(f"there is no scenario {scenario!r}: see --scenario list")
+        raise exit_error(f"there is no scenario {scenario!r}: see --scenario list")
     day = net.play(scenario, seed,
                    book=lambda number: Entitlements(net.PLANS, settle=settle, reserve=reserve))
-    show(net.rows(day, net.SCENARIOS[scenario], reserve),
-         ("customer", "plan", "load", "owner", "tried", "perfect", "let in", "over", "refused", "most over",
-          "bound over", "most under", "bound under"), as_json)
+    print_rows(net.rows(day, net.SCENARIOS[scenario], reserve),
+               ("customer", "plan", "load", "owner", "tried", "perfect", "let in", "over", "refused",
+                "most over", "bound over", "most under", "bound under"), as_json)
     over, refused = net.totals(day)
     print(f"{scenario}, seed {seed}: over {over:.2%}, refused wrongly {refused:.2%} of all; worst customer "
           f"{max(c.over for c in day.customers):.2%} and {max(c.refused for c in day.customers):.2%}")
@@ -76,7 +77,7 @@
 
     from larklb.lab import fleet, script
     if scenario == "list":
-        show(script.names(), ("name", "what"), as_json)
+        print_rows(script.names(), ("name", "what"), as_json)
         return
     try:
         day = script.load(scenario)
@@ -85,7 +86,7 @@
         if why := day.checked():
             raise script.ScriptError(f"{scenario}: {why}")
     except script.ScriptError as error:
-        raise stop(error) from error
+        raise exit_error(error) from error
 
     async def go() -> fleet.Audit:
         with tempfile.TemporaryDirectory(prefix="larklb-") as folder:
@@ -97,16 +98,16 @@
         print(msgspec.json.encode({"scenario": scenario, "seed": seed, "figures": audit.figures,
                                    "windows": audit.windows}).decode())
     else:
-        show(audit.windows, fleet.COLUMNS, False)
+        print_rows(audit.windows, fleet.COLUMNS, False)
         print("  ".join(f"{name} {value:.4g}" for name, value in audit.figures.items()))
     off = audit.off(day)
     for line in off:
         print(f"{scenario}: {line}")
     print(f"{scenario}, seed {seed}: {'not as expected' if off else 'as expected'}")
-    raise typer.Exit(SILENT if off else 0)
+    raise typer.Exit(EXIT_FAILED if off else 0)
 
 
-quota = group("quota", "How far off quotas may be while limiters cannot hear each other.")
+quota = command_group("quota", "How far off quotas may be while limiters cannot hear each other.")
 
 
 @quota.command()
@@ -116,13 +117,13 @@
     from larklb.settings import load_operator
     question = {"do": "quota.state", "customer": customer}
     rows, silent = [], False
-    with usable():
-        for entry, answer in asked(operator, load_operator(operator), lambda e: dict(question)):
+    with exit_on_config_error():
+        for entry, answer in ask_instances(operator, load_operator(operator), lambda e: dict(question)):
             silent |= "sure" not in answer
             rows.append({"name": entry.name, **answer,
                          "note": answer.get("silent") or answer.get("error", "")})
-    show(rows, ("name", "owner", "sure", "part", "unsettled", "off", "apart", "note"), as_json)
-    raise typer.Exit(SILENT if silent else 0)
+    print_rows(rows, ("name", "owner", "sure", "part", "unsettled", "off", "apart", "note"), as_json)
+    raise typer.Exit(EXIT_FAILED if silent else 0)
 
 
 @quota.command()
@@ -135,9 +136,9 @@
     """Print, by plan, the most units that may be let in too many, or refused wrongly, stated in advance."""
     from larklb.quota.shares import error_bound as computed
     from larklb.settings import load_operator
-    with usable():
+    with exit_on_config_error():
         loaded = load_operator(operator)
-        settings = instance_of(operator, loaded.instance[0]).settings
+        settings = load_instance_config(operator, loaded.instance[0]).settings
     reserve = loaded.quota.reserve()
     rows = []
     for plan in settings.plans:
@@ -145,4 +146,4 @@
                      restarts=restarts)
         rows.append({"plan": plan.name, "rate": plan.rate, "burst": plan.burst, "over": round(b.over, 1),
                      "under": round(b.under, 1)})
-    show(rows, ("plan", "rate", "burst", "over", "under"), as_json)
+    print_rows(rows, ("plan", "rate", "burst", "over", "under"), as_json)
--- a/larklb/cli/plans.py
+++ b/larklb/cli/plans.py
@@ -9,22 +9,22 @@
 import typer
 
 from larklb.cli.common import (
-    REFUSED,
-    SILENT,
+    EXIT_FAILED,
+    EXIT_REFUSED,
     AsJson,
     OperatorFile,
-    asked,
-    group,
-    instance_of,
-    show,
-    stop,
-    usable,
+    ask_instances,
+    command_group,
+    exit_error,
+    exit_on_config_error,
+    load_instance_config,
+    print_rows,
 )
 
 if TYPE_CHECKING:
     from larklb.quota.catalogue import Catalogue
 
-plans = group("plans", "Plan versions: check, show and compare them, and apply them in service.")
+plans = command_group("plans", "Plan versions: check, show and compare them, and apply them in service.")
 NewFile = Annotated[Path, typer.Argument(help="A catalogue of plan versions (TOML).")]
 
 
@@ -32,7 +32,7 @@
     from larklb.desk import read_catalogue
     from larklb.settings import load_operator
     entry = load_operator(operator).instance[0]
-    return read_catalogue(file, instance_of(operator, entry).settings.plans)
+    return read_catalogue(file, load_instance_config(operator, entry).settings.plans)
 
 
 def _file(operator: Path) -> Path:
@@ -46,7 +46,7 @@
 @plans.command()
 def check(file: NewFile, operator: OperatorFile) -> None:
     """Check a catalogue against the plans of the settings; nothing needs to run."""
-    with usable():
+    with exit_on_config_error():
         found = _read(file, operator)
     print(f"{file}: usable, {len(found.versions) - 1} versions, the newest is {found.newest.number}")
 
@@ -59,16 +59,17 @@
 
     from larklb.desk import shown
     from larklb.settings import load_operator
-    with usable():
+    with exit_on_config_error():
         if live:
             rows, silent = [], False
-            for entry, answer in asked(operator, load_operator(operator), lambda e: {"do": "plans.show"}):
+            for entry, answer in ask_instances(operator, load_operator(operator),
+                                               lambda e: {"do": "plans.show"}):
                 silent |= "silent" in answer or "error" in answer
                 rows.append({"name": entry.name, "counts": answer.get("counts", "-"),
                              "newest": answer.get("newest", "-"), "heard": answer.get("heard") or "-",
                              "note": answer.get("silent") or answer.get("error") or ""})
-            show(rows, ("name", "counts", "newest", "heard", "note"), as_json)
-            raise typer.Exit(SILENT if silent or len({r["newest"] for r in rows}) > 1 else 0)
+            print_rows(rows, ("name", "counts", "newest", "heard", "note"), as_json)
+            raise typer.Exit(EXIT_FAILED if silent or len({r["newest"] for r in rows}) > 1 else 0)
         found = _read(_file(operator), operator)
     now = found.index_at(time.time() * 1000.0)
     rows = []
@@ -76,18 +77,18 @@
         row = shown(version)
         row["state"] = "counts" if i == now else "over" if i < now else "to come"
         rows.append(row)
-    show(rows, ("number", "from", "state", "says", "note"), as_json)
+    print_rows(rows, ("number", "from", "state", "says", "note"), as_json)
 
 
 @plans.command()
 def diff(file: NewFile, operator: OperatorFile) -> None:
     """Compare a catalogue with the operator's file; 1 if they differ."""
     from larklb.quota.catalogue import differences
-    with usable():
+    with exit_on_config_error():
         lines = differences(_read(_file(operator), operator), _read(file, operator))
     for line in lines:
         print(line)
-    raise typer.Exit(SILENT if lines else 0)
+    raise typer.Exit(EXIT_FAILED if lines else 0)
 
 
 @plans.command()
@@ -102,27 +103,27 @@
     from larklb.quota.catalogue import CatalogueError, successor
     from larklb.settings import load_operator
     from larklb.state.folder import put_file
-    with usable():
+    with exit_on_config_error():
         loaded, target = load_operator(operator), _file(operator)
         new = _read(file, operator)
         if target.exists():
             try:
                 successor(_read(target, operator), new, time.time() * 1000.0)
             except CatalogueError as error:
-                raise stop(f"{file}: {error}", REFUSED) from error
+                raise exit_error(f"{file}: {error}", EXIT_REFUSED) from error
         text = file.read_text()
-        refused = [f"{entry.name}: {answer['error']}" for entry, answer in asked(
+        refused = [f"{entry.name}: {answer['error']}" for entry, answer in ask_instances(
             operator, loaded, lambda e: {"do": "plans.check", "text": text}) if "error" in answer]
         if refused:
             for line in refused:
                 print(f"larklb: {line}", file=sys.stderr)
-            raise stop("nothing was changed", REFUSED)
+            raise exit_error("nothing was changed", EXIT_REFUSED)
         put_file(target, text.encode(), mode=0o644)
         rows = []
-        for entry, answer in asked(operator, loaded, lambda e: {"do": "plans.apply", "text": text}):
+        for entry, answer in ask_instances(operator, loaded, lambda e: {"do": "plans.apply", "text": text}):
             why = answer.get("silent") or answer.get("error") or ""
             rows.append({"name": entry.name, "newest": answer.get("newest", "-"),
                          "counts": answer.get("counts", "-"),
                          "note": f"will read it when it starts: {why}" if why else "taken"})
-    show(rows, ("name", "newest", "counts", "note"), as_json)
-    raise typer.Exit(SILENT if any(r["note"] != "taken" for r in rows) else 0)
+    print_rows(rows, ("name", "newest", "counts", "note"), as_json)
+    raise typer.Exit(EXIT_FAILED if any(r["note"] != "taken" for r in rows) else 0)
--- a/larklb/cli/system.py
+++ b/larklb/cli/system.py
@@ -13,7 +13,7 @@
 import defopt  # type: ignore[import-untyped]
 
 from larklb.cli import system_config, system_disk, system_live
-from larklb.cli.system_calls import OFF, UNUSABLE, SilentError, UnusableError, complain
+from larklb.cli.system_calls import EXIT_FAILED, EXIT_UNUSABLE, NoAnswerError, UnusableError, print_error
 
 
 def trial(*, seconds: float = 12.0, json: bool = False) -> int:
@@ -56,13 +56,13 @@
         return int(defopt.run(COMMANDS, argv=words or ["--help"], short={}, no_negated_flags=True,
                               version=False, argparse_kwargs={"prog": "larklb system"}))
     except UnusableError as error:
-        complain(str(error))
-        return UNUSABLE
-    except SilentError as error:
-        complain(f"no clear answer: {error}")
-        return OFF
+        print_error(str(error))
+        return EXIT_UNUSABLE
+    except NoAnswerError as error:
+        print_error(f"no clear answer: {error}")
+        return EXIT_FAILED
     except BrokenPipeError:
-        return OFF
+        return EXIT_FAILED
 
 
 if __name__ == "__main__":
--- a/larklb/cli/system_calls.py
+++ b/larklb/cli/system_calls.py
@@ -19,19 +19,19 @@
 from larklb.schema.errors import InvalidError, SchemaError
 from larklb.schema.fields import format_value
 
-DONE, OFF, UNUSABLE = 0, 1, 2          # exit statuses, see `larklb.cli.system`
-
-SILENT_S = 1.0             # without an answer, until another limiter is asked ...
-BYTES_PER_S = 1 << 20      # ... and a second more for so many bytes that are sent
-ANSWER_S = 5.0             # for an answer that has begun: a large configuration takes its time
-PAUSE_S, PAUSE_MOST_S = 0.1, 1.0       # after all have been asked, twice as long each time
-PATIENCE_S = 8.0           # for all of it: some more than the core needs to settle anew
-REDIRECTS = 2
-FINAL = frozenset((400, 409, 412, 413, 422))   # of these nothing is changed by another try
-OTHER_TRIES = 3            # of any other 4xx
-MOST_ANSWER = 64 << 20
-MOST_PAGES = 400           # of a status call
-AT_ONCE = 16               # limiters that are asked at the same time
+EXIT_OK, EXIT_FAILED, EXIT_UNUSABLE = 0, 1, 2          # exit statuses, see `larklb.cli.system`
+
+RESPONSE_TIMEOUT_S = 1.0             # without an answer, until another limiter is asked ...
+MIN_UPLOAD_BYTES_PER_S = 1 << 20      # ... and a second more for so many bytes that are sent
+READ_TIMEOUT_S = 5.0             # for an answer that has begun: a large configuration takes its time
+INITIAL_BACKOFF_S, MAX_BACKOFF_S = 0.1, 1.0       # after all have been asked, twice as long each time
+CALL_TIMEOUT_S = 8.0           # for all of it: some more than the core needs to settle anew
+MAX_REDIRECTS = 2
+FINAL_STATUSES = frozenset((400, 409, 412, 413, 422))   # of these nothing is changed by another try
+MAX_OTHER_4XX = 3            # of any other 4xx
+MAX_ANSWER_BYTES = 64 << 20
+MAX_PAGES = 400           # of a status call
+MAX_PARALLEL_CALLS = 16               # limiters that are asked at the same time
 
 Document = dict[str, Any]
 Row = dict[str, Any]
@@ -41,11 +41,11 @@
     """A file or an argument can't be used: file, field, value, what would do. Nothing was changed."""
 
 
-class SilentError(Exception):
+class NoAnswerError(Exception):
     """Nobody gave a clear answer; the text says who was asked and what came of it."""
 
 
-def addresses(text: str) -> list[str]:
+def parse_addresses(text: str) -> list[str]:
     """The control addresses in `text`: host:port, several with commas, each once. UnusableError."""
     found: dict[str, None] = {}
     for part in text.split(","):
@@ -70,7 +70,7 @@
         try:
             return parse(self.body)
         except SchemaError as error:
-            raise SilentError(f"{self.address}: its answer is {error}") from error
+            raise NoAnswerError(f"{self.address}: its answer is {error}") from error
 
     def problems(self) -> list[str]:
         """Why it was refused, a line each."""
@@ -90,90 +90,91 @@
     """Calls limiters at `addresses`, in their order, as any caller of a control address does."""
 
     addresses: list[str]
-    patience_s: float = PATIENCE_S
+    timeout_s: float = CALL_TIMEOUT_S
     clock: Callable[[], float] = time.monotonic
     sleep: Callable[[float], object] = time.sleep
-    said: dict[str, str] = field(factory=dict)         # by address, what came of the last try there
+    outcomes: dict[str, str] = field(factory=dict)         # by address, what came of the last try there
 
     def call(self, method: str, path: str, body: bytes = b"",
              headers: Mapping[str, str] | None = None) -> Answer:
         """The first clear answer: a 2xx, or a 4xx that no other try would change. SilentError."""
-        until, pause, others = self.clock() + self.patience_s, PAUSE_S, 0
+        until, pause, others = self.clock() + self.timeout_s, INITIAL_BACKOFF_S, 0
         while True:
             for address in self.addresses:
-                answer = self._tried(address, method, path, body, dict(headers or {}))
+                answer = self._try_address(address, method, path, body, dict(headers or {}))
                 if answer is None:
                     continue
-                if answer.status < 300 or answer.status in FINAL:
+                if answer.status < 300 or answer.status in FINAL_STATUSES:
                     return answer
                 others += answer.status < 500 and answer.status not in (408, 429)
-                self.said[address] = f"status {answer.status}"
-                if others >= OTHER_TRIES:
+                self.outcomes[address] = f"status {answer.status}"
+                if others >= MAX_OTHER_4XX:
                     return answer
             if self.clock() + pause >= until:
-                raise SilentError("; ".join(f"{a}: {self.said.get(a, 'nothing')}" for a in self.addresses))
+                raise NoAnswerError("; ".join(f"{address}: {self.outcomes.get(address, 'nothing')}"
+                                              for address in self.addresses))
             self.sleep(pause)
-            pause = min(PAUSE_MOST_S, 2.0 * pause)
+            pause = min(MAX_BACKOFF_S, 2.0 * pause)
 
-    def _tried(self, address: str, method: str, path: str, body: bytes,
-               headers: dict[str, str]) -> Answer | None:
+    def _try_address(self, address: str, method: str, path: str, body: bytes,
+                     headers: dict[str, str]) -> Answer | None:
         at, target = address, path
-        for _ in range(REDIRECTS + 1):
+        for _ in range(MAX_REDIRECTS + 1):
             try:
-                status, told, where = _asked(at, method, target, body, headers)
+                status, told, where = _exchange(at, method, target, body, headers)
             except (OSError, http.client.HTTPException) as error:
-                self.said[address] = f"{'' if at == address else at + ': '}{_why(error)}"
+                self.outcomes[address] = f"{'' if at == address else at + ': '}{_failure_reason(error)}"
                 return None
             if status != 307:
                 return Answer(status, told, at)
             place = urlsplit(where)
             if place.scheme != "http" or not place.netloc:
-                self.said[address] = f"sent on to {where[:80]!r}"
+                self.outcomes[address] = f"sent on to {where[:80]!r}"
                 return None
             at, target = place.netloc, place.path + (f"?{place.query}" if place.query else "")
-        self.said[address] = f"sent on more than {REDIRECTS} times"
+        self.outcomes[address] = f"sent on more than {MAX_REDIRECTS} times"
         return None
 
 
-def _why(error: Exception) -> str:
+def _failure_reason(error: Exception) -> str:
     if isinstance(error, TimeoutError):
         return "silent"
     return str(getattr(error, "strerror", None) or error or type(error).__name__)
 
 
-def _asked(address: str, method: str, target: str, body: bytes,
-           headers: dict[str, str]) -> tuple[int, bytes, str]:
+def _exchange(address: str, method: str, target: str, body: bytes,
+              headers: dict[str, str]) -> tuple[int, bytes, str]:
     host, _, port = address.rpartition(":")
     link = http.client.HTTPConnection(host.strip("[]"), int(port),
-                                      timeout=SILENT_S + len(body) / BYTES_PER_S)
+                                      timeout=RESPONSE_TIMEOUT_S + len(body) / MIN_UPLOAD_BYTES_PER_S)
     try:
         if body:
             headers["Content-Type"] = "application/json"
         link.request(method, target, body or None, headers)
         answer = link.getresponse()
         if link.sock is not None:
-            link.sock.settimeout(ANSWER_S)
-        told = answer.read(MOST_ANSWER + 1)
-        if len(told) > MOST_ANSWER:
-            raise http.client.HTTPException(f"its answer has more than {MOST_ANSWER} bytes")
+            link.sock.settimeout(READ_TIMEOUT_S)
+        told = answer.read(MAX_ANSWER_BYTES + 1)
+        if len(told) > MAX_ANSWER_BYTES:
+            raise http.client.HTTPException(f"its answer has more than {MAX_ANSWER_BYTES} bytes")
         return answer.status, told, answer.headers.get("Location", "")
     finally:
         link.close()
 
 
-def asked(caller: Caller, path: str, key: str = "", by: str = "", **query: str) -> Document:
+def fetch(caller: Caller, path: str, key: str = "", by: str = "", **query: str) -> Document:
     """A status call's document, with all rows of `key`, which are asked for page by page by their field `by`.
 
     SilentError."""
     whole: Document = {}
-    for _ in range(MOST_PAGES):
+    for _ in range(MAX_PAGES):
         text = "&".join(f"{name}={quote(value, safe='')}" for name, value in query.items())
         answer = caller.call("GET", path + (f"?{text}" if text else ""))
         if answer.status >= 300:
-            raise SilentError(f"{answer.address}: {answer.problems()[0]}")
+            raise NoAnswerError(f"{answer.address}: {answer.problems()[0]}")
         document = answer.document()
         if not whole:
-            whole, caller = document, Caller([answer.address], caller.patience_s, caller.clock, caller.sleep)
+            whole, caller = document, Caller([answer.address], caller.timeout_s, caller.clock, caller.sleep)
         else:
             whole[key] += document.get(key, [])
         rows = document.get(key) if key else None
@@ -193,20 +194,20 @@
     silent: dict[str, str]             # by node: why
 
 
-def everyone(caller: Caller, path: str, chosen: Callable[[Row], bool] = lambda row: True, key: str = "",
-             by: str = "", **query: str) -> Fleet:
+def fetch_all(caller: Caller, path: str, chosen: Callable[[Row], bool] = lambda row: True, key: str = "",
+              by: str = "", **query: str) -> Fleet:
     """A status call to each limiter that is up and `chosen`, as the first one that answers knows them."""
-    first = asked(caller, calls.MEMBERS, "members", "node")
+    first = fetch(caller, calls.MEMBERS, "members", "node")
     members = [row for row in first["members"] if chosen(row)]
 
     def one(row: Row) -> Document | str:
         try:
-            return asked(Caller([row["control"]], 2.0 * SILENT_S), path, key, by, **query)
-        except SilentError as error:
+            return fetch(Caller([row["control"]], 2.0 * RESPONSE_TIMEOUT_S), path, key, by, **query)
+        except NoAnswerError as error:
             return str(error)
 
     up = [row for row in members if row["state"] != "down" and row["control"]]
-    with ThreadPoolExecutor(AT_ONCE) as pool:
+    with ThreadPoolExecutor(MAX_PARALLEL_CALLS) as pool:
         told = dict(zip((row["node"] for row in up), pool.map(one, up), strict=True))
     return Fleet(first, members, {n: d for n, d in told.items() if isinstance(d, dict)},
                  {n: d for n, d in told.items() if isinstance(d, str)})
@@ -225,23 +226,23 @@
         raise UnusableError(f"{file}: {error}: must be one JSON object") from error
 
 
-def told_problems(file: Path, error: InvalidError) -> UnusableError:
+def config_error(file: Path, error: InvalidError) -> UnusableError:
     """A configuration's problems, each with its file."""
     return UnusableError("\n".join(f"{file}: {line}" for line in error.problems))
 
 
-def complain(text: str) -> None:
+def print_error(text: str) -> None:
     """Lines for people, each with the program's name, beside the output."""
     for line in text.splitlines():
         print(f"larklb: {line}", file=sys.stderr)
 
 
-def line(document: object) -> None:
+def print_json(document: object) -> None:
     """One JSON line."""
     print(json.dumps(document, ensure_ascii=False))
 
 
-def table(rows: Sequence[Row], columns: Sequence[str]) -> None:
+def print_table(rows: Sequence[Row], columns: Sequence[str]) -> None:
     """A table for people."""
     cells = [list(columns), *([_cell(row.get(c, "")) for c in columns] for row in rows)]
     widths = [max(len(line[i]) for line in cells) for i in range(len(columns))]
--- a/larklb/cli/system_config.py
+++ b/larklb/cli/system_config.py
@@ -6,22 +6,22 @@
 from typing import Any
 
 from larklb.cli.system_calls import (
-    DONE,
-    OFF,
-    UNUSABLE,
+    EXIT_FAILED,
+    EXIT_OK,
+    EXIT_UNUSABLE,
     Caller,
     Document,
+    NoAnswerError,
     Row,
-    SilentError,
     UnusableError,
-    addresses,
-    complain,
-    line,
+    config_error,
+    parse_addresses,
+    print_error,
+    print_json,
+    print_table,
     read_document,
-    table,
-    told_problems,
 )
-from larklb.gateway import settings as told
+from larklb.gateway import settings as gateway_settings
 from larklb.gateway.errors import SettingsError
 from larklb.schema import amendments, calls
 from larklb.schema import configuration as schema
@@ -29,7 +29,7 @@
 from larklb.schema.errors import InvalidError
 from larklb.schema.fields import SECRET_FIELDS, format_problem
 
-LEAST_DESCRIPTORS = 264    # 200 that are no sockets, and 64 that are
+MIN_DESCRIPTORS = 264    # 200 that are no sockets, and 64 that are
 
 
 def check_settings(file: Path, *, json: bool = False) -> int:
@@ -41,24 +41,25 @@
     :param json: One JSON line for programs.
     """
     try:
-        found = told.read(str(file))
+        found = gateway_settings.read(str(file))
     except SettingsError as error:
         if json:
-            line({"file": str(file), "usable": False, "problems": str(error).splitlines(), "doubts": []})
-        complain(str(error))
-        return UNUSABLE
-    doubts = [f"{file}: {text}" for text in _doubts(found)]
+            print_json({"file": str(file), "usable": False, "problems": str(error).splitlines(),
+                        "doubts": []})
+        print_error(str(error))
+        return EXIT_UNUSABLE
+    doubts = [f"{file}: {text}" for text in _warnings(found)]
     if json:
-        line({"file": str(file), "usable": True, "problems": [], "doubts": doubts})
+        print_json({"file": str(file), "usable": True, "problems": [], "doubts": doubts})
     else:
         bound = [name for name in ("edge", "readiness", "control") if getattr(found, name) is not None]
         print(f"{file}: usable, {found.node} at {found.ip} in {found.zone}, serves {', '.join(bound) or '-'}"
               f"{', core machine' if found.data_dir and found.control else ''}")
-    complain("\n".join(doubts))
-    return OFF if doubts else DONE
+    print_error("\n".join(doubts))
+    return EXIT_FAILED if doubts else EXIT_OK
 
 
-def _doubts(s: told.Settings) -> list[str]:
+def _warnings(s: gateway_settings.Settings) -> list[str]:
     found = []
     if s.zones and s.zone not in s.zones:
         found.append(f"self.zone: {s.zone!r}: must be one of network.zones, {', '.join(sorted(s.zones))}")
@@ -70,9 +71,9 @@
         found.append("network.bindings: missing: with neither edge nor control nobody can call this limiter")
     if not s.seeds:
         found.append("network.seeds: []: must name limiters through which this one finds the others")
-    if s.descriptors < LEAST_DESCRIPTORS:
-        found.append(f"self.limits.descriptors: {s.descriptors}: must be {LEAST_DESCRIPTORS} or more")
-    taken: dict[told.Address, str] = {(s.ip, s.port): "network.portRange"}
+    if s.descriptors < MIN_DESCRIPTORS:
+        found.append(f"self.limits.descriptors: {s.descriptors}: must be {MIN_DESCRIPTORS} or more")
+    taken: dict[gateway_settings.Address, str] = {(s.ip, s.port): "network.portRange"}
     for name in ("edge", "readiness", "control"):
         if (address := getattr(s, name)) is not None:
             if address in taken:
@@ -92,22 +93,22 @@
     :param json: One JSON line for programs.
     """
     try:
-        document, version = _checked(file, base)
+        document, version = _check_document(file, base)
     except InvalidError as error:
         if json:
-            line({"file": str(file), "usable": False, "problems": error.problems})
-        raise told_problems(file, error) from error
+            print_json({"file": str(file), "usable": False, "problems": error.problems})
+        raise config_error(file, error) from error
     found = schema.check(document, version)
     sizes = {"version": found.version, "services": len(found.services), "hosts": len(found.hosts),
              "routes": sum(len(host.paths) for host in found.hosts), "tenants": len(found.tenants or ())}
     if json:
-        line({"file": str(file), "usable": True, "problems": [], "digest": digest(document), **sizes})
+        print_json({"file": str(file), "usable": True, "problems": [], "digest": digest(document), **sizes})
     else:
         print(f"{file}: usable, " + ", ".join(f"{name} {count}" for name, count in sizes.items()))
-    return DONE
+    return EXIT_OK
 
 
-def _checked(file: Path, base: Path | None) -> tuple[Document, int]:
+def _check_document(file: Path, base: Path | None) -> tuple[Document, int]:
     """What would be in force, and the version it follows. UnusableError, InvalidError."""
     document = read_document(file)
     if base is None:
@@ -119,7 +120,7 @@
         try:
             before = schema.check(old, -1).version
         except InvalidError as error:
-            raise told_problems(base, error) from error
+            raise config_error(base, error) from error
         if "upsert" in document or "remove" in document:
             document = amendments.amend(old, document)
     schema.check(document, before)
@@ -135,24 +136,24 @@
     :param new: The other one, likewise.
     :param json: A JSON line for each difference.
     """
-    rows = differences(_either(old), _either(new))
+    rows = differences(_load_either(old), _load_either(new))
     if json:
         for row in rows:
-            line(row)
+            print_json(row)
     elif rows:
-        table(rows, ("what", "name", "field", "old", "new"))
-    return OFF if rows else DONE
+        print_table(rows, ("what", "name", "field", "old", "new"))
+    return EXIT_FAILED if rows else EXIT_OK
 
 
-def _either(place: Path) -> Document:
+def _load_either(place: Path) -> Document:
     if place.exists() or "/" in str(place) or ":" not in str(place):
         document = read_document(place)
     else:
-        document = _read(addresses(str(place)))
+        document = _read(parse_addresses(str(place)))
     try:
         schema.check(document, -1)
     except InvalidError as error:
-        raise told_problems(place, error) from error
+        raise config_error(place, error) from error
     return document
 
 
@@ -166,15 +167,15 @@
     _compare(rows, "limits", "", old.get("limits") or {}, new.get("limits") or {})
     for what, key in (("service", "services"), ("tenant", "tenants")):
         if (old.get(key) is None) != (new.get(key) is None):
-            rows.append({"what": "configuration", "name": "", "field": key, "old": _have(old.get(key)),
-                         "new": _have(new.get(key))})
-        _items(rows, what, _by_name(old.get(key)), _by_name(new.get(key)))
-    _items(rows, "host", _hosts(old), _hosts(new))
-    _items(rows, "route", _routes(old), _routes(new))
+            rows.append({"what": "configuration", "name": "", "field": key, "old": _item_count(old.get(key)),
+                         "new": _item_count(new.get(key))})
+        _compare_items(rows, what, _by_name(old.get(key)), _by_name(new.get(key)))
+    _compare_items(rows, "host", _hosts(old), _hosts(new))
+    _compare_items(rows, "route", _routes(old), _routes(new))
     return rows
 
 
-def _have(value: Any) -> str:
+def _item_count(value: Any) -> str:
     return "none" if value is None else f"{len(value)} of them"
 
 
@@ -192,7 +193,7 @@
     return {r["name"]: {"host": h["host"].lower(), **r} for h in document["hosts"] for r in h["paths"]}
 
 
-def _items(rows: list[Row], what: str, old: dict[str, Document], new: dict[str, Document]) -> None:
+def _compare_items(rows: list[Row], what: str, old: dict[str, Document], new: dict[str, Document]) -> None:
     for name in [*old, *(name for name in new if name not in old)]:
         if name not in new or name not in old:
             rows.append({"what": what, "name": name, "field": "", "old": "there" if name in old else "",
@@ -229,8 +230,8 @@
     try:
         schema.check(document, base)
     except InvalidError as error:
-        raise told_problems(file, error) from error
-    return _change(address, calls.REPLACE, file, base, document, json)
+        raise config_error(file, error) from error
+    return _send_change(address, calls.REPLACE, file, base, document, json)
 
 
 def amend(address: str, file: Path, *, base: int, json: bool = False) -> int:
@@ -250,34 +251,36 @@
         if document["version"] <= base:
             raise InvalidError([format_problem("version", document["version"], f"above {base}")])
     except InvalidError as error:
-        raise told_problems(file, error) from error
-    return _change(address, calls.AMEND, file, base, document, json)
+        raise config_error(file, error) from error
+    return _send_change(address, calls.AMEND, file, base, document, json)
 
 
-def _change(address: str, path: str, file: Path, base: int, document: Document, json: bool) -> int:
+def _send_change(address: str, path: str, file: Path, base: int, document: Document, json: bool) -> int:
     if base < 0:
         raise UnusableError(f"--base: {base}: must be 0 or more")
     try:
         # The file's own bytes: what is read back is to be what the operator wrote.
-        answer = Caller(addresses(address)).call("POST", path, file.read_bytes(),
-                                                 {calls.BASE_VERSION_HEADER: str(base)})
-    except SilentError as error:
+        answer = Caller(parse_addresses(address)).call("POST", path, file.read_bytes(),
+                                                       {calls.BASE_VERSION_HEADER: str(base)})
+    except NoAnswerError as error:
         if json:
-            line({"outcome": "unknown", "version": document["version"], "base": base, "why": str(error)})
-        complain(f"no clear answer, version {document['version']} may be in force or not: "
-                 f"give the same call again: {error}")
-        return OFF
+            print_json({"outcome": "unknown", "version": document["version"], "base": base,
+                        "why": str(error)})
+        print_error(f"no clear answer, version {document['version']} may be in force or not: "
+                    f"give the same call again: {error}")
+        return EXIT_FAILED
     taken = answer.status < 300
     if json:
-        line({"outcome": "taken" if taken else "refused", "status": answer.status, "by": answer.address,
-              "version": document["version"], "base": base, "problems": [] if taken else answer.problems()})
+        print_json({"outcome": "taken" if taken else "refused", "status": answer.status, "by": answer.address,
+                    "version": document["version"], "base": base,
+                    "problems": [] if taken else answer.problems()})
     elif taken:
         print(f"version {document['version']} is in force, taken by {answer.address}")
     if answer.status == 412:
-        complain(f"--base: {base}: another version is in force: read it, and build on it")
+        print_error(f"--base: {base}: another version is in force: read it, and build on it")
     elif not taken:
-        complain("\n".join(f"{answer.address}: {text}" for text in answer.problems()))
-    return DONE if taken else OFF
+        print_error("\n".join(f"{answer.address}: {text}" for text in answer.problems()))
+    return EXIT_OK if taken else EXIT_FAILED
 
 
 def read(address: str, *, json: bool = False) -> int:
@@ -288,30 +291,30 @@
     :param address: A limiter's control address, host:port; several with commas are tried in order.
     :param json: The whole document as it was sent, tenants' keys with it; else a summary without them.
     """
-    document = _read(addresses(address))
+    document = _read(parse_addresses(address))
     if json:
-        line(document)
-        return DONE
+        print_json(document)
+        return EXIT_OK
     try:
         found = schema.check(document, -1)
     except InvalidError as error:
-        raise SilentError(f"{address}: what it gives is no configuration: {error}") from error
+        raise NoAnswerError(f"{address}: what it gives is no configuration: {error}") from error
     print(f"version {found.version}, digest {digest(document)}")
-    table([{"service": s.name, "probe": s.probe, "saturation": s.saturation,
-            "routes": sum(s.name in schema.targets(r) for h in found.hosts for r in h.paths)}
-           for s in found.services], ("service", "probe", "saturation", "routes"))
-    table([{"tenant": t.name, "keys": len(t.keys), "precedence": t.precedence, "ratePerS": t.rate_per_s,
-            "burst": t.burst} for t in found.tenants or ()],
-          ("tenant", "keys", "precedence", "ratePerS", "burst"))
-    table([{"route": r.name, "host": h.host, "prefix": r.prefix, "type": r.route_type,
-            "to": ", ".join(schema.targets(r)), "tries": r.tries, "timeoutMs": r.timeout_ms}
-           for h in found.hosts for r in h.paths],
-          ("route", "host", "prefix", "type", "to", "tries", "timeoutMs"))
-    return DONE
+    print_table([{"service": s.name, "probe": s.probe, "saturation": s.saturation,
+                  "routes": sum(s.name in schema.targets(r) for h in found.hosts for r in h.paths)}
+                 for s in found.services], ("service", "probe", "saturation", "routes"))
+    print_table([{"tenant": t.name, "keys": len(t.keys), "precedence": t.precedence, "ratePerS": t.rate_per_s,
+                  "burst": t.burst} for t in found.tenants or ()],
+                ("tenant", "keys", "precedence", "ratePerS", "burst"))
+    print_table([{"route": r.name, "host": h.host, "prefix": r.prefix, "type": r.route_type,
+                  "to": ", ".join(schema.targets(r)), "tries": r.tries, "timeoutMs": r.timeout_ms}
+                 for h in found.hosts for r in h.paths],
+                ("route", "host", "prefix", "type", "to", "tries", "timeoutMs"))
+    return EXIT_OK
 
 
 def _read(places: list[str]) -> Document:
     answer = Caller(places).call("GET", calls.READ)
     if answer.status >= 300:
-        raise SilentError(f"{answer.address}: {answer.problems()[0]}")
+        raise NoAnswerError(f"{answer.address}: {answer.problems()[0]}")
     return answer.document()
--- a/larklb/cli/system_disk.py
+++ b/larklb/cli/system_disk.py
@@ -8,7 +8,16 @@
 from collections.abc import Iterator
 from pathlib import Path
 
-from larklb.cli.system_calls import DONE, OFF, Document, Row, UnusableError, complain, line, table
+from larklb.cli.system_calls import (
+    EXIT_FAILED,
+    EXIT_OK,
+    Document,
+    Row,
+    UnusableError,
+    print_error,
+    print_json,
+    print_table,
+)
 from larklb.consensus.errors import ConsensusError
 from larklb.consensus.founding import HardState
 from larklb.consensus.interface import Call
@@ -29,27 +38,28 @@
     :param folder: dataDir of its settings.
     :param json: One JSON line for programs.
     """
-    with _looked_at(folder) as running:
-        rows, state = _rows(folder), _state(folder)
+    with _probe_running(folder) as running:
+        rows, state = _generation_rows(folder), _folder_state(folder)
     torn = [f"{row['key']}-{row['number']}" for row in rows if not row["whole"]]
     if json:
-        line({"folder": str(folder), "running": running, "torn": torn, **state})
+        print_json({"folder": str(folder), "running": running, "torn": torn, **state})
     elif state["dropped"]:
-        print(f"{folder}: a limiter would start without the log{_while(running)}")
+        print(f"{folder}: a limiter would start without the log{_running_note(running)}")
     elif state["blank"]:
-        print(f"{folder}: blank: a limiter would join with it as a newcomer{_while(running)}")
+        print(f"{folder}: blank: a limiter would join with it as a newcomer{_running_note(running)}")
     else:
         print(f"{folder}: usable, disk {state['disk']}, version {state['version']}, "
               f"{state['acknowledged']} known as acknowledged, term {state['term']}, "
               f"{'of a group' if state['founded'] else 'of no group yet'}, voters "
-              f"{','.join(sorted(state['voters'].values()))}{_while(running)}")
+              f"{','.join(sorted(state['voters'].values()))}{_running_note(running)}")
     for name in torn:
-        complain(f"{folder}: {name} is torn and passed over; while a limiter runs it may be just being "
-                 "written" if running else f"{folder}: {name} is torn and passed over: its save never ended")
+        print_error(f"{folder}: {name} is torn and passed over; while a limiter runs it may be just being "
+                    "written" if running else
+                    f"{folder}: {name} is torn and passed over: its save never ended")
     if state["dropped"] or state["blank"] and torn and state["disk"]:
-        complain(f"{folder}: no log is left that goes with votes, but the disk's id is, which others may "
-                 "count as a voter's: empty the folder, the id with it")
-    return OFF if torn or state["blank"] or state["dropped"] else DONE
+        print_error(f"{folder}: no log is left that goes with votes, but the disk's id is, which others may "
+                    "count as a voter's: empty the folder, the id with it")
+    return EXIT_FAILED if torn or state["blank"] or state["dropped"] else EXIT_OK
 
 
 def dump(folder: Path, *, generation: int = 0, json: bool = False) -> int:
@@ -62,24 +72,24 @@
         tenants' keys with it: what replace takes.
     :param json: A JSON line for each generation.
     """
-    with _looked_at(folder):
+    with _probe_running(folder):
         if generation:
-            log = _log(folder, generation)
-            document = _newest(log)
+            log = _load_log(folder, generation)
+            document = _newest_document(log)
             if document is None:
-                complain(f"{folder}: log-{generation}: holds no configuration")
-                return OFF
-            line(document)
+                print_error(f"{folder}: log-{generation}: holds no configuration")
+                return EXIT_FAILED
+            print_json(document)
             if document is not log.state.document:
-                complain(f"version {document['version']} was not yet known here to be acknowledged")
-            return DONE
-        rows = _rows(folder)
+                print_error(f"version {document['version']} was not yet known here to be acknowledged")
+            return EXIT_OK
+        rows = _generation_rows(folder)
     if json:
         for row in rows:
-            line(row)
+            print_json(row)
     else:
-        table(rows, ("key", "number", "bytes", "whole", "used", "what"))
-    return DONE if rows else OFF
+        print_table(rows, ("key", "number", "bytes", "whole", "used", "what"))
+    return EXIT_OK if rows else EXIT_FAILED
 
 
 def restore(folder: Path, generation: int, *, yes: bool = False, json: bool = False) -> int:
@@ -95,12 +105,12 @@
     :param yes: Do it. Without it, it is said what would be done.
     :param json: One JSON line for programs.
     """
-    with _alone(folder):
-        used = next((row for row in _rows(folder) if row["key"] == LOG and row["used"]), None)
+    with _exclusive(folder):
+        used = next((row for row in _generation_rows(folder) if row["key"] == LOG and row["used"]), None)
         if used is not None and used["number"] == generation:
-            complain(f"{folder}: log-{generation} is in force already")
-            return OFF
-        wanted, store = _log(folder, generation), Store(folder)
+            print_error(f"{folder}: log-{generation} is in force already")
+            return EXIT_FAILED
+        wanted, store = _load_log(folder, generation), Store(folder)
         try:
             before = store.load() or {}
             value = store.read_generation(LOG, generation)
@@ -109,31 +119,31 @@
                                     "its group as a newcomer")
             if wanted.group_id != HardState.from_json(decode(before[BALLOT])).group_id:
                 raise UnusableError(f"{folder}: log-{generation}: is of another group than the votes here")
-            _replica(folder, {**before, LOG: value})
-            now, then = _held(before[LOG]), _version(_newest(wanted))
+            _load_replica(folder, {**before, LOG: value})
+            now, then = _stored_version(before[LOG]), _version(_newest_document(wanted))
             told = {"folder": str(folder), "generation": generation, "from": now, "to": then, "done": yes}
             if yes:
                 store.save({LOG: value})
         except (StorageError, ConsensusError) as error:
             raise UnusableError(f"{folder}: {error}") from error
     if json:
-        line(told)
+        print_json(told)
     else:
         print(f"{folder}: log-{generation} {'is' if yes else 'would be'} in force: "
               f"{'what could not be read' if now is None else f'version {now}'} "
               f"{'gave' if yes else 'gives'} way to version {then}")
     if not yes:
-        complain("nothing was changed: what was acknowledged after that generation is lost, where no "
-                 "majority of the other disks has it; --yes does it")
-    return DONE if yes else OFF
+        print_error("nothing was changed: what was acknowledged after that generation is lost, where no "
+                    "majority of the other disks has it; --yes does it")
+    return EXIT_OK if yes else EXIT_FAILED
 
 
-def _while(running: bool) -> str:
+def _running_note(running: bool) -> str:
     return ", while a limiter runs on it" if running else ""
 
 
 @contextlib.contextmanager
-def _marked(folder: Path, how: int) -> Iterator[bool]:
+def _lock_folder(folder: Path, how: int) -> Iterator[bool]:
     """Whether no limiter runs on a folder; with LOCK_EX none can start on it meanwhile."""
     try:
         mark = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
@@ -154,28 +164,28 @@
 
 
 @contextlib.contextmanager
-def _looked_at(folder: Path) -> Iterator[bool]:
+def _probe_running(folder: Path) -> Iterator[bool]:
     """Whether a limiter runs on it; a look must not keep one from starting, so the mark is let go at once."""
-    with _marked(folder, fcntl.LOCK_EX) as free:
+    with _lock_folder(folder, fcntl.LOCK_EX) as free:
         pass
     yield not free
 
 
 @contextlib.contextmanager
-def _alone(folder: Path) -> Iterator[None]:
-    with _marked(folder, fcntl.LOCK_EX) as free:
+def _exclusive(folder: Path) -> Iterator[None]:
+    with _lock_folder(folder, fcntl.LOCK_EX) as free:
         if not free:
             raise UnusableError(f"{folder}: {RUNNING}")
         yield
 
 
-def _rows(folder: Path) -> list[Row]:
+def _generation_rows(folder: Path) -> list[Row]:
     store, rows = Store(folder), []
     try:
         for one in store.list_generations():
             value = store.read_generation(one.key, one.number) if one.intact else None
             rows.append({"key": one.key, "number": one.number, "bytes": one.size_bytes, "whole": one.intact,
-                         "used": False, "what": _what(one.key, value)})
+                         "used": False, "what": _describe(one.key, value)})
     except StorageError as error:
         raise UnusableError(f"{folder}: {error}") from error
     newest = {row["key"]: row["number"] for row in rows if row["whole"]}       # they come by number
@@ -184,7 +194,7 @@
     return rows
 
 
-def _what(key: str, value: bytes | None) -> str:
+def _describe(key: str, value: bytes | None) -> str:
     if value is None:
         return "torn"
     try:
@@ -196,24 +206,24 @@
         if key == LOG:
             log = Log.from_bytes(value)
             known = _version(log.state.document)
-            return (f"version {_version(_newest(log))}, {known} known as acknowledged, "
+            return (f"version {_version(_newest_document(log))}, {known} known as acknowledged, "
                     f"entries to {log.last_index}, voters {','.join(sorted(log.voters.values()))}")
     except (ConsensusError, UnicodeDecodeError) as error:
         return f"can't be understood: {error}"
     return "unknown"
 
 
-def _newest(log: Log) -> Document | None:
+def _newest_document(log: Log) -> Document | None:
     """The newest configuration in a log. It may have been acknowledged, though that isn't known there yet:
     who leads appends first, and hears of the others' disks afterwards."""
     held = [entry.document for entry in log.entries if entry.document is not None]
     return held[-1] if held else log.state.document
 
 
-def _held(value: bytes) -> int | None:
+def _stored_version(value: bytes) -> int | None:
     """The version in a stored log; None where that can't be understood, which is a reason to replace it."""
     try:
-        return _version(_newest(Log.from_bytes(value)))
+        return _version(_newest_document(Log.from_bytes(value)))
     except ConsensusError:
         return None
 
@@ -222,35 +232,36 @@
     return int(document["version"]) if document is not None else 0
 
 
-def _log(folder: Path, number: int) -> Log:
+def _load_log(folder: Path, number: int) -> Log:
     try:
         value = Store(folder).read_generation(LOG, number)
         if value is not None:
             return Log.from_bytes(value)
     except (StorageError, ConsensusError) as error:
         raise UnusableError(f"{folder}: log-{number}: {error}") from error
-    there = [str(row["number"]) for row in _rows(folder) if row["key"] == LOG and row["whole"]]
+    there = [str(row["number"]) for row in _generation_rows(folder) if row["key"] == LOG and row["whole"]]
     raise UnusableError(f"{folder}: log-{number}: no whole generation: must be one of "
                         f"{', '.join(there) or 'none, as there is none'}")
 
 
-def _state(folder: Path) -> Document:
+def _folder_state(folder: Path) -> Document:
     store = Store(folder)
     try:
         stored = store.load()
-        identity = next((row for row in _rows(folder) if row["key"] == IDENTITY_KEY and row["used"]), None)
+        identity = next((row for row in _generation_rows(folder)
+                         if row["key"] == IDENTITY_KEY and row["used"]), None)
     except StorageError as error:
         raise UnusableError(f"{folder}: {error}") from error
-    replica = _replica(folder, stored or {})
+    replica = _load_replica(folder, stored or {})
     log = Log.from_bytes(stored[LOG]) if stored and LOG in stored else Log()
     dropped = replica.last_index < log.last_index  # it goes with no votes, or with those of another group
     return {"blank": stored is None, "disk": identity["what"].removeprefix("disk ") if identity else "",
-            "dropped": dropped, "version": 0 if dropped else _version(_newest(log)),
+            "dropped": dropped, "version": 0 if dropped else _version(_newest_document(log)),
             "acknowledged": replica.version, "term": replica.term, "founded": replica.founded,
             "voters": replica.voters}
 
 
-def _replica(folder: Path, stored: dict[str, bytes]) -> Replica:
+def _load_replica(folder: Path, stored: dict[str, bytes]) -> Replica:
     """What a limiter would start with; UnusableError where it could not."""
 
     def apply(document: Document | None, call: Call) -> Document:
--- a/larklb/cli/system_live.py
+++ b/larklb/cli/system_live.py
@@ -5,18 +5,18 @@
 import sys
 
 from larklb.cli.system_calls import (
-    DONE,
-    OFF,
+    EXIT_FAILED,
+    EXIT_OK,
     Caller,
     Fleet,
     Row,
     UnusableError,
-    addresses,
-    asked,
-    complain,
-    everyone,
-    line,
-    table,
+    fetch,
+    fetch_all,
+    parse_addresses,
+    print_error,
+    print_json,
+    print_table,
 )
 from larklb.schema import calls
 
@@ -24,14 +24,14 @@
 def _show(rows: list[Row], columns: tuple[str, ...], json: bool) -> None:
     if json:
         for row in rows:
-            line(row)
+            print_json(row)
     else:
-        table(rows, columns)
+        print_table(rows, columns)
 
 
-def _silent(fleet: Fleet) -> bool:
+def _report_silent(fleet: Fleet) -> bool:
     for node, why in fleet.silent.items():
-        complain(f"{node}: {why}")
+        print_error(f"{node}: {why}")
     return bool(fleet.silent)
 
 
@@ -43,11 +43,11 @@
     :param address: A limiter's control address, host:port; several with commas are tried in order.
     :param json: A JSON line for each limiter.
     """
-    found = asked(Caller(addresses(address)), calls.MEMBERS, "members", "node")
+    found = fetch(Caller(parse_addresses(address)), calls.MEMBERS, "members", "node")
     rows = [{**row, "core": bool(row["disk"]), "asked": row["node"] == found["node"]}
             for row in found["members"]]
     _show(rows, ("node", "state", "zone", "control", "number", "core", "life", "asked"), json)
-    return OFF if any(row["state"] != "up" for row in rows) or not rows else DONE
+    return EXIT_FAILED if any(row["state"] != "up" for row in rows) or not rows else EXIT_OK
 
 
 def servers(address: str, *, service: str = "", json: bool = False) -> int:
@@ -60,11 +60,12 @@
     :param json: A JSON line for each server.
     """
     query = {"service": service} if service else {}
-    found = asked(Caller(addresses(address)), calls.SERVERS, "servers", "id", **query)
+    found = fetch(Caller(parse_addresses(address)), calls.SERVERS, "servers", "id", **query)
     rows = found["servers"]
     _show(rows, ("id", "service", "state", "silent", "address", "zone", "slots", "software", "inHand",
                  "failures", "restsMs"), json)
-    return OFF if any(row["silent"] or row["state"] != "steady" for row in rows) or not rows else DONE
+    return (EXIT_FAILED if any(row["silent"] or row["state"] != "steady" for row in rows) or not rows
+            else EXIT_OK)
 
 
 def versions(address: str, *, json: bool = False) -> int:
@@ -75,7 +76,7 @@
     :param address: A limiter's control address, host:port; several with commas are tried in order.
     :param json: A JSON line for each limiter.
     """
-    fleet = everyone(Caller(addresses(address)), calls.COUNTS)
+    fleet = fetch_all(Caller(parse_addresses(address)), calls.COUNTS)
     rows: list[Row] = []
     for member in fleet.members:
         told = fleet.answers.get(member["node"])
@@ -83,7 +84,7 @@
                      "version": told["version"] if told else None, "digest": told["digest"] if told else "",
                      "ready": told["ready"] if told else None, "upMs": told["upMs"] if told else None})
     _show(rows, ("node", "state", "zone", "version", "digest", "ready", "upMs"), json)
-    off = _silent(fleet)
+    off = _report_silent(fleet)
     held: dict[int, list[str]] = {}
     for row in rows:
         if row["version"] is not None:
@@ -91,12 +92,12 @@
     newest = max(held, default=0)
     for version in sorted(held):
         if version != newest:
-            complain(f"version {version}, not {newest}: {', '.join(held[version])}")
+            print_error(f"version {version}, not {newest}: {', '.join(held[version])}")
     # A limiter that doesn't know its digest, as its home is another by now, is no proof against it.
     digests = {row["digest"] for row in rows if row["version"] == newest and row["digest"]}
     if len(digests) > 1:
-        complain(f"version {newest} is not the same everywhere: {', '.join(sorted(digests))}")
-    return OFF if off or len(held) != 1 or len(digests) > 1 else DONE
+        print_error(f"version {newest} is not the same everywhere: {', '.join(sorted(digests))}")
+    return EXIT_FAILED if off or len(held) != 1 or len(digests) > 1 else EXIT_OK
 
 
 def quota(address: str, tenant: str, *, json: bool = False) -> int:
@@ -108,15 +109,16 @@
     :param tenant: The tenant's name.
     :param json: A JSON line for each bucket and slice.
     """
-    fleet = everyone(Caller(addresses(address)), calls.QUOTAS, key="quotas", by="tenant", tenant=tenant)
+    fleet = fetch_all(Caller(parse_addresses(address)), calls.QUOTAS, key="quotas", by="tenant",
+                      tenant=tenant)
     numbers = {member["number"]: member["node"] for member in fleet.members}
     rows = [{"node": node, **row, "owner": node if row["role"] == "owner" else numbers.get(row["owner"], "")}
             for node, told in fleet.answers.items() for row in told["quotas"]]
     _show(rows, ("node", "role", "tokens", "rate", "burst", "owner", "askers", "apart", "untold"), json)
-    return OFF if _silent(fleet) else DONE
+    return EXIT_FAILED if _report_silent(fleet) else EXIT_OK
 
 
-def leading(rows: list[Row]) -> list[Row]:
+def current_leaders(rows: list[Row]) -> list[Row]:
     """Of the core machines' parts, those that lead in the newest term: an old leader that is cut off still
     thinks that it leads."""
     newest = max((row["term"] for row in rows), default=0)
@@ -131,12 +133,12 @@
     :param address: A limiter's control address, host:port; several with commas are tried in order.
     :param json: A JSON line for each core machine.
     """
-    fleet = everyone(Caller(addresses(address)), calls.CORE, lambda row: bool(row["disk"]))
+    fleet = fetch_all(Caller(parse_addresses(address)), calls.CORE, lambda row: bool(row["disk"]))
     rows: list[Row] = []
     for node, told in fleet.answers.items():
         if (part := told["core"]) is not None:
             rows.append({"node": node, **part})
-    leaders = leading(rows)
+    leaders = current_leaders(rows)
     voters: dict[str, str] = max(rows, key=lambda r: (r["term"], r["last"]), default={"voters": {}})["voters"]
     for row in rows:
         row["part"] = ("leader" if row in leaders else "voter" if row["disk"] in voters else "newcomer")
@@ -145,14 +147,14 @@
          "leader": row["voters"].get(row["leader"], "")} for row in rows]
     _show(shown, ("node", "part", "leader", "term", "voters", "version", "last", "commit", "disk", "saving",
                   "serves", "folder"), json)
-    off = _silent(fleet)
+    off = _report_silent(fleet)
     if len(leaders) != 1 or not leaders[0]["settled"]:
-        complain("nobody leads: no change is taken until a majority of the voters hears each other")
+        print_error("nobody leads: no change is taken until a majority of the voters hears each other")
         off = True
     for disk in sorted(voters.keys() - {row["disk"] for row in rows}):
-        complain(f"{voters[disk]}: its disk {disk} is a voter, and does not answer")
+        print_error(f"{voters[disk]}: its disk {disk} is a voter, and does not answer")
         off = True
-    return OFF if off else DONE
+    return EXIT_FAILED if off else EXIT_OK
 
 
 def counts(address: str, *, all: bool = False, json: bool = False) -> int:  # noqa: A002
@@ -165,21 +167,22 @@
     :param json: A JSON line for each limiter.
     """
     if all:
-        fleet = everyone(Caller(addresses(address)), calls.COUNTS)
+        fleet = fetch_all(Caller(parse_addresses(address)), calls.COUNTS)
         told = list(fleet.answers.values())
     else:
         fleet = None
-        told = [asked(Caller(addresses(address)), calls.COUNTS)]
+        told = [fetch(Caller(parse_addresses(address)), calls.COUNTS)]
     if json:
         for document in told:
-            line(document)
+            print_json(document)
     else:
         flat = {d["node"]: {f"{part}.{name}": value for part in ("open", "words", "counts")
                             for name, value in sorted(d[part].items())} for d in told}
         names = {name: None for one in flat.values() for name in one}
-        table([{"what": name, **{node: one.get(name, 0) for node, one in flat.items()}} for name in names],
-              ("what", *flat))
-    return OFF if fleet is not None and _silent(fleet) else DONE
+        print_table([{"what": name, **{node: one.get(name, 0) for node, one in flat.items()}}
+                     for name in names],
+                    ("what", *flat))
+    return EXIT_FAILED if fleet is not None and _report_silent(fleet) else EXIT_OK
 
 
 def metrics(address: str) -> int:
@@ -193,6 +196,6 @@
         from larklb.cli import system_metrics
     except ImportError as error:
         raise UnusableError(f"metrics needs a library, install larklb[metrics]: {error}") from error
-    fleet, text = system_metrics.told(Caller(addresses(address)))
+    fleet, text = system_metrics.collect(Caller(parse_addresses(address)))
     sys.stdout.write(text)
-    return OFF if _silent(fleet) else DONE
+    return EXIT_FAILED if _report_silent(fleet) else EXIT_OK
--- a/larklb/cli/system_metrics.py
+++ b/larklb/cli/system_metrics.py
@@ -14,8 +14,8 @@
 from prometheus_client.core import Metric
 from prometheus_client.registry import Collector
 
-from larklb.cli.system_calls import Caller, Fleet, Row, asked, everyone
-from larklb.cli.system_live import leading
+from larklb.cli.system_calls import Caller, Fleet, Row, fetch, fetch_all
+from larklb.cli.system_live import current_leaders
 from larklb.gateway.metrics import families, gauge
 from larklb.schema import calls
 
@@ -24,7 +24,7 @@
 
 
 @define(eq=False)         # the registry keeps it as a key
-class Told(Collector):
+class LimiterCollector(Collector):
     """All limiters' answers at one moment. ``servers``: as the first one that answered sees them; ``quotas``
     and ``cores``: rows, each with its ``node``."""
 
@@ -69,7 +69,7 @@
                           if key in row])
 
     def _core(self) -> Iterable[Metric]:
-        leaders = leading(self.cores)
+        leaders = current_leaders(self.cores)
         yield gauge("larklb_core_leader", "1 at the core machine that leads in the newest term.", ("node",),
                      [((row["node"],), row in leaders) for row in self.cores])
         yield gauge("larklb_core_settled", "1 if a leader takes changes now.", (),
@@ -88,23 +88,23 @@
             yield gauge(name, text, ("node",), [((row["node"],), row[key]) for row in self.cores])
 
 
-def told(caller: Caller) -> tuple[Fleet, str]:
+def collect(caller: Caller) -> tuple[Fleet, str]:
     """Asks all limiters; the exposition of what they say, and the limiters with those that are silent.
 
     SilentError where none answers."""
-    fleet = everyone(caller, calls.COUNTS)
+    fleet = fetch_all(caller, calls.COUNTS)
 
     def answered(row: Row) -> bool:
         # Who was silent once is not waited for again.
         return row["node"] in fleet.answers
 
-    quotas = everyone(caller, calls.QUOTAS, answered, key="quotas", by="tenant")
-    cores = everyone(caller, calls.CORE, lambda row: answered(row) and bool(row["disk"]))
+    quotas = fetch_all(caller, calls.QUOTAS, answered, key="quotas", by="tenant")
+    cores = fetch_all(caller, calls.CORE, lambda row: answered(row) and bool(row["disk"]))
     for later in (quotas, cores):
         fleet.silent |= later.silent
     registry = CollectorRegistry()
-    registry.register(Told(
-        fleet, asked(caller, calls.SERVERS, "servers", "id")["servers"],
+    registry.register(LimiterCollector(
+        fleet, fetch(caller, calls.SERVERS, "servers", "id")["servers"],
         [{"node": node, **row} for node, told in quotas.answers.items() for row in told["quotas"]],
         [{"node": node, **told["core"]} for node, told in cores.answers.items()
          if told["core"] is not None]))
--- a/larklb/cli/usage.py
+++ b/larklb/cli/usage.py
@@ -8,12 +8,22 @@
 
 import typer
 
-from larklb.cli.common import REFUSED, SILENT, AsJson, OperatorFile, asked, group, show, stop, usable
+from larklb.cli.common import (
+    EXIT_FAILED,
+    EXIT_REFUSED,
+    AsJson,
+    OperatorFile,
+    ask_instances,
+    command_group,
+    exit_error,
+    exit_on_config_error,
+    print_rows,
+)
 
 if TYPE_CHECKING:
     from larklb.settings import InstanceEntry, Operator
 
-usage = group("usage", "Use as it was counted, sealed and acknowledged.")
+usage = command_group("usage", "Use as it was counted, sealed and acknowledged.")
 
 
 def use_folder(operator: Path, loaded: Operator, entry: InstanceEntry) -> Path:
@@ -33,52 +43,53 @@
     from larklb.export.audit import read
     from larklb.settings import load_operator
     from larklb.state.log import LogError
-    with usable():
+    with exit_on_config_error():
         loaded = load_operator(operator)
         found = []
         for entry in loaded.instance:
             try:
                 found.append(told(entry.name, read(use_folder(operator, loaded, entry))))
             except LogError as error:
-                raise stop(error, SILENT) from error
+                raise exit_error(error, EXIT_FAILED) from error
     if as_json:
-        show(found, (), True)
+        print_rows(found, (), True)
         return
-    show([{"name": f["name"], "counted": f["counted"]["units"], "tries": f["counted"]["tries"],
-           "sealed": f["sealed"]["units"], "acknowledged": f["acknowledged"]["units"],
-           "in flight": f["open"], "waiting": f["waiting"], "in doubt": f["in_doubt"]} for f in found],
-         ("name", "counted", "tries", "sealed", "acknowledged", "in flight", "waiting", "in doubt"), False)
+    print_rows([{"name": f["name"], "counted": f["counted"]["units"], "tries": f["counted"]["tries"],
+                 "sealed": f["sealed"]["units"], "acknowledged": f["acknowledged"]["units"],
+                 "in flight": f["open"], "waiting": f["waiting"], "in doubt": f["in_doubt"]} for f in found],
+               ("name", "counted", "tries", "sealed", "acknowledged", "in flight", "waiting", "in doubt"),
+               False)
     if rows:
         print()
-        show([{"name": f["name"], **r} for f in found for r in f["rows"]],
-             ("name", "period", "account", "plan", "version", "class", "reservation", "units", "tries"),
-             False)
+        print_rows([{"name": f["name"], **r} for f in found for r in f["rows"]],
+                   ("name", "period", "account", "plan", "version", "class", "reservation", "units", "tries"),
+                   False)
     if in_doubt:
         print()
-        show([{"name": f["name"], **d} for f in found for d in f["doubts"]],
-             ("name", "job", "account", "units", "incarnation"), False)
+        print_rows([{"name": f["name"], **d} for f in found for d in f["doubts"]],
+                   ("name", "job", "account", "units", "incarnation"), False)
 
 
 @usage.command()
 def export(operator: OperatorFile, as_json: AsJson = False) -> None:
     """Seal what is counted and deliver it now; also for instances that do not run.  1 if some of it waits."""
     from larklb.settings import load_operator
-    with usable():
+    with exit_on_config_error():
         loaded = load_operator(operator)
         if loaded.export is None:
-            raise stop(f"{operator}: it names no receiver for use")
+            raise exit_error(f"{operator}: it names no receiver for use")
         found: list[dict[str, Any]] = []
         for entry in loaded.instance:
             answer: dict[str, Any] = {"silent": "it has no admin address"}
             if entry.admin:
                 one = type(loaded)(instance=[entry])
-                answer = next(a for _, a in asked(operator, one, lambda e: {"do": "usage.export"}))
+                answer = next(a for _, a in ask_instances(operator, one, lambda e: {"do": "usage.export"}))
             if "silent" in answer:
                 answer = asyncio.run(offline(operator, loaded, entry))
             found.append({"name": entry.name, **answer,
                           "word": answer.get("error") or answer.get("word", "")})
-    show(found, ("name", "sealed", "waiting", "word"), as_json)
-    raise typer.Exit(SILENT if any(f.get("waiting", 1) for f in found) else 0)
+    print_rows(found, ("name", "sealed", "waiting", "word"), as_json)
+    raise typer.Exit(EXIT_FAILED if any(f.get("waiting", 1) for f in found) else 0)
 
 
 async def offline(operator: Path, loaded: Operator, entry: InstanceEntry) -> dict[str, Any]:
@@ -111,7 +122,7 @@
     from larklb.export.audit import audit
     from larklb.settings import load_operator
     from larklb.state.log import LogError
-    with usable():
+    with exit_on_config_error():
         loaded = load_operator(operator)
         folder = received
         if folder is None and loaded.export is not None and loaded.export.folder:
@@ -120,10 +131,10 @@
             found = [audit(use_folder(operator, loaded, entry), entry.name, folder)
                      for entry in loaded.instance]
         except LogError as error:
-            raise stop(error, REFUSED) from error
-    show([f.row() for f in found], ("name", "counted", "uncut", "sealed", "waiting", "acknowledged",
-                                    "received", "differences"), as_json)
+            raise exit_error(error, EXIT_REFUSED) from error
+    print_rows([f.row() for f in found], ("name", "counted", "uncut", "sealed", "waiting", "acknowledged",
+                                          "received", "differences"), as_json)
     for f in found:
         for line in f.differences:
             print(f"{f.name}: {line}")
-    raise typer.Exit(REFUSED if any(f.differences for f in found) else 0)
+    raise typer.Exit(EXIT_REFUSED if any(f.differences for f in found) else 0)
--- a/larklb/cli/zones.py
+++ b/larklb/cli/zones.py
@@ -7,11 +7,19 @@
 
 import typer
 
-from larklb.cli.common import SILENT, AsJson, OperatorFile, gathered, show, stop, usable
+from larklb.cli.common import (
+    EXIT_FAILED,
+    AsJson,
+    OperatorFile,
+    exit_error,
+    exit_on_config_error,
+    gather_rows,
+    print_rows,
+)
 from larklb.cli.fleet import fleet
 
 UNITS = {"": 1.0, "s": 1.0, "m": 60.0, "h": 3600.0}
-MOST_S = 86400.0           # an operator's word ends by then
+MAX_OVERRIDE_S = 86400.0           # an operator's word ends by then
 
 zones = typer.Typer(no_args_is_help=True, add_completion=False,
                     help="Zones that the fleet has left, and its return to them.")
@@ -21,16 +29,16 @@
 Why = Annotated[str, typer.Option(help="The reason, for the log and for whoever looks.")]
 
 
-def seconds(text: str) -> float:
+def parse_duration(text: str) -> float:
     """Of ``90``, ``90s``, ``15m`` or ``2h``; ValueError where it is none of these, or not within a day."""
     found = re.fullmatch(r"(\d+(?:\.\d+)?)([smh]?)", text)
     value = float(found[1]) * UNITS[found[2]] if found else 0.0
-    if not 0.0 < value <= MOST_S:
+    if not 0.0 < value <= MAX_OVERRIDE_S:
         raise ValueError(f"{text!r} is no time within a day: 90s, 15m, 2h")
     return value
 
 
-def differences(rows: list[dict[str, Any]]) -> list[str]:
+def find_disagreements(rows: list[dict[str, Any]]) -> list[str]:
     """Zones of which instances hold different things, a line each."""
     states: dict[str, dict[str, list[str]]] = {}
     for r in rows:
@@ -49,20 +57,20 @@
 
 def _told(operator: OperatorFile, question: dict[str, Any], as_json: bool) -> None:
     from larklb.settings import load_operator
-    with usable():
-        rows, silent = gathered(operator, load_operator(operator), question, "zones")
+    with exit_on_config_error():
+        rows, silent = gather_rows(operator, load_operator(operator), question, "zones")
     rows.sort(key=lambda r: (r["zone"], r["name"]))
     if as_json:
-        show(rows, (), True)
+        print_rows(rows, (), True)
     else:
         named = [{**r, **{kind: "; ".join(f"n{o} ({ms} ms ago)" for o, ms in r[kind].items())
                           for kind in ("lost", "well")}} for r in rows]
-        show(named, ("zone", "name", "state", "part", "nodes", "left", "own", "verdict", "lost", "well",
-                     "override"), False)
-    differ = differences(rows)
+        print_rows(named, ("zone", "name", "state", "part", "nodes", "left", "own", "verdict", "lost", "well",
+                           "override"), False)
+    differ = find_disagreements(rows)
     for line in silent + differ:
         print(line)
-    raise typer.Exit(SILENT if silent or differ else 0)
+    raise typer.Exit(EXIT_FAILED if silent or differ else 0)
 
 
 @zones.command()
@@ -73,23 +81,23 @@
 
     Nothing is changed; 1 where something would not be served whole."""
     from larklb.settings import load_operator
-    with usable():
+    with exit_on_config_error():
         loaded = load_operator(operator)
-        rows, silent = gathered(operator, loaded, {"do": "zones.rehearse", "without": without}, "rows",
-                                lambda answer: {k: answer[k] for k in ("room", "rest")})
-    show(rows, ("name", "room", "rest", "class", "plan", "jobs", "served"), as_json)
+        rows, silent = gather_rows(operator, loaded, {"do": "zones.rehearse", "without": without}, "rows",
+                                   lambda answer: {k: answer[k] for k in ("room", "rest")})
+    print_rows(rows, ("name", "room", "rest", "class", "plan", "jobs", "served"), as_json)
     for line in silent:
         print(line)
-    raise typer.Exit(SILENT if silent or any(r["served"] < 1.0 for r in rows) else 0)
+    raise typer.Exit(EXIT_FAILED if silent or any(r["served"] < 1.0 for r in rows) else 0)
 
 
 def _override(operator: OperatorFile, zone: str, text: str, why: str, away: bool, as_json: bool) -> None:
     try:
-        for_s = seconds(text) if text else 0.0
+        for_s = parse_duration(text) if text else 0.0
     except ValueError as error:
-        raise stop(error) from error
+        raise exit_error(error) from error
     if for_s and not why.strip():
-        raise stop("--why is needed: whoever looks later wants to know")
+        raise exit_error("--why is needed: whoever looks later wants to know")
     _told(operator, {"do": "zones.override", "zone": zone, "away": away, "for_s": for_s, "why": why}, as_json)
 
 
--- a/tests/test_system_cli.py
+++ b/tests/test_system_cli.py
@@ -23,7 +23,7 @@
 
 from larklb.admission.quota_records import Allowance
 from larklb.cli import app, system, system_calls
-from larklb.cli.system_calls import Caller, SilentError
+from larklb.cli.system_calls import Caller, NoAnswerError
 from larklb.consensus.interface import Call
 from larklb.consensus.replica import Replica
 from larklb.gateway import messages, status
@@ -115,7 +115,7 @@
     caller = Caller([dead(answerer), busy.address, first.address], sleep=lambda s: None)
     answer = caller.call("GET", "/a")
     assert answer.document() == {"here": "/moved?x=1"} and answer.address == last.address
-    assert "refused" in caller.said[caller.addresses[0]] and caller.said[busy.address] == "status 503"
+    assert "refused" in caller.outcomes[caller.addresses[0]] and caller.outcomes[busy.address] == "status 503"
     ring = answerer(lambda path: (307, f"http://{busy.address}{path}"))
     for code, times in ((412, 1), (400, 1), (404, 3)):
         odd = answerer(lambda path, code=code: (code, {"text": "no"}))      # type: ignore[misc]
@@ -123,16 +123,16 @@
         assert len(odd.asked) == times, code
     now = iter(range(1000))
     pauses: list[float] = []
-    with pytest.raises(SilentError, match="503"):
+    with pytest.raises(NoAnswerError, match="503"):
         Caller([ring.address], clock=lambda: float(next(now)), sleep=pauses.append).call("GET", "/")
-    assert pauses == sorted(pauses) and pauses[0] < pauses[-1] <= system_calls.PAUSE_MOST_S
+    assert pauses == sorted(pauses) and pauses[0] < pauses[-1] <= system_calls.MAX_BACKOFF_S
 
 
 def test_replace_and_amend(answerer: Make, tmp_path: Path, capsys: pytest.CaptureFixture[str],
                            monkeypatch: pytest.MonkeyPatch) -> None:
     replies = iter([(503, {}), (200, {}), (412, {}), (400, {"text": "a: 1: b; c: 2: d"}), (200, {})])
     core = answerer(lambda path: next(replies))
-    monkeypatch.setattr(system_calls, "PAUSE_S", 0.0)
+    monkeypatch.setattr(system_calls, "INITIAL_BACKOFF_S", 0.0)
     whole, change = put(tmp_path, "new.json", json.dumps(CONFIGURATION, indent=1)), put(tmp_path, "c", CHANGE)
     assert system.main(["replace", core.address, whole, "--base", "0"]) == 0
     assert [body for _, _, body in core.asked] == [Path(whole).read_bytes()] * 2, "sent again unchanged"
@@ -152,7 +152,7 @@
     assert f"{bad}: hosts[0].paths[0].prefix: (missing): must be given" in err and "above 3" in err
     assert 'ADDRESS: "host": must be host:port' in err and "/none: No such file" in err
     assert len(core.asked) == 4, "what can't be used isn't sent"
-    monkeypatch.setattr(system_calls, "PATIENCE_S", 0.0)
+    monkeypatch.setattr(system_calls, "CALL_TIMEOUT_S", 0.0)
     caller = Caller([dead(answerer)], 0.0)
     monkeypatch.setattr("larklb.cli.system_config.Caller", lambda places: caller)
     assert system.main(["amend", core.address, change, "--base", "1"]) == 1
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -20,7 +20,7 @@
 
 from larklb import admin
 from larklb import interface as io
-from larklb.cli.zones import differences, seconds
+from larklb.cli.zones import find_disagreements, parse_duration
 from larklb.fleet import verdicts as vs
 from larklb.fleet import zones as zs
 from larklb.fleet.reach import Reach
@@ -292,13 +292,13 @@
 
 
 def test_the_commands_parse_durations_and_find_differences() -> None:
-    assert [seconds(t) for t in ("90", "90s", "1.5m", "2h")] == [90.0, 90.0, 90.0, 7200.0]
+    assert [parse_duration(t) for t in ("90", "90s", "1.5m", "2h")] == [90.0, 90.0, 90.0, 7200.0]
     for text in ("", "0", "25h", "-1s", "soon"):
         with pytest.raises(ValueError):
-            seconds(text)
+            parse_duration(text)
     rows = [{"name": n, "zone": "b", "state": s} for n, s in (("n0", "away"), ("n1", "doubted"))]
-    assert differences(rows) == ["zone b: away at n0, in use at n1"]
-    assert not differences([{**r, "state": "returning"} for r in rows])
+    assert find_disagreements(rows) == ["zone b: away at n0, in use at n1"]
+    assert not find_disagreements([{**r, "state": "returning"} for r in rows])
 
 
 def test_an_evacuated_zone_receives_only_probes() -> None:
