--- a/larklb/cli/system_live.py
+++ b/larklb/cli/system_live.py
@@ -118,7 +118,7 @@
     return EXIT_FAILED if _report_silent(fleet) else EXIT_OK
 
 
-def current_leaders(rows: list[Row]) -> list[Row]:
+def leading(rows: list[Row]) -> list[Row]:
     """Of the core machines' parts, those that lead in the newest term: an old leader that is cut off still
     thinks that it leads."""
     newest = max((row["term"] for row in rows), default=0)
@@ -138,7 +138,7 @@
     for node, told in fleet.answers.items():
         if (part := told["core"]) is not None:
             rows.append({"node": node, **part})
-    leaders = current_leaders(rows)
+    leaders = leading(rows)
     voters: dict[str, str] = max(rows, key=lambda r: (r["term"], r["last"]), default={"voters": {}})["voters"]
     for row in rows:
         row["part"] = ("leader" if row in leaders else "voter" if row["disk"] in voters else "newcomer")
@@ -196,6 +196,6 @@
         from larklb.cli import system_metrics
     except ImportError as error:
         raise UnusableError(f"metrics needs a library, install larklb[metrics]: {error}") from error
-    fleet, text = system_metrics.collect(Caller(parse_addresses(address)))
+    fleet, text = system_metrics.told(Caller(parse_addresses(address)))
     sys.stdout.write(text)
     return EXIT_FAILED if _report_silent(fleet) else EXIT_OK
--- a/larklb/cli/system_metrics.py
+++ b/larklb/cli/system_metrics.py
@@ -15,7 +15,7 @@
 from prometheus_client.registry import Collector
 
 from larklb.cli.system_calls import Caller, Fleet, Row, fetch, fetch_all
-from larklb.cli.system_live import current_leaders
+from larklb.cli.system_live import leading
 from larklb.gateway.metrics import families, gauge
 from larklb.schema import calls
 
@@ -69,7 +69,7 @@
                           if key in row])
 
     def _core(self) -> Iterable[Metric]:
-        leaders = current_leaders(self.cores)
+        leaders = leading(self.cores)
         yield gauge("larklb_core_leader", "1 at the core machine that leads in the newest term.", ("node",),
                      [((row["node"],), row in leaders) for row in self.cores])
         yield gauge("larklb_core_settled", "1 if a leader takes changes now.", (),
@@ -88,7 +88,7 @@
             yield gauge(name, text, ("node",), [((row["node"],), row[key]) for row in self.cores])
 
 
-def collect(caller: Caller) -> tuple[Fleet, str]:
+def told(caller: Caller) -> tuple[Fleet, str]:
     """Asks all limiters; the exposition of what they say, and the limiters with those that are silent.
 
     SilentError where none answers."""
