--- a/larklb/lab/check_consensus.py
+++ b/larklb/lab/check_consensus.py
@@ -1,30 +1,31 @@
-"""Explores what three core machines can come to over the configuration, exhaustively to a depth.
+"""Exhaustive exploration of the replicated configuration on three core machines, up to a depth.
 
-The machines run the real ``Replica``.  An event is one of: the oldest word of a link arrives; a replica's
-time runs out; a leader's heartbeat; an operator's call (two, on one base, each sent twice at the most); a
-machine starts again; and, each of these a fault, a word is lost, comes twice or overtakes older ones, power
-is lost, a disk is emptied (one at the most: the tolerance), a disk holds its next save.  A save that is held
-becomes durable, fails, or is lost with power, of each key apart; what arrives meanwhile waits for it.  All
-other saves are durable at once.  Words beyond ``LINK`` on a link push out the oldest; one that is on its way
-already isn't sent again.
+The machines run the real ``Replica``. These events are explored: the oldest message of a link arrives; a
+timeout of a replica expires; a leader sends a heartbeat; an operator makes a call (two on one base, each sent
+at most twice); a machine restarts. These events count as faults: a message is lost, duplicated or overtakes
+older ones; power is lost; a disk is emptied (at most one, which is the tolerance); a disk holds its next
+save. A held save becomes durable or fails, or power is lost and each key is independently durable or lost;
+messages that depend on the save wait for it. All other saves are durable at once. Messages beyond
+``MAX_LINK_MESSAGES`` on a link displace the oldest, and a message that is already under way isn't sent again.
 
-Each machine has its own clock; no word tells a time.  So a machine's state counts with times as ages, an
-event does the same to equal states, and is played once for each: worlds are numbers of states.  Random delays
-are pinned to their longest: the time-out is an event.
+Each machine has its own clock, and no message contains a time. States are therefore compared with times as
+ages, and an event is applied once to equal states; a world consists of state numbers. Random delays are fixed
+at their maximum, since the timeout is an event.
 
-What must hold in each world: no two changes acknowledged (or in force) on one base; what is acknowledged, and
-what a leader has committed, is on a majority of disks, less those emptied, and never changes; each later
-leader has what is acknowledged; what was refused isn't in force; a version never goes back within a life; one
-leader a term; a blank disk never votes.
+These invariants are checked in each world: no two changes on one base are acknowledged or in force;
+acknowledged changes and entries committed by a leader are on a majority of disks, less the emptied ones, and
+never change; each later leader has the acknowledged changes; a refused change isn't in force; a version never
+decreases within an incarnation; each term has one leader; a blank disk never votes.
 
     python -m larklb.lab.check_consensus [--depth N] [--faults K] [--worlds M] [--start NAME] [--seeded NAME]
 
-prints worlds, depth and what held; where something doesn't, the shortest trace, and exits 1.  From all ten
-starts, depth 5 with one fault: 653,275 worlds, reached whole, nothing broken. Before rounds and a fourth
-machine were part of the states: depth 6 with two faults, 3,617,986 worlds; depth 7 with one, 4,874,022;
-depth 9 with none, 4,963,942.  What takes more events from each of ``STARTS`` lies beyond: an
-acknowledgement that outlives the entry it tells of (replies kept over a new term) isn't found at depth 5
-with two faults; ``test_consensus`` guards against it."""
+prints the number of worlds, the depth and the invariants that held. On a violation it prints the shortest
+trace and exits with 1. From all ten starts, depth 5 with one fault has 653,275 worlds and no violation.
+Before rounds and a fourth machine were part of the states, depth 6 with two faults had 3,617,986 worlds,
+depth 7 with one had 4,874,022, and depth 9 with none had 4,963,942. Violations that take more events from
+each of ``STARTS`` aren't found: for example, an acknowledgement that outlives its entry (replies retained
+over a new term) isn't found at depth 5 with two faults; ``test_consensus`` guards against it.
+"""
 
 from __future__ import annotations
 
@@ -49,11 +50,12 @@
 
 
 def seeded(name: str) -> Explorer:
-    """Of replicas with this fault ('' for none)."""
+    """Returns an explorer of replicas with this seeded fault ('' for none)."""
     return Explorer(SEEDED[name], keep_id=name == "blank-disk-votes") if name else Explorer()
 
 
 def main(arguments: list[str] | None = None) -> int:
+    """Runs the command and returns its exit status."""
     parser = argparse.ArgumentParser(prog="python -m larklb.lab.check_consensus")
     parser.add_argument("--depth", type=int, default=DEPTH, help="events from a start")
     parser.add_argument("--faults", type=int, default=FAULTS, help="of them, at the most")
--- a/larklb/lab/consensus_breaks.py
+++ b/larklb/lab/consensus_breaks.py
@@ -1,4 +1,4 @@
-"""Replicas with a fault put in, each of which the exhaustive check must find."""
+"""Replicas with a seeded fault, each of which the exhaustive check must detect."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class SendsBeforeSave(CoarseRounds):
-    """Sends words before the save that they stand on is durable."""
+    """Sends messages before the save that they depend on is durable."""
 
     _late: Ready | None = None
 
@@ -32,7 +32,7 @@
 
 
 class VotesForAll(CoarseRounds):
-    """Votes for all who ask in a term."""
+    """Votes for every candidate in a term."""
 
     def _on_vote_request(self, sender: str, message: VoteRequest) -> None:
         if message.term == self.term:
@@ -50,7 +50,7 @@
 
 
 class AcceptsOlderSnapshots(CoarseRounds):
-    """Takes a snapshot that is older than what it has."""
+    """Installs a snapshot older than its committed log."""
 
     def _on_snapshot(self, sender: str, message: InstallSnapshot) -> None:
         if message.term == self.term and message.snapshot["index"] < self._log.commit_index:
@@ -67,14 +67,14 @@
 
 
 class VotesWithBlankDisk(CoarseRounds):
-    """Votes while its disk is blank, and the emptied disk keeps its id."""
+    """Votes with a blank disk; the explorer also lets the emptied disk keep its id."""
 
     def _may_vote(self) -> bool:
         return True
 
 
 class ForgetsVote(CoarseRounds):
-    """Forgets its term and vote at a start."""
+    """Loses its term and vote at a restart."""
 
     def __init__(self, *args: Any, **keywords: Any) -> None:
         super().__init__(*args, **keywords)
@@ -83,14 +83,14 @@
 
 
 class IgnoresFailedSaves(CoarseRounds):
-    """Takes a failed save for a durable one."""
+    """Treats a failed save as durable."""
 
     def saved(self, ok: bool) -> None:
         super().saved(True)
 
 
 class RefusesWithoutQuorum(CoarseRounds):
-    """Refuses at once, without a majority's word."""
+    """Refuses a change at once, without confirmation by a quorum."""
 
     def _process_changes(self) -> None:
         super()._process_changes()
@@ -101,7 +101,7 @@
 
 
 class CountsVotersFromCommit(CoarseRounds):
-    """Counts a change of the voters only from its commit on, and needs half of them."""
+    """Applies a change of the voters only when committed, and commits it without a quorum."""
 
     def _advance_commit(self) -> None:
         saved_state = self._log
--- a/larklb/lab/consensus_explorer.py
+++ b/larklb/lab/consensus_explorer.py
@@ -1,4 +1,4 @@
-"""Worlds of three or four core machines and the links between them, explored event by event to a depth."""
+"""Breadth-first exploration of worlds of three or four core machines and the links between them."""
 
 from __future__ import annotations
 
@@ -30,9 +30,12 @@
 
 @frozen(cache_hash=True)
 class History:
-    """What the checker remembers. ``leaders``: (term, disk); ``acked``: (call, term of who answered);
-    ``chain``: (version, base, identity) in force anywhere; ``sent``: how often each call was; ``committed``:
-    (index, term) at any leader."""
+    """The history of a world as far as the checker needs it.
+
+    ``leaders`` holds (term, disk); ``acked`` (call, term of the answering leader); ``chain`` (version, base,
+    identity) of all documents that were in force anywhere; ``sent`` how often each call was sent;
+    ``committed`` (index, term) of entries committed at any leader.
+    """
 
     leaders: frozenset[tuple[int, str]] = frozenset()
     acked: tuple[tuple[str, int], ...] = ()
@@ -46,7 +49,7 @@
 
 @define(eq=False)
 class World:
-    """Numbers of the three machines' states, the words under way on each link, and the history."""
+    """The numbers of the machines' states, the numbers of the messages on each link, and the history."""
 
     states: list[int]
     links: list[tuple[int, ...]]
@@ -54,7 +57,7 @@
 
 
 class Explorer:
-    """Plays events in worlds of one kind of replica, and checks them."""
+    """Applies events to worlds of one replica class, and checks the invariants."""
 
     def __init__(self, make: ReplicaFactory = CoarseRounds, keep_id: bool = False) -> None:
         self.machines = Machines(make, keep_id)
@@ -65,6 +68,7 @@
     # Worlds as bytes
 
     def pack(self, world: World) -> bytes:
+        """Encodes a world as bytes."""
         number = self._history_numbers.setdefault(world.history, len(self._histories))
         if number == len(self._histories):
             self._histories.append(world.history)
@@ -74,6 +78,7 @@
         return array("I", flat).tobytes()
 
     def unpack(self, packed: bytes) -> World:
+        """Decodes a world that ``pack`` encoded."""
         flat = array("I")
         flat.frombytes(packed)
         at, links = len(NODES) + 1, []
@@ -85,7 +90,7 @@
     # Events
 
     def events(self, world: World, faults: int) -> Iterator[tuple[Event, int]]:
-        """Those that may be next, with what each costs of the ``faults`` left."""
+        """Yields the possible next events, each with the number of the remaining ``faults`` that it uses."""
         views = [self.machines.views[state] for state in world.states]
         for link, (_, to) in enumerate(LINKS):
             waiting = world.links[link]
@@ -127,7 +132,11 @@
         return "xyz" if any(name == "x" for name, _ in history.acked) else "xy"
 
     def act(self, world: World, event: Event) -> None:
-        """Plays an event in the world. Raises BrokenError."""
+        """Applies an event to the world.
+
+        Raises:
+            InvariantViolationError: An invariant doesn't hold after it.
+        """
         name, at, what = event
         if name in ("arrives", "comes twice", "overtakes", "is lost"):
             waiting = world.links[at]
@@ -236,7 +245,11 @@
     # Starts
 
     def advance_to_voter_change(self, world: World, leader: int, nodes: str) -> None:
-        """Heartbeats until the leader has appended a change of the voters. Raises BrokenError."""
+        """Sends heartbeats until the leader has appended a change of the voters.
+
+        Raises:
+            InvariantViolationError: It hasn't after MAX_HEARTBEATS.
+        """
         before = self._voters(world, leader)
         for _ in range(MAX_HEARTBEATS):
             self.act(world, ("beats", leader, None))
@@ -250,13 +263,17 @@
         return replica.voters if replica is not None else {}
 
     def deliver_all(self, world: World, nodes: str = "".join(NODES)) -> None:
-        """Words arrive among these, the oldest first, until there are none."""
+        """Delivers messages among these nodes, the oldest first, until none are left."""
         links = [n for n, (i, j) in enumerate(LINKS) if NODES[i] in nodes and NODES[j] in nodes]
         while waiting := [n for n in links if world.links[n]]:
             self.act(world, ("arrives", waiting[0], 0))
 
     def start(self, name: str) -> World:
-        """A world of ``STARTS``. Raises BrokenError."""
+        """Builds the world of a start in ``STARTS``.
+
+        Raises:
+            InvariantViolationError: An invariant doesn't hold on the way to it.
+        """
         world = World(
             [self.machines.state(Machine(node, node)) for node in NODES], [()] * len(LINKS), History()
         )
@@ -291,11 +308,16 @@
     # Breadth first
 
     def explore(self, depth: int, faults: int, max_worlds: int, starts: tuple[str, ...] = ()) -> None:
-        """Plays all worlds to a depth or until there are ``most``; ``worlds`` and ``depth`` tell what was
-        reached whole. Raises FoundError."""
+        """Explores all worlds to a depth, or until there are ``max_worlds``.
+
+        ``worlds`` is then the number of worlds met, and ``depth`` the depth that was explored completely.
+
+        Raises:
+            CounterexampleError: An invariant doesn't hold; it contains a shortest trace.
+        """
         names = starts or tuple(STARTS)
-        min_faults: dict[bytes, int] = {}  # packed world -> the least faults with which it was met
-        parents, steps = array("I"), array("I")  # of each world in the order in which they were met
+        min_faults: dict[bytes, int] = {}  # packed world -> fewest faults with which it was reached
+        parents, steps = array("I"), array("I")  # per world, in the order of discovery
         numbers: dict[Event, int] = {}
         frontier, faults_used = list[bytes](), bytearray()
         for n, name in enumerate(names):
@@ -312,7 +334,7 @@
             reached, costs, following = list[bytes](), bytearray(), len(parents)
             for n, packed in enumerate(frontier):
                 if faults_used[n] > min_faults[packed]:
-                    continue  # met in the same depth with fewer
+                    continue  # reached with fewer faults at the same depth
                 parent = self.unpack(packed)
                 for event, cost in self.events(parent, faults - faults_used[n]):
                     world = World(list(parent.states), list(parent.links), parent.history)
@@ -356,7 +378,7 @@
         return f"{NODES[at]} {name}{tail}"
 
 
-#: All begin with three founded, ``a`` leading, and ``w`` acknowledged everywhere.
+#: Each start begins with three founders, ``a`` leading, and ``w`` acknowledged and on all machines.
 STARTS: dict[str, tuple[str, ...]] = {
     "led": (),
     "uncommitted": ("call ax",),
--- a/larklb/lab/consensus_machines.py
+++ b/larklb/lab/consensus_machines.py
@@ -1,7 +1,8 @@
-"""Core machines for the exhaustive check of the replicated store: real replicas, disks, and what they show.
+"""Core machines for the exhaustive check of the replicated store: real replicas with simulated disks.
 
-A machine's state counts with times as ages, an event does the same to equal states, and is played once for
-each: ``Machines`` keeps states and outcomes by number."""
+States are compared with times as ages. An event has the same effect on equal states and is applied only
+once to each: ``Machines`` stores states and outcomes by number.
+"""
 
 from __future__ import annotations
 
@@ -25,27 +26,27 @@
 from larklb.consensus.timing import Timing
 
 TIMING = Timing()
-NODES = ("a", "b", "c", "d")  # the last one is there only from the start ``fourth`` on
+NODES = ("a", "b", "c", "d")  # the last one takes part only in starts that start it
 FOUNDERS = 3
 LINKS = tuple((i, j) for i in range(len(NODES)) for j in range(len(NODES)) if i != j)
 MAJORITY = 2
-MAX_LINK_MESSAGES = 3  # words under way on a link
-MAX_CALL_SENDS = 2  # times that an operator sends a call
-TIMEOUT_MS = 1400.0  # ms, beyond the longest of an election and of a leader without word of a majority
-HEARTBEAT_MS = 150.0  # ms, the leader's heartbeat
-MAX_HEARTBEATS = 60  # in which a silent voter must be about to be replaced
+MAX_LINK_MESSAGES = 3  # messages under way on a link
+MAX_CALL_SENDS = 2  # an operator sends each call at most this often
+TIMEOUT_MS = 1400.0  # exceeds the longest election timeout and the quorum timeout of a leader
+HEARTBEAT_MS = 150.0  # interval of the leader's heartbeats
+MAX_HEARTBEATS = 60  # the replacement of a silent voter must begin within these
 
 ReplicaFactory = Callable[..., Replica]
 Event = tuple[str, int, Any]
-SentMessage = tuple[str, int]  # the receiver's disk, the word's number
+SentMessage = tuple[str, int]  # receiver's disk, message number
 
 
 class InvariantViolationError(AssertionError):
-    """Something doesn't hold."""
+    """An invariant doesn't hold."""
 
 
 class CounterexampleError(AssertionError):
-    """A world in which something doesn't hold; ``steps`` lead there from the start ``start``."""
+    """A world that violates an invariant; ``steps`` lead to it from the start ``start``."""
 
     def __init__(self, reason: str, start: str, steps: list[str]) -> None:
         super().__init__(f"{reason}, {len(steps)} steps from '{start}': " + "; ".join(steps))
@@ -53,7 +54,7 @@
 
 
 class LongestDelays(random.Random):
-    """Delays are the longest; a group_id is always the same."""
+    """Random source that returns the longest delays and a fixed group_id."""
 
     def uniform(self, a: float, b: float) -> float:
         return b
@@ -66,14 +67,16 @@
 
 
 def apply(document: dict[str, Any] | None, call: Call) -> dict[str, Any]:
+    """Applies a call; the document records its version, base and identity."""
     return {"version": call.body["version"], "base": call.base, "identity": call.identity}
 
 
-#: Name -> base and version; ``w`` is taken before the start, ``z`` is sent once ``x`` is acknowledged.
+#: Name -> base and version; ``w`` is applied before the start, ``z`` is sent after ``x`` is acknowledged.
 CALLS = {"w": (0, 1), "x": (1, 2), "y": (1, 3), "z": (2, 4)}
 
 
 def make_call(name: str) -> Call:
+    """Returns the call with this name in ``CALLS``."""
     base, version = CALLS[name]
     return Call("replace", base, {"version": version}, f"call-{name}")
 
@@ -82,7 +85,7 @@
 
 
 def _clone(value: Any) -> Any:
-    """A copy that shares what is never changed: words, entries, snapshots."""
+    """Returns a deep copy that shares immutable values: messages, entries, snapshots."""
     kind = type(value)
     if kind is dict:
         return {key: _clone(part) for key, part in value.items()}
@@ -100,7 +103,7 @@
     return value
 
 
-#: Times of a replica, and the age from which on all count alike: nothing compares them with a greater one.
+#: Time fields of a replica, with the age in ms beyond which ages are equivalent: no larger one is compared.
 MAX_AGES_MS = {
     "_leader_contact_at": TIMING.election_timeout[1] + HEARTBEAT_MS,
     "_proposed_at": FOUNDING_RETRY_MS,
@@ -116,16 +119,18 @@
     "_present_since": MIN_PRESENCE_MS,
     "_reported_at": VOTER_SILENCE_MS,
 }
-#: A deadline is over whenever a time-out comes.
+#: Fields left out of the comparison. The election deadline has always expired when a timeout event occurs.
 IGNORED_FIELDS = {"_now", "_rng", "_apply", "_tolerance", "_timing", "_election_deadline", "node", "encoded"}
 
 
 class CoarseRounds(Replica):
-    """Begins a new round only where a call waits for one, so that there are few states. A round that is sent
-    again proves no more: whoever answers it has heard of it after the call that asked for it."""
+    """Begins a new round only if a call waits for one, which keeps the number of states small.
+
+    Resending a round is safe: whoever answers it received it after the call that requested it.
+    """
 
     def _stamp(self) -> Stamp:
-        """No message tells a time; what stamps are for is checked in ``control_faults``."""
+        """Returns a constant, as no message contains a time; ``control_faults`` checks the use of stamps."""
         return 0, 0.0
 
     def _broadcast(self) -> None:
@@ -136,7 +141,7 @@
 
 
 def _canonical(name: str, value: Any, now: float) -> Any:
-    """By what states are told apart: everything, with times as ages and sets in order."""
+    """Returns the canonical form in which states are compared: times as ages, sets sorted."""
     if isinstance(value, float) and name in MAX_AGES_MS:
         return max(-MAX_AGES_MS[name], value - now)
     if isinstance(value, dict):
@@ -156,7 +161,10 @@
 
 @define(eq=False)
 class Machine:
-    """``held``: the next save stays under way; ``after``: the words that wait for it."""
+    """A core machine.
+
+    If ``held``, its next save stays under way, and ``deferred`` contains the messages that wait for it.
+    """
 
     node: str
     disk: str
@@ -168,6 +176,7 @@
     deferred: list[tuple[str, dict[str, Any]]] = field(factory=list)
 
     def copy(self) -> Machine:
+        """Returns a copy that can change independently."""
         copied = evolve(self, stored=dict(self.stored), deferred=list(self.deferred))
         if self.replica is not None:
             copied.replica = type(self.replica).__new__(type(self.replica))
@@ -175,6 +184,7 @@
         return copied
 
     def digest(self) -> bytes:
+        """Returns a hash of the canonical state."""
         replica_state = (
             None
             if self.replica is None
@@ -267,7 +277,7 @@
 
 @frozen
 class Outcome:
-    """Of one event at one machine: its next state's number, words, and answers (call, status)."""
+    """Effect of an event on a machine: number of the next state, messages, and answers (call, status)."""
 
     state: int
     messages: tuple[SentMessage, ...]
@@ -275,18 +285,19 @@
 
 
 class Machines:
-    """All states of machines met so far, and what each event did to each."""
+    """All states of machines reached so far, and the outcome of each event applied to them."""
 
     def __init__(self, make: ReplicaFactory, keep_id: bool = False) -> None:
         self.make, self.keep_id = make, keep_id
         self.states: list[Machine] = []
         self.views: list[MachineView] = []
-        self.messages: list[tuple[str, str, str]] = []  # sender's disk, receiver's, JSON
+        self.messages: list[tuple[str, str, str]] = []  # sender's disk, receiver's disk, JSON
         self._state_numbers: dict[bytes, int] = {}
         self._message_numbers: dict[tuple[str, str, str], int] = {}
         self._outcomes: dict[tuple[int, str, Any], Outcome] = {}
 
     def state(self, machine: Machine) -> int:
+        """Returns the number of the machine's state."""
         digest = machine.digest()
         number = self._state_numbers.setdefault(digest, len(self.states))
         if number == len(self.states):
@@ -295,6 +306,7 @@
         return number
 
     def message_number(self, sender: str, receiver: str, message: dict[str, Any]) -> int:
+        """Returns the number of a message."""
         entry = (sender, receiver, json.dumps(message, sort_keys=True))
         number = self._message_numbers.setdefault(entry, len(self.messages))
         if number == len(self.messages):
@@ -302,7 +314,11 @@
         return number
 
     def apply_event(self, state: int, name: str, what: Any) -> Outcome:
-        """Raises BrokenError."""
+        """Returns the outcome of an event in a state.
+
+        Raises:
+            InvariantViolationError: An invariant of the machine doesn't hold after it.
+        """
         key = (state, name, what)
         if key not in self._outcomes:
             self._outcomes[key] = self._apply_event(self.states[state].copy(), name, what)
--- a/larklb/lab/control_breaks.py
+++ b/larklb/lab/control_breaks.py
@@ -1,4 +1,4 @@
-"""Guards of the control side, each of which can be taken out to see that a simulated day finds it missing."""
+"""Guards of the control side that can be disabled to check that a simulated day detects their absence."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @define(frozen=True)
 class Break:
-    """``scenario``: in which it must be found; ``cores``: with a core of so many (0: of any)."""
+    """The replacements that disable a guard, and the scenario and core size (0: any) that must detect it."""
 
     scenario: str
     changes: Callable[[], list[Change]]
@@ -210,7 +210,7 @@
 
 @contextmanager
 def without(name: str) -> Iterator[None]:
-    """Takes a guard out for a while."""
+    """Disables a guard within the context."""
     changes = BREAKS[name].changes()
     kept = [(owner, attribute, vars(owner).get(attribute)) for owner, attribute, _ in changes]
     try:
--- a/larklb/lab/control_callers.py
+++ b/larklb/lab/control_callers.py
@@ -1,9 +1,9 @@
-"""Operators and servers of a simulated day: they call as the protocol says, and judge by what they are
-answered.
+"""Operators and servers of a simulated day, which follow the protocol and check the answers they receive.
 
-An operator takes any machine from a list that lags, sends an order again as it was after a second of
-silence, a 5xx or a lost answer, with a pause that grows, and holds a 200 or a 412 for final. Servers beat
-where they were told to, else anywhere, and before they leave they say so until it is acknowledged.
+An operator sends an order to any machine. It retries the unchanged order with an increasing backoff after a
+second without an answer, a 5xx or a lost answer, and treats a 200 or a 412 as final. A server sends its
+heartbeats to the machine that the last answer named, or else to any. Before it leaves, it reports that it is
+draining until this is acknowledged.
 """
 
 from __future__ import annotations
@@ -21,16 +21,19 @@
 from larklb.lab.control_world import NETWORK_DELAY_MS, Machine, World
 from larklb.registry.registry import DRAINING, STEADY, Server
 
-CALL_TIMEOUT_MS = 1_000.0  # after which a caller turns to another machine
-RETRY_BACKOFF_MS = (80.0, 900.0)  # between two tries: the first, and the longest
-RETRY_LIMIT_MS = 25_000.0  # of an order without a clear answer: it may be in force or not
-ORDER_MARKER = 1_000  # added to an order's number: by it a document tells which order brought it
-DRAIN_GRACE_MS = 3_000.0  # that a server serves on once its drain is acknowledged
-MAX_STALENESS_MS = 1_500.0  # a machine may tell a version for so long after a newer one was acknowledged
+CALL_TIMEOUT_MS = 1_000.0  # without an answer; the caller then tries another machine
+RETRY_BACKOFF_MS = (80.0, 900.0)  # between attempts: initial, max
+# An order without a final answer is retried for this long; it may be in force or not.
+RETRY_LIMIT_MS = 25_000.0
+# Added to the number of an order; the sum, stored in its document, identifies the order.
+ORDER_MARKER = 1_000
+DRAIN_GRACE_MS = 3_000.0  # a server runs on for so long after its drain is acknowledged
+# A machine may send out a version for this long after a newer one was acknowledged.
+MAX_STALENESS_MS = 1_500.0
 
 
 def encode_configuration(number: int, version: int) -> str:
-    """A whole configuration that names its order."""
+    """Encodes a complete configuration that identifies the order with this number."""
     service = {"name": "orders", "probe": "/up", "saturation": ORDER_MARKER + number}
     limits = {"headerBytes": 16384, "bodyBytes": 1048576, "headerMs": 3000, "idleMs": 15000}
     return json.dumps(
@@ -39,7 +42,7 @@
 
 
 def decode_configuration(document: dict[str, Any] | None) -> tuple[int, str]:
-    """The version of a document, and the name of the order that brought it."""
+    """Returns the version of a document and the name of its order, or (0, "") without a document."""
     if document is None:
         return 0, ""
     return int(document["version"]), f"order {document['services'][0]['saturation'] - ORDER_MARKER}"
@@ -47,20 +50,20 @@
 
 @define
 class Call:
-    """One try of a caller; answered or given up once."""
+    """One attempt of a caller, which is answered or abandoned exactly once."""
 
     open: bool = True
 
 
 @define
 class Operators:
-    """All operators of a day, and the history of what they were answered."""
+    """All operators of a day, and the history of their calls and answers."""
 
     world: World
     history: History = field(factory=History)
-    newest_version: int = 0  # the newest version that they know of
-    answer_loss_rate: float = 0.0  # the share of answers that get lost
-    answers_lost_at: float = 0.0  # when answers were lost last
+    newest_version: int = 0  # the newest version that any answer has shown
+    answer_loss_rate: float = 0.0  # fraction of answers that are lost
+    answers_lost_at: float = 0.0  # when the last period of lost answers ended
     versions_in_force: dict[str, int] = field(factory=dict)
     acknowledged: int = 0
     sent: int = 0
@@ -82,7 +85,7 @@
         self.versions_in_force[name] = version
 
     def order(self, base: int, version: int) -> Order:
-        """Sends a new order."""
+        """Sends a new order on version ``base`` that writes ``version``."""
         self.sent += 1
         name = f"order {self.sent}"
         order = Order(name, base, version, encode_configuration(self.sent, version), self.world.now)
@@ -92,7 +95,7 @@
         return order
 
     def _check_acknowledged(self, order: Order) -> None:
-        """An order without an answer, though the core was settled long enough."""
+        """Checks that the order isn't left unanswered while the core is undisturbed for ``ackMs``."""
         now, bounds = self.world.now, self.world.bounds
         if self._is_answered(order) or now - order.begin > RETRY_LIMIT_MS:
             return
@@ -110,7 +113,7 @@
         return order.acknowledged < float("inf") or order.refused < float("inf")
 
     def _send(self, order: Order, pause: float, unresponsive: Machine | None = None) -> None:
-        """To any machine but the one that was ``silent``."""
+        """Sends the order to any machine except the ``unresponsive`` one."""
         if self.world.now - order.begin > RETRY_LIMIT_MS:
             return
         others = [machine for machine in self.world.machines.values() if machine is not unresponsive]
@@ -128,7 +131,7 @@
             elif result is not None and result.status == 400:
                 raise InvariantViolationError(f"{order.name} is valid, and answered 400: {result.text}")
             else:
-                # Where nobody listens the next machine is tried soon; who says 'not now' is given time.
+                # Without an answer the next machine is tried soon; after a 5xx the backoff applies.
                 delay_ms = pause if result is not None else RETRY_BACKOFF_MS[0]
                 again = min(RETRY_BACKOFF_MS[1], 1.6 * pause)
                 next_unresponsive = machine if result is None else None
@@ -137,13 +140,13 @@
         self.send_call(lambda plane, done: plane.operator_call(self.world.now, call, done), answered, machine)
 
     def resend(self, order: Order) -> None:
-        """An order that may long be answered is sent once more, as after a lost answer."""
+        """Resends an order, which may have been answered already, as after a lost answer."""
         self._send(order, RETRY_BACKOFF_MS[0])
 
     def read(
         self, machine: Machine | None = None, done: Callable[[Read], object] = lambda read: None
     ) -> None:
-        """Reads the newest version somewhere."""
+        """Reads the newest version at ``machine`` or any; ``done`` gets the result of a successful read."""
         begin = self.world.now
 
         def answered(result: CallResult | None) -> None:
@@ -166,7 +169,7 @@
         answered: Callable[[CallResult | None], object],
         machine: Machine | None = None,
     ) -> None:
-        """A call at some machine; ``answered`` once, with None where no answer comes."""
+        """Sends a call to ``machine`` or any; ``answered`` runs once, with None if no answer arrives."""
         world, call = self.world, Call()
         machine = machine or world.rng.choice(list(world.machines.values()))
         incarnation = machine.incarnation
@@ -192,7 +195,7 @@
 
 @define
 class SimulatedServer:
-    """One life of a server."""
+    """One incarnation of a server."""
 
     row: Server
     report_to: str = ""
@@ -203,17 +206,17 @@
 
 @define
 class Servers:
-    """Servers that beat, leave in order and are replaced."""
+    """Servers that send heartbeats, drain before they leave, and are replaced."""
 
     world: World
     operators: Operators
     servers: dict[str, SimulatedServer] = field(factory=dict)
     started_count: int = 0
-    verified_drains: int = 0  # acknowledged, and looked up at all limiters in touch
-    on_drained: Callable[[Machine], object] | None = None  # once, with the core machine that says so
+    verified_drains: int = 0  # acknowledged drains that were checked at all connected machines
+    on_drained: Callable[[Machine], object] | None = None  # called once, with the core machine
 
     def start(self) -> None:
-        """A new server begins to beat."""
+        """Starts a new server."""
         self.started_count += 1
         name = f"s{self.started_count}"
         zone = self.world.rng.choice(["north", "south", "east"])
@@ -247,7 +250,7 @@
         )
 
     def drain(self) -> None:
-        """Some server is about to end."""
+        """Begins to drain a random server, and starts another one in its place."""
         steady = [server for server in self.servers.values() if not server.draining]
         if steady:
             server = self.world.rng.choice(steady)
@@ -260,13 +263,13 @@
         if self._is_connected(machine):
             self.world.at(bounds.drain_ms, lambda: self._check_drain_propagated(server, now))
         if self.on_drained is not None and (core := self._core_of(machine)) is not None:
-            server.stopped = True  # or its next beat would tell another core machine
+            server.stopped = True  # its next heartbeat would inform another core machine
             callback, self.on_drained = self.on_drained, None
             callback(core)
         self.world.at(DRAIN_GRACE_MS, lambda: self._stop(server))
 
     def _core_of(self, machine: Machine) -> Machine | None:
-        """The core machine that settles servers' calls which come to ``machine``."""
+        """The core machine that handles server calls received by ``machine``."""
         if machine.core is not None:
             return machine
         home_core = machine.plane.subscriber.home if machine.plane is not None else ""
@@ -281,9 +284,10 @@
         )
 
     def _check_drain_propagated(self, server: SimulatedServer, acknowledged: float) -> None:
-        """All know of a drain who have had no trouble for ``contactMs``.
+        """Checks that all machines undisturbed for ``contactMs`` know of an acknowledged drain.
 
-        Nothing else may have happened to the core but the loss, just then, of the machine that said so.
+        The check is skipped if the core was disturbed after the acknowledgement. The loss of the
+        acknowledging machine at the moment of the acknowledgement doesn't count.
         """
         if self.world.loss_rate or self.world.core_disturbed_at > acknowledged:
             return
--- a/larklb/lab/control_day.py
+++ b/larklb/lab/control_day.py
@@ -1,6 +1,7 @@
-"""One simulated day of the control side: its course, its callers, and the faults of its scenario.
+"""One simulated day of the control side: its schedule, its callers, and the faults of its scenario.
 
-What a scenario is for stands in ``control_faults``, its faults in ``control_day_faults``."""
+``control_faults`` describes the scenarios, and ``control_day_faults`` defines their faults.
+"""
 
 from __future__ import annotations
 
@@ -15,23 +16,25 @@
 from larklb.lab.control_world import World
 
 SCENARIOS = ("cut", "races", "replacement", "history", "answers", "mixed")
-LENGTH_MS = 40_000.0  # of a day, without its beginning and end
-MAX_FOUNDING_MS = 12_000.0  # in which a group must have been founded and taken its first order
+LENGTH_MS = 40_000.0  # of the part with faults, without founding and final checks
+# Time limit for founding a group and acknowledging the first order.
+MAX_FOUNDING_MS = 12_000.0
 
-GAP_MS = {"history": (40.0, 160.0), "races": (60.0, 500.0)}  # between orders; else ...
+#: Time between orders, (min, max), for scenarios that don't use DEFAULT_GAP_MS.
+GAP_MS = {"history": (40.0, 160.0), "races": (60.0, 500.0)}
 DEFAULT_GAP_MS = (200.0, 1_200.0)
 FAULT_GAP_MS = (300.0, 3_500.0)
 
 
 @define
 class Day:
-    """One day, by its scenario, its seed, and the size of its core."""
+    """One simulated day, determined by its scenario, seed, core size and tolerance."""
 
     scenario: str
     seed: int
     cores: int
     tolerance: int
-    max_faults: int = 1 << 30  # of the day, the first ones
+    max_faults: int = 1 << 30  # faults after these aren't injected
     length: float = LENGTH_MS
     world: World = field(init=False)
     operators: Operators = field(init=False)
@@ -48,7 +51,11 @@
     # The course of a day --------------------------------------------------------------------
 
     def play(self) -> None:
-        """Raises BrokenError."""
+        """Runs the day.
+
+        Raises:
+            InvariantViolationError: An invariant doesn't hold.
+        """
         self._found_group()
         for _ in range(3):
             self.servers.start()
@@ -61,7 +68,7 @@
         self._finish()
 
     def _found_group(self) -> None:
-        """A first start, at times with as many machines away as a founding bears."""
+        """Founds the group, at times with as many machines absent as founding allows."""
         world = self.world
         cores = world.cores()
         absent_count = min(self.tolerance, self.cores - 2 * self.tolerance)
@@ -81,8 +88,10 @@
             self.faults.mark_lost(machine, 0.0)
 
     def _finish(self) -> None:
-        """All faults end; then an order is acknowledged in time, and what is read fits all that was
-        answered."""
+        """Ends all faults and runs the final checks.
+
+        An order must be acknowledged in time, and a final read must be consistent with all answers.
+        """
         world, bounds = self.world, self.world.bounds
         self.operators.paused, self.operators.answer_loss_rate = True, 0.0
         world.heal()
--- a/larklb/lab/control_day_faults.py
+++ b/larklb/lab/control_day_faults.py
@@ -1,4 +1,4 @@
-"""The faults of a simulated day of the control side."""
+"""The faults that can be injected into a simulated day of the control side."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from larklb.lab.control_history import InvariantViolationError
 from larklb.lab.control_world import Machine, World
 
-#: The faults of each scenario, with how often each is drawn.
+#: The faults of each scenario with their weights in the random choice.
 FAULTS: dict[str, dict[str, int]] = {
     "cut": {
         "cut": 6,
@@ -69,30 +69,33 @@
     },
 }
 
-FAIL_FAST_MS = (
-    300.0  # in which a machine that is cut off answers that it is: messages on the way, a turn, spare
-)
-SNAPSHOT_LAG_MS = 6_000.0  # away for so long, a machine lacks more changes than are kept as entries
+# Time limit for a machine that is cut off to reject a call: network delay, one tick, and a margin.
+FAIL_FAST_MS = 300.0
+# After this absence, a machine lacks more changes than the log retains as entries.
+SNAPSHOT_LAG_MS = 6_000.0
 
 
 @define
 class Faults:
-    """Brings faults about in a world. A core machine counts as lost while its trouble lasts and for
-    ``convergenceS`` after it; never more are lost at once than ``tolerance``, but all may lose power
-    together."""
+    """Injects faults into a world.
+
+    A core machine counts as lost during its fault and for the convergence bound after it. No more than
+    ``tolerance`` machines are lost at once, except that all of them may lose power together.
+    """
 
     world: World
     operators: Operators
     servers: Servers
     tolerance: int
-    lost: dict[str, float] = field(factory=dict)  # core machines that count as lost, and until when
+    # Core machines that count as lost, with the time at which each ceases to.
+    lost: dict[str, float] = field(factory=dict)
 
     def inject(self, name: str) -> None:
-        """The fault of a name in ``FAULTS``."""
+        """Injects the fault with this name, a key of ``FAULTS``."""
         getattr(self, f"_{name}")()
 
     def mark_lost(self, machine: Machine, duration_ms: float) -> None:
-        """It counts as lost while its trouble lasts, and for ``convergenceS`` after it."""
+        """Counts the machine as lost for ``duration_ms`` and the convergence bound after it."""
         self.lost[machine.node] = self.world.now + duration_ms + self.world.bounds.convergence_ms
 
     def _remaining_tolerance(self) -> int:
@@ -104,7 +107,7 @@
         return cores[0] if cores else None
 
     def _choose_target(self, leader: bool = False) -> Machine | None:
-        """A core machine that may be lost now."""
+        """Returns a core machine that may be lost now, the leader if ``leader`` and possible, or None."""
         if self._remaining_tolerance() <= 0:
             return None
         candidates = [m for m in self.world.cores() if m.up and m.node not in self.lost]
@@ -134,7 +137,7 @@
         self.world.at(duration_ms, lambda: self.world.reconnect(machine))
 
     def _check_fails_fast(self, machine: Machine, incarnation: int) -> None:
-        """A machine that has reached no other core machine for ``contactMs`` doesn't let callers wait."""
+        """Checks that a machine without contact to the core for ``contactMs`` rejects calls at once."""
         sent_at, undisturbed_before = self.world.now, self.world.now - self.world.bounds.contact_ms
         if (
             machine.incarnation != incarnation
@@ -168,7 +171,7 @@
         self._cut(leader=True)
 
     def _cut_and_restart(self) -> None:
-        """A machine restarts behind a cut, and a limiter finds only it among its seeds."""
+        """Restarts a machine that is cut off while a limiter has only this machine as a seed."""
         if (machine := self._choose_target()) is None:
             return
         self.mark_lost(machine, 12_000.0)
@@ -197,7 +200,7 @@
         self.world.at(duration_ms, lambda: self.world.thaw(machine))
 
     def _send_order_to(self, machine: Machine) -> None:
-        """An order and a read lie at a machine that stands still; at a day's end there are no new orders."""
+        """Sends an order and a read to this machine, which may be frozen, unless orders are paused."""
         if self.operators.paused:
             return
         base = self.operators.newest_version
@@ -256,7 +259,7 @@
         self.world.at(duration_ms, lambda: self.world.restart(machine))
 
     def _wipe_after_ack(self) -> None:
-        """As many as may be lost lose their disks right after an acknowledgement; the others lose power."""
+        """Wipes ``tolerance`` disks right after an acknowledgement; the other core machines lose power."""
         if self._remaining_tolerance() < self.tolerance:
             return
         before = self.operators.acknowledged
@@ -296,7 +299,7 @@
         return machine
 
     def _planned(self) -> None:
-        """The successor first; then the other is told to end."""
+        """Adds a replacement, then shuts the replaced machine down in order."""
         if (machine := self._choose_target(self.world.rng.random() < 0.5)) is None:
             return
         self.mark_lost(machine, 8_000.0)
@@ -305,7 +308,7 @@
         self.world.at(5_600.0, partial(self._remove_if_present, machine))
 
     def _replacement_stopped(self) -> None:
-        """A successor is lost on its way into the group; the machine that it was to replace stays."""
+        """Removes a replacement while it joins the group; the machine that it was to replace stays."""
         if self._remaining_tolerance() <= 0:
             return
         replacement = self._add_replacement()
@@ -313,7 +316,7 @@
 
     def _stop_replacement(self, replacement: Machine) -> None:
         if replacement.node not in self.lost and self._remaining_tolerance() <= 0:
-            return  # it has come to count, and no other may be lost now
+            return  # it is a voter by now, and no further machine may be lost
         self.mark_lost(replacement, 0.0)
         self._remove_if_present(replacement)
 
@@ -330,7 +333,7 @@
         self.world.at(grace_ms + 500.0, lambda: self.world.restart(machine))
 
     def _away(self) -> None:
-        """Away for hundreds of changes."""
+        """Stops or cuts off a machine for hundreds of changes."""
         if (machine := self._choose_target()) is None:
             return
         duration_ms = self.world.rng.uniform(8_000, 20_000)
@@ -343,7 +346,7 @@
             self.world.at(duration_ms, lambda: self.world.reconnect(machine))
 
     def _restarts(self) -> None:
-        """Killed again and again while it catches up, on a slow disk."""
+        """Kills a machine with a slow disk repeatedly while it catches up."""
         if (machine := self._choose_target()) is None:
             return
         self.mark_lost(machine, 8_000.0)
@@ -354,8 +357,10 @@
         self.world.at(8_000.0, lambda: self.world.set_disk_mode(machine, "well"))
 
     def _leader_lost_on_return(self) -> None:
-        """A machine that lacks changes is back just as the leader loses power; one that had to catch up by a
-        snapshot before gets a late copy of that."""
+        """Reconnects a machine that lacks changes just as the leader loses power.
+
+        A machine that had to catch up by a snapshot before receives a late duplicate of it.
+        """
         if self._choose_target() is None or (leader := self._leader()) is None:
             return
         others = [m for m in self.world.cores() if m is not leader and m.up and m.node not in self.lost]
@@ -382,7 +387,7 @@
         self.world.at(self.world.rng.uniform(1_500, 3_000), lambda: self.world.restart(leader))
 
     def _drain_and_lose(self) -> None:
-        """The core machine that acknowledges a drain loses power at once, and the server ends."""
+        """Cuts the power of the core machine that acknowledges a drain at once, and ends the server."""
         if self._remaining_tolerance() <= 0:
             return
 
@@ -398,7 +403,7 @@
         self.servers.drain()
 
     def _loss(self) -> None:
-        """Messages between all machines are lost, come twice and late."""
+        """Drops, duplicates and delays messages between all machines."""
         world = self.world
         world.note("messages are lost and repeated")
         world.loss_rate, world.duplicate_rate, world.core_disturbed_at = 0.1, 0.1, world.now
@@ -410,7 +415,7 @@
         self.world.core_disturbed_at = self.world.now
 
     def _lost_answers(self) -> None:
-        """Answers to callers get lost."""
+        """Drops answers to callers."""
         self.world.note("answers to callers get lost")
         self.operators.answer_loss_rate = 0.5
         self.world.at(4_000.0, self._end_lost_answers)
@@ -419,7 +424,7 @@
         self.operators.answer_loss_rate, self.operators.answers_lost_at = 0.0, self.world.now
 
     def _resend(self) -> None:
-        """An old order is sent once more, as after a lost answer."""
+        """Resends an acknowledged order, as after a lost answer."""
         orders = [o for o in self.operators.history.orders.values() if o.acknowledged < math.inf]
         if orders:
             order = self.world.rng.choice([*orders[-80:], orders[0]])
@@ -427,7 +432,7 @@
             self.operators.resend(order)
 
     def _late_answers(self) -> None:
-        """A limiter ends with calls passed on, and what answers them comes late, to its next process."""
+        """Restarts a limiter with forwarded calls under way, so that answers reach its next process."""
         limiters = [m for m in self.world.machines.values() if m.disk is None and m.up]
         if not limiters:
             return
@@ -443,7 +448,7 @@
         world.at(2_500.0, self._end_loss)
 
     def _limiter(self) -> None:
-        """A machine without a disk is restarted, at times at once."""
+        """Restarts a limiter, at times without delay."""
         limiters = [m for m in self.world.machines.values() if m.disk is None and m.up]
         if not limiters:
             return
--- a/larklb/lab/control_faults.py
+++ b/larklb/lab/control_faults.py
@@ -1,30 +1,31 @@
-"""Days of the control side under faults, in simulated time: the real control plane of a whole core and some
-limiters.
-
-Six scenarios: five that bring about what operators fear most, and ``mixed``.
-
-    cut          a core machine cut off for 20 s, frozen, slow or with a hanging disk, and asked all the
-                 while; one that has just acknowledged a drain is lost
-    races        operators on one version, eight orders at once, answers lost, orders sent again late
-    replacement  disks lost, machines replaced or told to end, replacements stopped half way, a second loss
-                 as soon as the first counts as mended
-    history      hundreds of changes while a member is away, restarted again and again, on slow disks; the
-                 leader lost as it comes back
-    answers      messages that are lost, come twice or late, processes that end and begin anew: answers to
+"""Fault injection for the control side in simulated time: the real control plane of a core and some limiters.
+
+There are six scenarios, the last of which combines the others.
+
+    cut          a core machine is cut off for 20 s, frozen, or has a slow, full or hanging disk, and is
+                 called meanwhile; a machine that has just acknowledged a drain is lost
+    races        concurrent orders on one version (up to eight), lost answers, and late retries
+    replacement  lost disks, machines replaced or shut down, replacements that are interrupted, and a second
+                 loss as soon as the first one counts as repaired
+    history      hundreds of changes while a member is absent, is restarted repeatedly or has a slow disk; the
+                 leader is lost as the member returns
+    answers      lost, duplicated and late messages, and restarted processes, which may cause answers to reach
                  the wrong call
-    mixed        all of it
+    mixed        all of these
 
-What must hold is judged from answers (``control_history``): the orders' history is linearizable, nothing
-acknowledged is lost or refused, nothing refused is in force, no machine hands out an old version, an order
-is acknowledged within ``ackMs`` of a settled core, an acknowledged drain is known to all in touch within
-``drainMs``, a machine that is cut off gives up at once.
+The following invariants are checked, mostly on the answers to callers (``control_history``): the history of
+the orders is linearizable; no acknowledged order is lost or refused; no refused order is in force; no machine
+sends out a stale version; an order is acknowledged within ``ackMs`` of the core being undisturbed; all
+connected machines know of an acknowledged drain within ``drainMs``; a machine that is cut off rejects calls
+at once.
 
     python -m larklb.lab.control_faults [--days N] [--seed S] [--scenario NAME] [--core N] [--jobs J]
     [--break NAME]
 
-prints progress; on a failure the seed, the shortest prefix of the day that still fails and its steps, and
-exits 1. ``--break NAME`` takes one guard out (``all``: one after the other) and exits 1 if that isn't found
-in 300 days."""
+prints progress. On a failure it prints the seed, the shortest prefix of the day that still fails and its
+steps, and exits with 1. ``--break NAME`` disables one guard (``all``: each in turn) and exits with 1 if a
+disabled guard isn't detected within 300 days.
+"""
 
 from __future__ import annotations
 
@@ -42,8 +43,8 @@
 from larklb.lab.control_day import LENGTH_MS, SCENARIOS, Day
 from larklb.lab.control_history import InvariantViolationError
 
-MAX_DETECTION_DAYS = 300  # in which a guard that is out must be found
-SHOWN_STEPS = 60  # steps of a day that failed, the last ones
+MAX_DETECTION_DAYS = 300  # a disabled guard must be detected within so many days
+SHOWN_STEPS = 60  # last steps printed of a failed day
 CORES = (3, 3, 3, 4, 5, 5, 6, 7, 8)
 
 
@@ -52,7 +53,7 @@
 
 @define(frozen=True)
 class Task:
-    """A day that is to be played, in a process of its own or not."""
+    """Parameters of a simulated day. ``length`` is in ms; ``guard`` names a disabled guard, if any."""
 
     scenario: str
     seed: int
@@ -62,14 +63,14 @@
 
     @property
     def tolerance(self) -> int:
-        """The most disks that this core may lose at once; at times one less, for cores of five and more."""
+        """Disks that may be lost at once: the maximum for the core, or one less in some larger cores."""
         max_tolerance = (self.cores - 1) // 2
         return max_tolerance if self.seed % 2 or max_tolerance == 1 else max_tolerance - 1
 
 
 @define(frozen=True)
 class Outcome:
-    """``why`` is empty where nothing broke."""
+    """The result of a day; ``reason`` is empty if all invariants held."""
 
     task: Task
     reason: str = ""
@@ -78,7 +79,7 @@
 def generate_tasks(
     days: int, seed: int, scenario: str = "", cores: int = 0, guard: str = ""
 ) -> Iterator[Task]:
-    """The days of a run."""
+    """Yields the tasks of a run, which cycle through scenarios and core sizes."""
     names = (scenario,) if scenario else SCENARIOS
     for number in range(seed, seed + days):
         yield Task(
@@ -87,14 +88,14 @@
 
 
 def play_day(task: Task, faults: int = 1 << 30) -> tuple[Outcome, Day]:
-    """Plays a day, or its first faults."""
+    """Runs a day with at most its first ``faults`` faults."""
     with without(task.guard) if task.guard else nullcontext():
         day = Day(task.scenario, task.seed, task.cores, task.tolerance, faults, task.length)
         try:
             day.play()
         except InvariantViolationError as error:
             return Outcome(task, str(error)), day
-        except Exception as error:  # a fault of the program under test, as a process would end by it
+        except Exception as error:  # an unhandled error would end a real process
             if not task.guard:
                 logging.getLogger(__name__).exception("the day ended by an error")
             return Outcome(task, f"{type(error).__name__}: {error}"), day
@@ -102,13 +103,13 @@
 
 
 def play_task(task: Task) -> Outcome:
-    """Plays a day; for a pool of processes."""
+    """Runs a day in a worker process."""
     logging.getLogger("larklb").setLevel(logging.CRITICAL)
     return play_day(task)[0]
 
 
 def shortest_failing_prefix(task: Task) -> tuple[Outcome, Day]:
-    """The fewest first faults of a day that still break something."""
+    """Reruns a failed day with the fewest first faults that still fail."""
     result, day = play_day(task)
     for faults in range(day.fault_count):
         attempt, shorter_day = play_day(task, faults)
@@ -118,7 +119,7 @@
 
 
 def play_all(jobs: int, all_tasks: Iterable[Task]) -> Iterator[Outcome]:
-    """Each as it is played."""
+    """Runs all tasks and yields their outcomes as they complete."""
     if jobs <= 1:
         yield from map(play_task, all_tasks)
         return
@@ -127,7 +128,7 @@
 
 
 def run_days(days: int, seed: int, scenario: str, cores: int, jobs: int) -> int:
-    """Plays days until one breaks something; the exit status."""
+    """Runs days until one fails, and returns the exit status."""
     started_at, count = time.monotonic(), 0
     for result in play_all(jobs, generate_tasks(days, seed, scenario, cores)):
         count += 1
@@ -156,7 +157,7 @@
 
 
 def days_until_detected(guard: str, days: int, seed: int, jobs: int) -> int | None:
-    """After how many days a guard that is out was found; None if it wasn't."""
+    """Returns after how many days a disabled guard was detected, or None."""
     scenario = BREAKS[guard].scenario
     for count, result in enumerate(
         play_all(jobs, generate_tasks(days, seed, scenario, BREAKS[guard].cores, guard)), 1
@@ -172,7 +173,7 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """The command."""
+    """Runs the command and returns its exit status."""
     parser = argparse.ArgumentParser(prog="python -m larklb.lab.control_faults")
     parser.add_argument("--days", type=int, default=600)
     parser.add_argument("--seed", type=int, default=1, help="of the first day")
--- a/larklb/lab/control_history.py
+++ b/larklb/lab/control_history.py
@@ -1,9 +1,10 @@
-"""Judges a day of the control side by what its callers were answered alone.
+"""Linearizability checker for a day of the control side, based on the answers to its callers alone.
 
-The configuration is a register with compare-and-set: an order on version B writes the next version if B is
-current. Each call has a beginning and, if it was answered clearly, an end. The versions that a last read
-finds, followed by what each built on, give the order of all writes; the history is linearizable if each
-write and each answer has a moment inside its call at which it was true."""
+The configuration is a compare-and-set register: an order on base version B writes its version if B is
+current. Each call has a start and, if it got a final answer, an end. The version found by the last read,
+followed back through the base of each order, gives the sequence of all writes. The history is linearizable if
+each write and each answer can be assigned a moment within its call at which it was true.
+"""
 
 from __future__ import annotations
 
@@ -13,25 +14,25 @@
 
 
 class InvariantViolationError(AssertionError):
-    """Something that must hold doesn't."""
+    """An invariant of the control side doesn't hold."""
 
 
 @define
 class Order:
-    """A change, sent as often as need be: one call in the history."""
+    """A configuration change. All its attempts together are one call in the history."""
 
     name: str
     base: int
     version: int
     body: str
     begin: float
-    acknowledged: float = math.inf  # when the first clear answer came
+    acknowledged: float = math.inf  # time of the first 200; math.inf without one
     refused: float = math.inf
 
 
 @define(frozen=True)
 class Read:
-    """The version that a read found (0: none), and when it was under way."""
+    """A completed read: the version found (0: none), its order, and the start and end of the call."""
 
     version: int
     order: str
@@ -41,13 +42,17 @@
 
 @define
 class History:
-    """All calls of a day."""
+    """All calls of a day and their answers."""
 
     orders: dict[str, Order] = field(factory=dict)
     reads: list[Read] = field(factory=list)
 
     def acknowledge(self, order: Order, now: float) -> None:
-        """An order was answered with 200."""
+        """Records a 200 for the order.
+
+        Raises:
+            InvariantViolationError: It was refused, or another order on its base was acknowledged.
+        """
         if order.refused < math.inf:
             raise InvariantViolationError(f"{order.name} was refused, and is acknowledged")
         for other in self.orders.values():
@@ -58,17 +63,25 @@
         order.acknowledged = min(order.acknowledged, now)
 
     def refuse(self, order: Order, now: float) -> None:
-        """An order was answered with 412."""
+        """Records a 412 for the order.
+
+        Raises:
+            InvariantViolationError: It was acknowledged.
+        """
         if order.acknowledged < math.inf:
             raise InvariantViolationError(f"{order.name} was acknowledged, and is refused")
         order.refused = min(order.refused, now)
 
     def newest_acknowledged(self, before: float = math.inf) -> int:
-        """The newest version that had an acknowledgement before a moment."""
+        """Returns the newest version acknowledged before this time, or 0."""
         return max((o.version for o in self.orders.values() if o.acknowledged < before), default=0)
 
     def check(self, last: Read) -> None:
-        """Whether the whole history can be true, given what is read at its end."""
+        """Checks that the history is linearizable, given the read at its end.
+
+        Raises:
+            InvariantViolationError: It isn't.
+        """
         chain = self._write_chain(last)
         chain_names = {order.name for order in chain}
         for order in self.orders.values():
--- a/larklb/lab/control_world.py
+++ b/larklb/lab/control_world.py
@@ -1,10 +1,11 @@
-"""A core and some limiters in simulated time: the real control plane on a simulated network and simulated
-disks.
+"""Deterministic simulation of a core and some limiters.
 
-Everything that happens follows from the seed. Messages are encoded and decoded as between processes; they are
-lost, come twice and overtake each other. A machine that stands still finds them when it goes on, before its
-own timers. A save takes time, may fail or hang, and of one under way when power is lost each value is there
-or not, by itself. The files below these values have a simulation of their own (``tests/test_storage.py``).
+The real control plane runs on a simulated network and simulated disks, in simulated time.
+
+All events follow from the seed. Messages are encoded and decoded as between processes, and may be lost,
+duplicated and reordered. A frozen machine buffers messages and processes them on thaw, before its own timers.
+A save takes time and may fail or hang. If power is lost during a save, each of its values is independently
+durable or lost. The file layer below these values is simulated separately (``tests/test_storage.py``).
 """
 
 from __future__ import annotations
@@ -28,14 +29,15 @@
 from larklb.membership.members import Member
 
 CORE_TICK_MS, TICK_MS = 50.0, 100.0
-NETWORK_DELAY_MS = (0.2, 2.0)  # one way
-LATE_DELAY_MS = (20.0, 1500.0)  # of a message that is overtaken
-SYNC_DURATIONS_MS = ((2.0, 8.0), (2.0, 8.0), (15.0, 40.0))  # of a save on a disk that is well
+NETWORK_DELAY_MS = (0.2, 2.0)  # one way, (min, max)
+LATE_DELAY_MS = (20.0, 1500.0)  # extra delay of a message that is overtaken, (min, max)
+# Duration of a save on a healthy disk: each world draws one (min, max).
+SYNC_DURATIONS_MS = ((2.0, 8.0), (2.0, 8.0), (15.0, 40.0))
 SLOW_SYNC_DURATION_MS = (80.0, 250.0)
-MAX_BUFFERED_MESSAGES = 2_000  # messages that wait at a machine that stands still
+MAX_BUFFERED_MESSAGES = 2_000  # messages buffered for a frozen machine
 ZONES = ("north", "south", "east")
 CONTROL_PORT = 8407
-#: Terms of a day, in ms: the usual ones, shorter and longer ones.
+#: Time bounds of a simulated day: the defaults, shorter and longer ones.
 BOUNDS = (
     Bounds(),
     Bounds(),
@@ -49,47 +51,52 @@
 
 @define
 class Timer:
-    """One that goes off unless it is cancelled."""
+    """A timer that runs ``action`` unless it is cancelled."""
 
     action: Callable[[], object] | None
 
     def cancel(self) -> None:
-        """It doesn't go off any more."""
+        """Cancels the timer; it has no effect after the timer has run."""
         self.action = None
 
 
 @define(eq=False)
 class Machine:
-    """A machine that outlives its processes; ``disk``: the values that are durable, None without a disk."""
+    """A machine, which outlives its processes.
+
+    ``disk`` holds the durable values by key, or is None for a machine without a disk.
+    """
 
     node: str
     zone: str
     disk: dict[str, bytes] | None
     disk_id: str = ""
-    disk_mode: str = "well"  # or slow, full, hanging
+    disk_mode: str = "well"  # or "slow", "full", "hanging"
     plane: ControlPlane | None = None
     incarnation: int = 0
-    version: int = 0  # in force in this life
+    version: int = 0  # configuration version in force in this incarnation
     frozen: bool = False
     leaving: bool = False
     buffered: deque[Callable[[], object]] = field(factory=lambda: deque(maxlen=MAX_BUFFERED_MESSAGES))
     saving: Ready | None = None
-    undisturbed_since: float = 0.0  # without any trouble of its own
+    undisturbed_since: float = 0.0  # time of the last disturbance of this machine
 
     @property
     def up(self) -> bool:
-        """Whether its process runs and moves."""
+        """Whether its process runs and isn't frozen."""
         return self.plane is not None and not self.frozen
 
     @property
     def core(self) -> Core | None:
-        """Its part as a core machine."""
+        """The core replica of its process, or None."""
         return self.plane.core if self.plane is not None else None
 
 
 class World:
-    """``cores`` machines with disks and ``limiters`` without; ``tolerance`` of the disks may be lost at
-    once."""
+    """A simulated installation of ``cores`` machines with disks and ``limiters`` without.
+
+    ``tolerance`` is the number of disks that may be lost at once. Times are in simulated ms.
+    """
 
     def __init__(self, seed: int, cores: int = 3, tolerance: int = 1, limiters: int = 2) -> None:
         self.rng = random.Random(seed)
@@ -103,14 +110,14 @@
         self.loss_rate = 0.0
         self.duplicate_rate = 0.0
         self.bootstrap = True
-        self.healed = False  # no faults begin any more
-        self.log: list[str] = []  # what was done, as readable text
+        self.healed = False  # no new faults are injected
+        self.log: list[str] = []  # trace of the run as readable text
         self.on_configuration_sent: Callable[[Machine, int], object] = lambda machine, version: None
         self.on_configuration_applied: Callable[[Machine, Document], object] = lambda machine, document: None
-        self.core_disturbed_at = 0.0  # when the core was last in trouble
+        self.core_disturbed_at = 0.0  # time of the last disturbance of any core machine
         self.leaders: dict[int, str] = {}
         self._last_disk_number = 0
-        self._snapshots: dict[str, tuple[str, bytes]] = {}  # by receiver: sender and line of the last one
+        self._snapshots: dict[str, tuple[str, bytes]] = {}  # last one by receiver: sender, encoded message
         for index in range(cores):
             self.add_core(f"c{index}", start=False)
         for index in range(limiters):
@@ -120,12 +127,12 @@
     # Time -----------------------------------------------------------------------------------
 
     def at(self, delay: float, action: Callable[[], object]) -> None:
-        """Something happens after ``delay`` ms."""
+        """Schedules ``action`` after ``delay`` ms."""
         self._event_count += 1
         heapq.heappush(self._events, (self.now + delay, self._event_count, action))
 
     def run(self, ms: float) -> None:
-        """Lets time pass."""
+        """Advances the simulated time by ``ms`` and runs the events that become due."""
         end = self.now + ms
         while self._events and self._events[0][0] <= end:
             self.now, _, action = heapq.heappop(self._events)
@@ -133,13 +140,13 @@
         self.now = end
 
     def note(self, text: str) -> None:
-        """A step of the day, for whoever reads its trace."""
+        """Appends a line to the trace."""
         self.log.append(f"{self.now / 1000.0:8.3f} s  {text}")
 
     # Machines -------------------------------------------------------------------------------
 
     def add_core(self, node: str, start: bool = True) -> Machine:
-        """A core machine with a blank disk."""
+        """Adds a core machine with a blank disk, and starts it if ``start``."""
         self._last_disk_number += 1
         machine = Machine(node, ZONES[len(self.machines) % len(ZONES)], {}, f"d{self._last_disk_number}")
         self.machines[node] = machine
@@ -152,13 +159,13 @@
         return [machine for machine in self.machines.values() if machine.disk is not None]
 
     def start(self, machine: Machine) -> None:
-        """A new process, with what the disk holds."""
+        """Starts a new process from the contents of the disk."""
         machine.incarnation += 1
         machine.frozen = machine.leaving = False
         machine.version, machine.saving = 0, None
         machine.buffered.clear()
         settings = self._settings(machine)
-        member_incarnation = int(self.now) + machine.incarnation  # the time of day, which rises
+        member_incarnation = int(self.now) + machine.incarnation  # increases, as the wall clock does
         member = Member(machine.node, machine.node, machine.zone, member_incarnation, machine.disk_id)
         rng = random.Random(self.rng.randrange(1 << 30))
         plane = ControlPlane(
@@ -308,7 +315,7 @@
             self._snapshots[ip] = (machine.node, line)
 
     def repeat_snapshot(self, machine: Machine) -> None:
-        """A copy of the last snapshot that was sent to a machine comes once more."""
+        """Delivers a duplicate of the last snapshot that was sent to the machine, if any."""
         if machine.node in self._snapshots:
             sender, line = self._snapshots[machine.node]
             self.at(self.rng.uniform(*NETWORK_DELAY_MS), lambda: self._deliver(sender, machine.node, line))
@@ -324,8 +331,10 @@
         self._check_single_leader(machine)
 
     def call(self, machine: Machine, action: Callable[[ControlPlane], object]) -> None:
-        """A caller's connection brings a call; one that stands still finds it when it goes on, before or
-        after the messages of other machines."""
+        """Delivers a caller's request to the machine.
+
+        A frozen machine handles it on thaw, before or after the buffered messages of other machines.
+        """
         if machine.plane is None:
             return
         if not machine.frozen:
@@ -337,23 +346,23 @@
     # Faults ---------------------------------------------------------------------------------
 
     def is_healthy(self, machine: Machine) -> bool:
-        """Whether nothing is wrong with it now."""
+        """Whether the machine runs, isn't leaving, and has a healthy disk and all its links."""
         reachable = all(machine.node not in pair for pair in self.blocked_links)
         return machine.up and not machine.leaving and machine.disk_mode == "well" and reachable
 
     def is_cut_off(self, machine: Machine) -> bool:
-        """Whether no message passes between it and any other core machine."""
+        """Whether all links between it and the other core machines are blocked in both directions."""
         others = [other.node for other in self.cores() if other is not machine]
         return all({(machine.node, other), (other, machine.node)} <= self.blocked_links for other in others)
 
     def mark_disturbed(self, machine: Machine) -> None:
-        """This machine is in trouble now, or just was."""
+        """Records a disturbance of the machine at the current time."""
         machine.undisturbed_since = self.now
         if machine.disk is not None:
             self.core_disturbed_at = self.now
 
     def kill(self, machine: Machine, power: bool = False) -> None:
-        """Ends the process; of a save under way each value is durable or not by itself."""
+        """Ends the process; each value of a save under way is independently durable or lost."""
         if not self.healed:
             self._stop(machine, power)
 
@@ -370,14 +379,14 @@
         machine.incarnation += 1
 
     def restart(self, machine: Machine) -> None:
-        """Starts its process, if none runs."""
+        """Starts a process on the machine if none runs."""
         if machine.plane is None and self.machines.get(machine.node) is machine:
             self.note(f"{machine.node} starts")
             self.mark_disturbed(machine)
             self.start(machine)
 
     def wipe(self, machine: Machine) -> None:
-        """Loses power, and its disk's contents."""
+        """Ends the process and replaces the disk by a blank one."""
         if self.healed:
             return
         self.kill(machine, power=True)
@@ -386,7 +395,7 @@
         machine.disk, machine.disk_id = {}, f"d{self._last_disk_number}"
 
     def remove(self, machine: Machine) -> None:
-        """Gone for good."""
+        """Removes the machine permanently."""
         if self.healed and machine.plane is not None:
             return
         self.kill(machine, power=True)
@@ -394,7 +403,7 @@
         del self.machines[machine.node]
 
     def freeze(self, machine: Machine) -> None:
-        """Stands still; its messages wait."""
+        """Suspends the machine; its messages are buffered."""
         if self.healed:
             return
         self.note(f"{machine.node} stands still")
@@ -402,7 +411,7 @@
         machine.frozen = True
 
     def thaw(self, machine: Machine) -> None:
-        """Goes on: first with the messages that have come, then with its timers."""
+        """Resumes a frozen machine, which handles its buffered messages before its timers."""
         if not machine.frozen:
             return
         self.note(f"{machine.node} goes on")
@@ -412,7 +421,7 @@
             machine.buffered.popleft()()
 
     def cut_off(self, machine: Machine, others: list[Machine], one_way: bool) -> None:
-        """Messages between these are lost, or only its own (``one_way``)."""
+        """Blocks the links between the machine and ``others``, or only its outgoing ones if ``one_way``."""
         if self.healed:
             return
         self.note(f"{machine.node} is cut off from {', '.join(o.node for o in others)}{' one way' * one_way}")
@@ -423,14 +432,14 @@
                 self.blocked_links.add((other.node, machine.node))
 
     def reconnect(self, machine: Machine) -> None:
-        """Its cuts end."""
+        """Unblocks all links of the machine."""
         if any(machine.node in pair for pair in self.blocked_links):
             self.note(f"{machine.node} is reached again")
             self.mark_disturbed(machine)
             self.blocked_links = {pair for pair in self.blocked_links if machine.node not in pair}
 
     def terminate(self, machine: Machine, grace_ms: float) -> None:
-        """SIGTERM: it leaves in order, and its process ends after ``grace_ms``."""
+        """Shuts the machine down as by SIGTERM: it leaves, and its process ends after ``grace_ms``."""
         if machine.plane is None or machine.frozen or self.healed:
             return
         self.note(f"{machine.node} is told to end")
@@ -441,7 +450,7 @@
         self.at(grace_ms, lambda: self._stop(machine, False) if machine.incarnation == incarnation else None)
 
     def set_disk_mode(self, machine: Machine, mode: str) -> None:
-        """The disk is ``well``, ``slow``, ``full`` or ``hanging`` from now on."""
+        """Sets the disk mode: ``well``, ``slow``, ``full`` or ``hanging``."""
         if self.healed:
             return
         self.note(f"the disk of {machine.node} is {mode}")
@@ -449,7 +458,7 @@
         machine.disk_mode = mode
 
     def heal(self) -> None:
-        """All faults end, and no others begin."""
+        """Ends all faults, restarts stopped machines, and prevents new faults."""
         self.note("all faults end")
         self.healed = True
         self.loss_rate = self.duplicate_rate = 0.0
@@ -463,5 +472,5 @@
                 self.start(machine)
 
     def override_bounds(self, **bounds: float) -> None:
-        """Other terms than the usual ones."""
+        """Overrides some of the time bounds of the world."""
         self.bounds = evolve(self.bounds, **bounds)
