--- a/larklb/net/__init__.py
+++ b/larklb/net/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's protocol on sockets."""
+"""The platform's protocol on sockets: HTTP, peer datagrams, custody connections and the console."""
--- a/larklb/net/front.py
+++ b/larklb/net/front.py
@@ -34,7 +34,7 @@
 from larklb.settings import Config
 
 if TYPE_CHECKING:
-    from larklb.net.keeper import CustodyKeeper, Hold
+    from larklb.net.keeper import CustodyKeeper, HeldJob
 
 log = logging.getLogger(__name__)
 
@@ -494,7 +494,7 @@
                 outcome = _CUSTODY_OUTCOMES.get(custody.status, "failed")
                 return await self._reply(link, custody)
             if custody is not None:
-                hold, request = custody, custody.told(request)
+                hold, request = custody, custody.with_history(request)
             job = self.core.take(request)
             link.reader.on_end = functools.partial(self.core.abandon, job)
             if link.reader.ended():
@@ -540,10 +540,10 @@
             counters.add(f"class.{outcome}.{request.service}")
 
     async def _custody(self, link: Link, request: io.Request, content: Content,
-                       repeat: bool) -> Hold | Answer | None:
+                       repeat: bool) -> HeldJob | Answer | None:
         """Returns the job held under custody, the answer if it isn't held here, or None without custody."""
         key = next((v for n, v in content.headers if n == b"idempotency-key"), b"")
-        if self.keeper is None or not key or not self.keeper.wants(request.service):
+        if self.keeper is None or not key or not self.keeper.covers(request.service):
             return None
         if content.upload is not None:
             self.core.counters.add("custody.without")        # streamed bodies can't be stored
@@ -555,7 +555,7 @@
         return Answer(custody.status, custody.body, custody.kind or b"text/plain", later)
 
     async def _execute(self, job: Job, content: Content, sink: AnswerSink,
-                       hold: Hold | None) -> tuple[Answer | None, str]:
+                       hold: HeldJob | None) -> tuple[Answer | None, str]:
         """Executes a job.  Returns its answer (None if it was streamed already) and the outcome to count."""
         while True:
             match action := await job.next():
@@ -563,7 +563,7 @@
                     if hold is not None and self.keeper is not None and not await self.keeper.send(
                             hold, job, action):
                         again = Answer(503, retry_after=min(self.core.settings.max_retry_after, LEASE_MS))
-                        return (Answer(502), "failed") if hold.began else (again, "refused")
+                        return (Answer(502), "failed") if hold.attempted else (again, "refused")
                     try:
                         ended: AttemptOutcome = await self.nodes.attempt(job, action, content, sink)
                     except UploadAbortedError as error:
@@ -576,7 +576,7 @@
                         return None, "served" if ended.whole else "failed"
                     if ended.result is io.Result.OK:
                         if hold is not None:
-                            await hold.answered(200, ended.kind, ended.body)
+                            await hold.record_answer(200, ended.kind, ended.body)
                         return Answer(200, ended.body, ended.kind), "served"
                     if job.abandoned:
                         return Answer(502, close=True), "nobody"
