--- a/larklb/net/front.py
+++ b/larklb/net/front.py
@@ -82,6 +82,8 @@
 
 
 class Answer(NamedTuple):
+    """An answer to a client; ``retry_after`` is in milliseconds, ``close`` ends the connection."""
+
     status: int
     body: bytes = b""
     kind: bytes = b"text/plain"
@@ -273,11 +275,11 @@
             if link.busy:
                 continue
             if self.transfer_connection is not None:
-                self._pass_on(link)
+                self._transfer(link)
             elif link.received_nothing():
                 link.writer.close()
 
-    def _pass_on(self, link: Link) -> bool:
+    def _transfer(self, link: Link) -> bool:
         link.pause()
         if link.has_unread_data() or self.transfer_connection is None or not self.transfer_connection(link):
             link.resume()
@@ -375,7 +377,7 @@
         if self.stopped:
             return False
         if not link.has_unread_data():
-            if self.transfer_connection is not None and self._pass_on(link):
+            if self.transfer_connection is not None and self._transfer(link):
                 return False
             if self.accepting_paused:
                 link.pause()
@@ -609,11 +611,13 @@
             self.has_slot = True
 
     def release(self) -> None:
+        """Returns the streaming slot, if one is held."""
         if self.has_slot:
             self.has_slot = False
             self.front.stream_slots.release()
 
     async def begin(self, kind: bytes, length: int | None) -> None:
+        """Writes the head of the answer, once a streaming slot is free."""
         await self.acquire_slot()
         self.close = self.front.closes(self.link)
         headers = [(b"Content-Type", kind)]
@@ -624,10 +628,12 @@
         self._write(h11.Response(status_code=200, headers=headers))
 
     async def piece(self, data: bytes) -> None:
+        """Writes a chunk of the body."""
         self._write(h11.Data(data=data))
         await self._drain()
 
     async def end(self) -> None:
+        """Completes the answer."""
         self._write(h11.EndOfMessage())
         await self._drain()
         self.whole = True
--- a/larklb/net/handover.py
+++ b/larklb/net/handover.py
@@ -108,7 +108,7 @@
         until = self.wheel.now() + ANSWER_TIMEOUT_MS
         while not self.send(kind, body, fds):
             if self.closed or self.peer_closed or self.wheel.now() > until:
-                raise HandoverError("the other process takes nothing")
+                raise HandoverError("the other process does not read")
             await self.wheel.sleep(2.0)
 
     async def receive(self) -> tuple[bytes, list[int]]:
@@ -121,7 +121,7 @@
                 except ConnectionError:
                     packet, fds = b"", []
                 if not packet:
-                    raise HandoverError("the other process has gone")
+                    raise HandoverError("the other process closed the connection")
                 return packet, list(fds)
             if self.wheel.now() > until:
                 raise HandoverError("the other process does not answer")
@@ -155,10 +155,10 @@
         sock.setblocking(False)
         sock.connect(str(path))
         if not _same_user(sock):
-            raise HandoverError("another user's process answers there")
+            raise HandoverError("the running process belongs to another user")
     except BlockingIOError as error:
         sock.close()
-        raise HandoverError("a process lives there that takes nobody in") from error
+        raise HandoverError("the running process accepts no connection") from error
     except (OSError, HandoverError) as error:
         sock.close()
         if isinstance(error, HandoverError):
@@ -169,7 +169,7 @@
         await channel.send_all(HELLO, b"%d" % VERSION)
         answer, _ = await channel.receive()
         if answer[:1] != HELLO:
-            raise HandoverError(answer[1:].decode(errors="replace") or "it does not want to")
+            raise HandoverError(answer[1:].decode(errors="replace") or "handover refused")
     except HandoverError:
         channel.close()
         raise
@@ -183,12 +183,13 @@
     while True:
         packet, fds = await channel.receive()
         if packet[:1] not in (PART, LAST) or len(state) > MAX_STATE_BYTES:
-            raise HandoverError(packet[1:].decode(errors="replace") if packet[:1] == NO else "it is garbled")
+            raise HandoverError(packet[1:].decode(errors="replace") if packet[:1] == NO
+                                else "invalid packet from the running process")
         state += packet[1:]
         if packet[:1] == LAST:
             break
     if not 1 <= len(fds) <= 2:
-        raise HandoverError("it came without its sockets")
+        raise HandoverError("the state arrived without its sockets")
     sockets = [socket.socket(fileno=fd) for fd in fds]
     return HandoverPayload(bytes(state), sockets[0], sockets[1] if len(sockets) > 1 else None)
 
@@ -203,7 +204,7 @@
     await channel.send_all(LAST, last, tuple(fds))
     answer, _ = await channel.receive()
     if answer[:1] != TAKEN:
-        raise HandoverError("it did not take over")
+        raise HandoverError("the new process did not confirm the handover")
 
 
 class HandoverListener:
--- a/larklb/net/keeper.py
+++ b/larklb/net/keeper.py
@@ -193,7 +193,8 @@
 
         The answer is a stored one, 502 if the job must not be sent again, 409 if the key was used with
         another body, or 503 if another limiter holds the job until the deadline of this try or its state
-        is unknown.
+        is
+        unknown.
         Returns None if the job proceeds without custody."""
         window = self.core.classes[request.service].window
         key_hash = cu.key_of(request.customer, request.service, key)
