--- a/larklb/cli/system_calls.py
+++ b/larklb/cli/system_calls.py
@@ -1,4 +1,4 @@
-"""Calls of the system's commands: to limiters as callers make them, and to the printer."""
+"""HTTP calls to limiters' control addresses, and the input and output helpers of the system commands."""
 
 from __future__ import annotations
 
@@ -19,34 +19,45 @@
 from larklb.schema.errors import InvalidError, SchemaError
 from larklb.schema.fields import format_value
 
-EXIT_OK, EXIT_FAILED, EXIT_UNUSABLE = 0, 1, 2          # exit statuses, see `larklb.cli.system`
-
-RESPONSE_TIMEOUT_S = 1.0             # without an answer, until another limiter is asked ...
-MIN_UPLOAD_BYTES_PER_S = 1 << 20      # ... and a second more for so many bytes that are sent
-READ_TIMEOUT_S = 5.0             # for an answer that has begun: a large configuration takes its time
-INITIAL_BACKOFF_S, MAX_BACKOFF_S = 0.1, 1.0       # after all have been asked, twice as long each time
-CALL_TIMEOUT_S = 8.0           # for all of it: some more than the core needs to settle anew
+EXIT_OK, EXIT_FAILED, EXIT_UNUSABLE = 0, 1, 2    # described in `larklb.cli.system`
+
+# The next address is tried when no response begins within this time. A request body extends it by a second
+# for every MIN_UPLOAD_BYTES_PER_S bytes.
+RESPONSE_TIMEOUT_S = 1.0
+MIN_UPLOAD_BYTES_PER_S = 1 << 20
+# Applies once the response has begun: a large configuration takes longer to read.
+READ_TIMEOUT_S = 5.0
+# Pause after all addresses were tried; doubled after each round.
+INITIAL_BACKOFF_S, MAX_BACKOFF_S = 0.1, 1.0
+# Bounds the whole call, somewhat longer than the core needs to elect a leader and settle.
+CALL_TIMEOUT_S = 8.0
 MAX_REDIRECTS = 2
-FINAL_STATUSES = frozenset((400, 409, 412, 413, 422))   # of these nothing is changed by another try
-MAX_OTHER_4XX = 3            # of any other 4xx
+# A retry can't change the outcome of these.
+FINAL_STATUSES = frozenset((400, 409, 412, 413, 422))
+# Any other 4xx is returned after this many of them.
+MAX_OTHER_4XX = 3
 MAX_ANSWER_BYTES = 64 << 20
-MAX_PAGES = 400           # of a status call
-MAX_PARALLEL_CALLS = 16               # limiters that are asked at the same time
+MAX_PAGES = 400
+MAX_PARALLEL_CALLS = 16
 
 Document = dict[str, Any]
 Row = dict[str, Any]
 
 
 class UnusableError(Exception):
-    """A file or an argument can't be used: file, field, value, what would do. Nothing was changed."""
+    """A file or an argument can't be used; the message names the file, field, value and what is expected.
+
+    Nothing was changed."""
 
 
 class NoAnswerError(Exception):
-    """Nobody gave a clear answer; the text says who was asked and what came of it."""
+    """No limiter gave a conclusive answer; the message lists each address and the outcome there."""
 
 
 def parse_addresses(text: str) -> list[str]:
-    """The control addresses in `text`: host:port, several with commas, each once. UnusableError."""
+    """Parse comma-separated host:port control addresses, dropping duplicates.
+
+    Raises UnusableError."""
     found: dict[str, None] = {}
     for part in text.split(","):
         try:
@@ -59,46 +70,51 @@
 
 @define
 class Answer:
-    """A clear answer: what came, and from which control address."""
+    """A conclusive HTTP response and the control address that gave it."""
 
     status: int
     body: bytes
     address: str
 
     def document(self) -> Document:
-        """The JSON object in it; SilentError where it is none, as whoever answers is no limiter."""
+        """The JSON object in the body.
+
+        Raises NoAnswerError if the body is no JSON object: the responder is no limiter then."""
         try:
             return parse(self.body)
         except SchemaError as error:
             raise NoAnswerError(f"{self.address}: its answer is {error}") from error
 
     def problems(self) -> list[str]:
-        """Why it was refused, a line each."""
+        """The reasons for a refusal, one line each."""
         try:
-            told = json.loads(self.body)
+            document = json.loads(self.body)
         except ValueError:
-            told = None
-        if isinstance(told, dict) and isinstance(told.get("problems"), list):
-            return [str(line) for line in told["problems"]]
-        text = str(told["text"]) if isinstance(told, dict) and "text" in told else self.body.decode(
-            "utf-8", "replace")
+            document = None
+        if isinstance(document, dict) and isinstance(document.get("problems"), list):
+            return [str(line) for line in document["problems"]]
+        text = (str(document["text"]) if isinstance(document, dict) and "text" in document
+                else self.body.decode("utf-8", "replace"))
         return [line for line in text[:4000].split("; ") if line] or [f"status {self.status}"]
 
 
 @define
 class Caller:
-    """Calls limiters at `addresses`, in their order, as any caller of a control address does."""
+    """Calls the limiters at `addresses` in order, retrying with backoff until `timeout_s` has passed."""
 
     addresses: list[str]
     timeout_s: float = CALL_TIMEOUT_S
     clock: Callable[[], float] = time.monotonic
     sleep: Callable[[float], object] = time.sleep
-    outcomes: dict[str, str] = field(factory=dict)         # by address, what came of the last try there
+    # Outcome of the last attempt, by address.
+    outcomes: dict[str, str] = field(factory=dict)
 
     def call(self, method: str, path: str, body: bytes = b"",
              headers: Mapping[str, str] | None = None) -> Answer:
-        """The first clear answer: a 2xx, or a 4xx that no other try would change. SilentError."""
-        until, pause, others = self.clock() + self.timeout_s, INITIAL_BACKOFF_S, 0
+        """Return the first conclusive answer: a 2xx, or a 4xx that a retry would not change.
+
+        Raises NoAnswerError if there is none within `timeout_s`."""
+        deadline, pause, other_4xx = self.clock() + self.timeout_s, INITIAL_BACKOFF_S, 0
         while True:
             for address in self.addresses:
                 answer = self._try_address(address, method, path, body, dict(headers or {}))
@@ -106,11 +122,11 @@
                     continue
                 if answer.status < 300 or answer.status in FINAL_STATUSES:
                     return answer
-                others += answer.status < 500 and answer.status not in (408, 429)
+                other_4xx += answer.status < 500 and answer.status not in (408, 429)
                 self.outcomes[address] = f"status {answer.status}"
-                if others >= MAX_OTHER_4XX:
+                if other_4xx >= MAX_OTHER_4XX:
                     return answer
-            if self.clock() + pause >= until:
+            if self.clock() + pause >= deadline:
                 raise NoAnswerError("; ".join(f"{address}: {self.outcomes.get(address, 'nothing')}"
                                               for address in self.addresses))
             self.sleep(pause)
@@ -118,20 +134,22 @@
 
     def _try_address(self, address: str, method: str, path: str, body: bytes,
                      headers: dict[str, str]) -> Answer | None:
-        at, target = address, path
+        """One attempt at an address, redirects included; None if it was inconclusive, see `outcomes`."""
+        current, target = address, path
         for _ in range(MAX_REDIRECTS + 1):
             try:
-                status, told, where = _exchange(at, method, target, body, headers)
+                status, content, location = _exchange(current, method, target, body, headers)
             except (OSError, http.client.HTTPException) as error:
-                self.outcomes[address] = f"{'' if at == address else at + ': '}{_failure_reason(error)}"
+                self.outcomes[address] = (f"{'' if current == address else current + ': '}"
+                                          f"{_failure_reason(error)}")
                 return None
             if status != 307:
-                return Answer(status, told, at)
-            place = urlsplit(where)
-            if place.scheme != "http" or not place.netloc:
-                self.outcomes[address] = f"sent on to {where[:80]!r}"
+                return Answer(status, content, current)
+            url = urlsplit(location)
+            if url.scheme != "http" or not url.netloc:
+                self.outcomes[address] = f"sent on to {location[:80]!r}"
                 return None
-            at, target = place.netloc, place.path + (f"?{place.query}" if place.query else "")
+            current, target = url.netloc, url.path + (f"?{url.query}" if url.query else "")
         self.outcomes[address] = f"sent on more than {MAX_REDIRECTS} times"
         return None
 
@@ -144,80 +162,88 @@
 
 def _exchange(address: str, method: str, target: str, body: bytes,
               headers: dict[str, str]) -> tuple[int, bytes, str]:
+    """One HTTP exchange: status, body and Location."""
     host, _, port = address.rpartition(":")
-    link = http.client.HTTPConnection(host.strip("[]"), int(port),
-                                      timeout=RESPONSE_TIMEOUT_S + len(body) / MIN_UPLOAD_BYTES_PER_S)
+    connection = http.client.HTTPConnection(host.strip("[]"), int(port),
+                                            timeout=RESPONSE_TIMEOUT_S + len(body) / MIN_UPLOAD_BYTES_PER_S)
     try:
         if body:
             headers["Content-Type"] = "application/json"
-        link.request(method, target, body or None, headers)
-        answer = link.getresponse()
-        if link.sock is not None:
-            link.sock.settimeout(READ_TIMEOUT_S)
-        told = answer.read(MAX_ANSWER_BYTES + 1)
-        if len(told) > MAX_ANSWER_BYTES:
+        connection.request(method, target, body or None, headers)
+        response = connection.getresponse()
+        if connection.sock is not None:
+            connection.sock.settimeout(READ_TIMEOUT_S)
+        content = response.read(MAX_ANSWER_BYTES + 1)
+        if len(content) > MAX_ANSWER_BYTES:
             raise http.client.HTTPException(f"its answer has more than {MAX_ANSWER_BYTES} bytes")
-        return answer.status, told, answer.headers.get("Location", "")
+        return response.status, content, response.headers.get("Location", "")
     finally:
-        link.close()
+        connection.close()
 
 
 def fetch(caller: Caller, path: str, key: str = "", by: str = "", **query: str) -> Document:
-    """A status call's document, with all rows of `key`, which are asked for page by page by their field `by`.
+    """Return a status call's document, with the rows under `key` gathered from all pages.
 
-    SilentError."""
-    whole: Document = {}
+    The field `by` of a page's last row is the cursor to the next page. All pages come from the limiter that
+    answered the first. Raises NoAnswerError."""
+    combined: Document = {}
     for _ in range(MAX_PAGES):
         text = "&".join(f"{name}={quote(value, safe='')}" for name, value in query.items())
         answer = caller.call("GET", path + (f"?{text}" if text else ""))
         if answer.status >= 300:
             raise NoAnswerError(f"{answer.address}: {answer.problems()[0]}")
         document = answer.document()
-        if not whole:
-            whole, caller = document, Caller([answer.address], caller.timeout_s, caller.clock, caller.sleep)
+        if not combined:
+            combined, caller = document, Caller([answer.address], caller.timeout_s, caller.clock,
+                                                caller.sleep)
         else:
-            whole[key] += document.get(key, [])
+            combined[key] += document.get(key, [])
         rows = document.get(key) if key else None
         if not rows or not document.get("more"):
             break
         query["after"] = str(rows[-1][by])
-    return whole
+    return combined
 
 
 @define
 class Fleet:
-    """The limiters that one of them knows, and what each says."""
+    """The member list of one limiter, and the answers of the listed limiters.
+
+    `answers` holds the documents by node; `silent` holds by node why there is none."""
 
     first: Document
     members: list[Row]
-    answers: dict[str, Document]       # by node
-    silent: dict[str, str]             # by node: why
+    answers: dict[str, Document]
+    silent: dict[str, str]
 
 
 def fetch_all(caller: Caller, path: str, chosen: Callable[[Row], bool] = lambda row: True, key: str = "",
               by: str = "", **query: str) -> Fleet:
-    """A status call to each limiter that is up and `chosen`, as the first one that answers knows them."""
+    """Make a status call to every limiter that is not down and passes `chosen`, in parallel.
+
+    The member list is that of the first limiter that answers. Raises NoAnswerError if none does."""
     first = fetch(caller, calls.MEMBERS, "members", "node")
     members = [row for row in first["members"] if chosen(row)]
 
-    def one(row: Row) -> Document | str:
+    def fetch_one(row: Row) -> Document | str:
         try:
             return fetch(Caller([row["control"]], 2.0 * RESPONSE_TIMEOUT_S), path, key, by, **query)
         except NoAnswerError as error:
             return str(error)
 
-    up = [row for row in members if row["state"] != "down" and row["control"]]
+    reachable = [row for row in members if row["state"] != "down" and row["control"]]
     with ThreadPoolExecutor(MAX_PARALLEL_CALLS) as pool:
-        told = dict(zip((row["node"] for row in up), pool.map(one, up), strict=True))
-    return Fleet(first, members, {n: d for n, d in told.items() if isinstance(d, dict)},
-                 {n: d for n, d in told.items() if isinstance(d, str)})
+        results = dict(zip((row["node"] for row in reachable), pool.map(fetch_one, reachable), strict=True))
+    return Fleet(first, members,
+                 {node: result for node, result in results.items() if isinstance(result, dict)},
+                 {node: result for node, result in results.items() if isinstance(result, str)})
 
 
 # Files and output
 
 
 def read_document(file: Path) -> Document:
-    """The JSON object in a file; UnusableError."""
+    """Return the JSON object in a file. Raises UnusableError."""
     try:
         return parse(file.read_bytes())
     except OSError as error:
@@ -227,27 +253,27 @@
 
 
 def config_error(file: Path, error: InvalidError) -> UnusableError:
-    """A configuration's problems, each with its file."""
+    """Build an error that lists a configuration's problems, one line each, prefixed with the file."""
     return UnusableError("\n".join(f"{file}: {line}" for line in error.problems))
 
 
 def print_error(text: str) -> None:
-    """Lines for people, each with the program's name, beside the output."""
+    """Print lines to standard error, each prefixed with the program's name."""
     for line in text.splitlines():
         print(f"larklb: {line}", file=sys.stderr)
 
 
 def print_json(document: object) -> None:
-    """One JSON line."""
+    """Print a document as one line of JSON."""
     print(json.dumps(document, ensure_ascii=False))
 
 
 def print_table(rows: Sequence[Row], columns: Sequence[str]) -> None:
-    """A table for people."""
-    cells = [list(columns), *([_cell(row.get(c, "")) for c in columns] for row in rows)]
+    """Print rows as an aligned text table."""
+    cells = [list(columns), *([_cell(row.get(column, "")) for column in columns] for row in rows)]
     widths = [max(len(line[i]) for line in cells) for i in range(len(columns))]
     for texts in cells:
-        print("  ".join(text.ljust(w) for text, w in zip(texts, widths, strict=True)).rstrip())
+        print("  ".join(text.ljust(width) for text, width in zip(texts, widths, strict=True)).rstrip())
 
 
 def _cell(value: Any) -> str:
--- a/larklb/cli/system_config.py
+++ b/larklb/cli/system_config.py
@@ -1,4 +1,4 @@
-"""Commands on what an operator writes: settings files, and configurations before and after they are sent."""
+"""Commands that check settings files, and check, compare, send and read configurations."""
 
 from __future__ import annotations
 
@@ -29,37 +29,40 @@
 from larklb.schema.errors import InvalidError
 from larklb.schema.fields import SECRET_FIELDS, format_problem
 
-MIN_DESCRIPTORS = 264    # 200 that are no sockets, and 64 that are
+# 200 for files and other non-sockets, and 64 for sockets.
+MIN_DESCRIPTORS = 264
 
 
 def check_settings(file: Path, *, json: bool = False) -> int:
-    """Check a settings file, as a limiter reads it at its start; nothing needs to run.
+    """Check a settings file the way a limiter reads it at startup; no limiter needs to run.
 
-    0: usable; 1: usable, but something in it can hardly be meant; 2: a limiter would end with 2.
+    0: usable; 1: usable, but with settings that are probably mistakes; 2: a limiter would exit with 2.
 
-    :param file: The settings file (TOML) that LARKLB_SETTINGS is to name.
-    :param json: One JSON line for programs.
+    :param file: The settings file (TOML), as named by LARKLB_SETTINGS.
+    :param json: Print one JSON line for programs.
     """
     try:
-        found = gateway_settings.read(str(file))
+        settings = gateway_settings.read(str(file))
     except SettingsError as error:
         if json:
             print_json({"file": str(file), "usable": False, "problems": str(error).splitlines(),
                         "doubts": []})
         print_error(str(error))
         return EXIT_UNUSABLE
-    doubts = [f"{file}: {text}" for text in _warnings(found)]
+    warnings = [f"{file}: {text}" for text in _warnings(settings)]
     if json:
-        print_json({"file": str(file), "usable": True, "problems": [], "doubts": doubts})
+        print_json({"file": str(file), "usable": True, "problems": [], "doubts": warnings})
     else:
-        bound = [name for name in ("edge", "readiness", "control") if getattr(found, name) is not None]
-        print(f"{file}: usable, {found.node} at {found.ip} in {found.zone}, serves {', '.join(bound) or '-'}"
-              f"{', core machine' if found.data_dir and found.control else ''}")
-    print_error("\n".join(doubts))
-    return EXIT_FAILED if doubts else EXIT_OK
+        bound = [name for name in ("edge", "readiness", "control") if getattr(settings, name) is not None]
+        print(f"{file}: usable, {settings.node} at {settings.ip} in {settings.zone}, "
+              f"serves {', '.join(bound) or '-'}"
+              f"{', core machine' if settings.data_dir and settings.control else ''}")
+    print_error("\n".join(warnings))
+    return EXIT_FAILED if warnings else EXIT_OK
 
 
 def _warnings(s: gateway_settings.Settings) -> list[str]:
+    """Settings that are valid and yet probably mistakes, a line each."""
     found = []
     if s.zones and s.zone not in s.zones:
         found.append(f"self.zone: {s.zone!r}: must be one of network.zones, {', '.join(sorted(s.zones))}")
@@ -84,13 +87,13 @@
 
 
 def check_config(file: Path, *, base: Path | None = None, json: bool = False) -> int:
-    """Check a configuration, or a change of one, before it is sent; nothing needs to run.
+    """Check a configuration, or a change to one, before it is sent; no limiter needs to run.
 
     0: usable; 2: a limiter would refuse it.
 
-    :param file: A configuration (JSON), or a change with upsert and remove, which needs a base.
-    :param base: The configuration that it builds on: its version must be above the base's.
-    :param json: One JSON line for programs.
+    :param file: A configuration (JSON), or a change (upsert and remove), which requires a base.
+    :param base: The configuration that it builds on; the file's version must be higher.
+    :param json: Print one JSON line for programs.
     """
     try:
         document, version = _check_document(file, base)
@@ -98,9 +101,9 @@
         if json:
             print_json({"file": str(file), "usable": False, "problems": error.problems})
         raise config_error(file, error) from error
-    found = schema.check(document, version)
-    sizes = {"version": found.version, "services": len(found.services), "hosts": len(found.hosts),
-             "routes": sum(len(host.paths) for host in found.hosts), "tenants": len(found.tenants or ())}
+    checked = schema.check(document, version)
+    sizes = {"version": checked.version, "services": len(checked.services), "hosts": len(checked.hosts),
+             "routes": sum(len(host.paths) for host in checked.hosts), "tenants": len(checked.tenants or ())}
     if json:
         print_json({"file": str(file), "usable": True, "problems": [], "digest": digest(document), **sizes})
     else:
@@ -109,32 +112,34 @@
 
 
 def _check_document(file: Path, base: Path | None) -> tuple[Document, int]:
-    """What would be in force, and the version it follows. UnusableError, InvalidError."""
+    """Return the configuration that would be in force, and the version that it follows.
+
+    Raises UnusableError and InvalidError."""
     document = read_document(file)
     if base is None:
         if "upsert" in document or "remove" in document:
             raise UnusableError(f"{file}: this is a change: --base must name the configuration it changes")
-        before = 0
+        base_version = 0
     else:
         old = read_document(base)
         try:
-            before = schema.check(old, -1).version
+            base_version = schema.check(old, -1).version
         except InvalidError as error:
             raise config_error(base, error) from error
         if "upsert" in document or "remove" in document:
             document = amendments.amend(old, document)
-    schema.check(document, before)
-    return document, before
+    schema.check(document, base_version)
+    return document, base_version
 
 
 def diff_config(old: Path, new: Path, *, json: bool = False) -> int:
     """Compare two configurations item by item; tenants' keys are counted, not shown.
 
-    0: they mean the same; 1: they differ; 2: one of them can't be used.
+    0: they are equivalent; 1: they differ; 2: one of them can't be used.
 
-    :param old: A configuration (JSON), or a limiter's control address to read it from.
-    :param new: The other one, likewise.
-    :param json: A JSON line for each difference.
+    :param old: A configuration (JSON), or the control address of a limiter to read it from.
+    :param new: The configuration to compare it with, given in the same way.
+    :param json: Print a JSON line for each difference.
     """
     rows = differences(_load_either(old), _load_either(new))
     if json:
@@ -145,22 +150,23 @@
     return EXIT_FAILED if rows else EXIT_OK
 
 
-def _load_either(place: Path) -> Document:
-    if place.exists() or "/" in str(place) or ":" not in str(place):
-        document = read_document(place)
+def _load_either(source: Path) -> Document:
+    """Load a configuration from a file, or from a limiter if `source` looks like host:port."""
+    if source.exists() or "/" in str(source) or ":" not in str(source):
+        document = read_document(source)
     else:
-        document = _read(parse_addresses(str(place)))
+        document = _read(parse_addresses(str(source)))
     try:
         schema.check(document, -1)
     except InvalidError as error:
-        raise config_error(place, error) from error
+        raise config_error(source, error) from error
     return document
 
 
 def differences(old: Document, new: Document) -> list[Row]:
-    """What another configuration has otherwise: a row for each field of an item, or for an item as a whole.
+    """Compare two configurations: a row for each changed field, and for each item added or removed.
 
-    Both have passed `check`."""
+    Both documents must have passed `check`."""
     rows: list[Row] = []
     for key in sorted((old.keys() | new.keys()) - {"services", "tenants", "hosts", "limits"}):
         _compare(rows, "configuration", "", {key: old.get(key)}, {key: new.get(key)})
@@ -189,7 +195,7 @@
 
 
 def _routes(document: Document) -> dict[str, Document]:
-    """With each its host, so that a route that moves is one that changed."""
+    """Routes by name, with their host as a field, so that a route moved to another host shows as changed."""
     return {r["name"]: {"host": h["host"].lower(), **r} for h in document["hosts"] for r in h["paths"]}
 
 
@@ -208,23 +214,23 @@
         if digest({"": before}) == digest({"": after}):
             continue
         if field in SECRET_FIELDS:
-            gone, come = (set(a or ()) - set(b or ()) for a, b in ((before, after), (after, before)))
-            if not gone and not come:
+            removed, added = (set(a or ()) - set(b or ()) for a, b in ((before, after), (after, before)))
+            if not removed and not added:
                 continue
-            before, after = f"{len(before or ())}, {len(gone)} go", f"{len(after or ())}, {len(come)} new"
+            before, after = f"{len(before or ())}, {len(removed)} go", f"{len(after or ())}, {len(added)} new"
         rows.append({"what": what, "name": name, "field": field, "old": before, "new": after})
 
 
 def replace(address: str, file: Path, *, base: int, json: bool = False) -> int:
-    """Put a configuration in place of the present one; sent again until there is a clear answer.
+    """Replace the configuration; the call is retried until there is a clear answer.
 
-    0: in force, a majority of disks has it; 1: refused, or no clear answer, then the same call may be given
-    again; 2: the file can't be used and nothing was sent.
+    0: in force, stored by a majority of disks; 1: refused, or no clear answer (the same call may then be
+    repeated); 2: the file can't be used and nothing was sent.
 
-    :param address: A limiter's control address, host:port; several with commas are tried in order.
+    :param address: Control address of a limiter, host:port; comma-separated ones are tried in order.
     :param file: The whole configuration (JSON).
     :param base: The version that it builds on; 0 for the first.
-    :param json: One JSON line for programs.
+    :param json: Print one JSON line for programs.
     """
     document = read_document(file)
     try:
@@ -235,15 +241,15 @@
 
 
 def amend(address: str, file: Path, *, base: int, json: bool = False) -> int:
-    """Change items of the configuration by name; sent again until there is a clear answer.
+    """Change items of the configuration by name; the call is retried until there is a clear answer.
 
-    0: in force, a majority of disks has it; 1: refused, or no clear answer, then the same call may be given
-    again; 2: the file can't be used and nothing was sent.
+    0: in force, stored by a majority of disks; 1: refused, or no clear answer (the same call may then be
+    repeated); 2: the file can't be used and nothing was sent.
 
-    :param address: A limiter's control address, host:port; several with commas are tried in order.
+    :param address: Control address of a limiter, host:port; comma-separated ones are tried in order.
     :param file: The change (JSON): version, upsert, remove.
     :param base: The version that it builds on.
-    :param json: One JSON line for programs.
+    :param json: Print one JSON line for programs.
     """
     document = read_document(file)
     try:
@@ -259,7 +265,7 @@
     if base < 0:
         raise UnusableError(f"--base: {base}: must be 0 or more")
     try:
-        # The file's own bytes: what is read back is to be what the operator wrote.
+        # The file's bytes are sent as they are, so that reading it back returns what the operator wrote.
         answer = Caller(parse_addresses(address)).call("POST", path, file.read_bytes(),
                                                        {calls.BASE_VERSION_HEADER: str(base)})
     except NoAnswerError as error:
@@ -284,37 +290,38 @@
 
 
 def read(address: str, *, json: bool = False) -> int:
-    """Read the newest configuration that a majority of disks has.
+    """Read the newest configuration that is stored by a majority of disks.
 
-    0: here it is; 1: no limiter gave one.
+    0: printed; 1: no limiter returned one.
 
-    :param address: A limiter's control address, host:port; several with commas are tried in order.
-    :param json: The whole document as it was sent, tenants' keys with it; else a summary without them.
+    :param address: Control address of a limiter, host:port; comma-separated ones are tried in order.
+    :param json: Print the whole document as it was sent, including tenants' keys; otherwise a summary
+        without them.
     """
     document = _read(parse_addresses(address))
     if json:
         print_json(document)
         return EXIT_OK
     try:
-        found = schema.check(document, -1)
+        checked = schema.check(document, -1)
     except InvalidError as error:
-        raise NoAnswerError(f"{address}: what it gives is no configuration: {error}") from error
-    print(f"version {found.version}, digest {digest(document)}")
+        raise NoAnswerError(f"{address}: the answer is not a configuration: {error}") from error
+    print(f"version {checked.version}, digest {digest(document)}")
     print_table([{"service": s.name, "probe": s.probe, "saturation": s.saturation,
-                  "routes": sum(s.name in schema.targets(r) for h in found.hosts for r in h.paths)}
-                 for s in found.services], ("service", "probe", "saturation", "routes"))
+                  "routes": sum(s.name in schema.targets(r) for h in checked.hosts for r in h.paths)}
+                 for s in checked.services], ("service", "probe", "saturation", "routes"))
     print_table([{"tenant": t.name, "keys": len(t.keys), "precedence": t.precedence, "ratePerS": t.rate_per_s,
-                  "burst": t.burst} for t in found.tenants or ()],
+                  "burst": t.burst} for t in checked.tenants or ()],
                 ("tenant", "keys", "precedence", "ratePerS", "burst"))
     print_table([{"route": r.name, "host": h.host, "prefix": r.prefix, "type": r.route_type,
                   "to": ", ".join(schema.targets(r)), "tries": r.tries, "timeoutMs": r.timeout_ms}
-                 for h in found.hosts for r in h.paths],
+                 for h in checked.hosts for r in h.paths],
                 ("route", "host", "prefix", "type", "to", "tries", "timeoutMs"))
     return EXIT_OK
 
 
-def _read(places: list[str]) -> Document:
-    answer = Caller(places).call("GET", calls.READ)
+def _read(control_addresses: list[str]) -> Document:
+    answer = Caller(control_addresses).call("GET", calls.READ)
     if answer.status >= 300:
         raise NoAnswerError(f"{answer.address}: {answer.problems()[0]}")
     return answer.document()
