--- a/benchmarks/ledger_cost.py
+++ b/benchmarks/ledger_cost.py
@@ -72,11 +72,12 @@
     results = []
     for name, sealing in (("away", False), ("taken", True)):
         path = folder / name
-        ledger = Ledger(path, "n0", Counters("n0"), most_mb=1000.0 if sealing else 8.0)
+        ledger = Ledger(path, "n0", Counters("n0"), max_mb=1000.0 if sealing else 8.0)
         before = memory_mb(os.getpid())
         most = 0.0
         for start in range(0, customers, 500):
-            await asyncio.gather(*(ledger.use(ledger.key(f"{start + i:016x}", "wide", 1, "place-order"), 1.0)
+            await asyncio.gather(*(ledger.record_use(
+                                       ledger.key(f"{start + i:016x}", "wide", 1, "place-order"), 1.0)
                                    for i in range(500)))
             if len(ledger.tally.rows) >= 20_000:
                 await ledger.seal()
--- a/larklb/admin.py
+++ b/larklb/admin.py
@@ -31,7 +31,7 @@
     """The question cannot be asked, or was turned down; the text is one line."""
 
 
-class SilentError(AdminError):
+class UnreachableError(AdminError):
     """Nobody answers at the address."""
 
 
@@ -108,7 +108,10 @@
 
 
 def ask(path: Path, do: str, **more: Any) -> dict[str, Any]:
-    """One question from a command; SilentError where nobody answers, AdminError where it was turned down."""
+    """Sends one request and returns its answer.
+
+    Raises UnreachableError if no instance answers and AdminError if the request was rejected.
+    """
     try:
         with contextlib.closing(socket.socket(socket.AF_UNIX)) as s:
             s.settimeout(PATIENCE_S)
@@ -117,9 +120,9 @@
             with s.makefile("rb") as answers:
                 line = answers.readline(MOST_LINE)
     except OSError as error:
-        raise SilentError(f"{path}: {error.strerror or error}") from error
+        raise UnreachableError(f"{path}: {error.strerror or error}") from error
     if not line.endswith(b"\n"):
-        raise SilentError(f"{path}: the instance went away before its answer")
+        raise UnreachableError(f"{path}: the instance went away before its answer")
     answer: dict[str, Any] = msgspec.json.decode(line)
     if "error" in answer:
         raise AdminError(str(answer["error"]))
--- a/larklb/cli/common.py
+++ b/larklb/cli/common.py
@@ -90,7 +90,7 @@
     other, or all ``at_once``."""
     from concurrent.futures import ThreadPoolExecutor
 
-    from larklb.admin import AdminError, SilentError, ask
+    from larklb.admin import AdminError, UnreachableError, ask
     from larklb.settings import ConfigError
 
     def one(entry: InstanceEntry) -> dict[str, Any]:
@@ -99,7 +99,7 @@
         try:
             q = question(entry)
             return ask(operator.parent / entry.admin, q.pop("do"), **q)
-        except SilentError as error:
+        except UnreachableError as error:
             return {"silent": str(error)}
         except AdminError as error:
             return {"error": str(error)}
--- a/larklb/cli/fleet.py
+++ b/larklb/cli/fleet.py
@@ -163,7 +163,7 @@
     from larklb.cli.usage import offline, use_folder
     from larklb.export.audit import read
     from larklb.settings import load_operator
-    from larklb.state.folder import held
+    from larklb.state.folder import is_locked
     from larklb.state.log import LogError
     rows: list[dict[str, Any]] = []
     with exit_on_config_error():
@@ -176,7 +176,7 @@
             folder = use_folder(operator, loaded, entry)
             if name not in ("", entry.name) or not folder.exists():
                 continue
-            if held(folder):
+            if is_locked(folder):
                 rows.append({"name": entry.name, "state": "it runs"})
                 continue
             try:
--- a/larklb/cli/plans.py
+++ b/larklb/cli/plans.py
@@ -29,7 +29,7 @@
 
 
 def _read(file: Path, operator: Path) -> Catalogue:
-    from larklb.desk import read_catalogue
+    from larklb.operator_services import read_catalogue
     from larklb.settings import load_operator
     entry = load_operator(operator).instance[0]
     return read_catalogue(file, load_instance_config(operator, entry).settings.plans)
@@ -57,7 +57,7 @@
     """Show the versions of the operator's file, or by which version each running instance judges."""
     import time
 
-    from larklb.desk import shown
+    from larklb.operator_services import version_row
     from larklb.settings import load_operator
     with exit_on_config_error():
         if live:
@@ -74,7 +74,7 @@
     now = found.index_at(time.time() * 1000.0)
     rows = []
     for i, version in enumerate(found.versions):
-        row = shown(version)
+        row = version_row(version)
         row["state"] = "counts" if i == now else "over" if i < now else "to come"
         rows.append(row)
     print_rows(rows, ("number", "from", "state", "says", "note"), as_json)
@@ -102,7 +102,7 @@
 
     from larklb.quota.catalogue import CatalogueError, successor
     from larklb.settings import load_operator
-    from larklb.state.folder import put_file
+    from larklb.state.folder import write_file_atomically
     with exit_on_config_error():
         loaded, target = load_operator(operator), _file(operator)
         new = _read(file, operator)
@@ -118,7 +118,7 @@
             for line in refused:
                 print(f"larklb: {line}", file=sys.stderr)
             raise exit_error("nothing was changed", EXIT_REFUSED)
-        put_file(target, text.encode(), mode=0o644)
+        write_file_atomically(target, text.encode(), mode=0o644)
         rows = []
         for entry, answer in ask_instances(operator, loaded, lambda e: {"do": "plans.apply", "text": text}):
             why = answer.get("silent") or answer.get("error") or ""
--- a/larklb/cli/reserve.py
+++ b/larklb/cli/reserve.py
@@ -50,10 +50,10 @@
 
 
 def _one(operator: Path, entry: InstanceEntry, do: str, **more: Any) -> dict[str, Any]:
-    from larklb.admin import AdminError, SilentError, ask
+    from larklb.admin import AdminError, UnreachableError, ask
     try:
         return ask(operator.parent / entry.admin, do, **more)
-    except SilentError as error:
+    except UnreachableError as error:
         raise exit_error(f"{entry.name}, which owns this customer, does not answer: {error}",
                          EXIT_FAILED) from error
     except AdminError as error:
--- a/larklb/cli/usage.py
+++ b/larklb/cli/usage.py
@@ -39,8 +39,8 @@
         in_doubt: Annotated[bool, typer.Option("--in-doubt", help="Also tries in flight at a kill.")] = False,
         ) -> None:
     """What each instance has counted, as its files say: it need not run."""
-    from larklb.desk import usage as told
     from larklb.export.audit import read
+    from larklb.operator_services import usage_report
     from larklb.settings import load_operator
     from larklb.state.log import LogError
     with exit_on_config_error():
@@ -48,7 +48,7 @@
         found = []
         for entry in loaded.instance:
             try:
-                found.append(told(entry.name, read(use_folder(operator, loaded, entry))))
+                found.append(usage_report(entry.name, read(use_folder(operator, loaded, entry))))
             except LogError as error:
                 raise exit_error(error, EXIT_FAILED) from error
     if as_json:
@@ -95,19 +95,20 @@
 async def offline(operator: Path, loaded: Operator, entry: InstanceEntry) -> dict[str, Any]:
     """This process takes the instance's place: its folder's lock keeps a second exporter out."""
     from larklb.counters import Counters
-    from larklb.desk import fault, ledger_of, receiver_of
     from larklb.export.exporter import DeliveryError, Exporter
+    from larklb.operator_services import fault_injector, open_ledger, parse_receiver
     from larklb.state.log import LogError
     assert loaded.export is not None and loaded.ledger is not None
     counters = Counters(entry.name)
     try:
-        ledger = ledger_of(loaded.ledger, use_folder(operator, loaded, entry), entry.name, counters, fault())
+        ledger = open_ledger(loaded.ledger, use_folder(operator, loaded, entry), entry.name, counters,
+                             fault_injector())
     except LogError as error:
         return {"error": str(error), "waiting": "?"}
     word = ""
     try:
         sealed = await ledger.seal()
-        await Exporter(ledger, counters, receiver_of(loaded.export, operator.parent)).all()
+        await Exporter(ledger, counters, parse_receiver(loaded.export, operator.parent)).all()
     except DeliveryError as error:
         word = str(error)
     finally:
--- a/larklb/core.py
+++ b/larklb/core.py
@@ -235,7 +235,7 @@
         key = ledger.key(request.customer, stamp.plan, stamp.version, request.service, stamp.reservation,
                          stamp.beyond)
         if request.quota_only:
-            await ledger.use(key, request.units)
+            await ledger.record_use(key, request.units)
         else:
             job.ticket = await ledger.begin(job.id, key, request.units)
 
--- a/larklb/export/adopt.py
+++ b/larklb/export/adopt.py
@@ -23,7 +23,7 @@
 from larklb.export.audit import read
 from larklb.export.exporter import DeliveryError, Exporter
 from larklb.export.ledger import Ledger
-from larklb.state.folder import HeldError, held
+from larklb.state.folder import FolderLockedError, is_locked
 from larklb.state.log import LogError
 
 log = logging.getLogger(__name__)
@@ -32,14 +32,15 @@
 TURN_PART = 0.5            # of ``adopt_s`` later, each next instance looks
 
 
-def due(now: float, free_since: Mapping[str, float], after_s: float, turns: Mapping[str, int]) -> list[str]:
+def due_adoptions(now: float, free_since: Mapping[str, float], after_s: float,
+                  turns: Mapping[str, int]) -> list[str]:
     """The lost ones that are to be adopted here now; ``turns``: how many others come to each before this
     one."""
     return [name for name, since in free_since.items()
             if now - since >= after_s * (1.0 + TURN_PART * turns.get(name, 0))]
 
 
-def left(folder: Path) -> bool:
+def has_unexported_use(folder: Path) -> bool:
     """Whether something in a ledger still has to be exported; nothing is changed to find out."""
     tally = read(folder)
     return bool(tally.rows or tally.begun or tally.batches)
@@ -65,11 +66,11 @@
             await asyncio.sleep(self.after_s / LOOKS)
             now = time.monotonic()
             for name, folder in self.folders.items():
-                if not folder.exists() or held(folder):
+                if not folder.exists() or is_locked(folder):
                     self.free_since.pop(name, None)
                 else:
                     self.free_since.setdefault(name, now)
-            for name in due(now, self.free_since, self.after_s, self.turns):
+            for name in due_adoptions(now, self.free_since, self.after_s, self.turns):
                 self.free_since[name] = now                    # whatever comes of it, the next look is later
                 await self.adopt(name)
 
@@ -78,11 +79,12 @@
         done."""
         folder = self.folders[name]
         try:
-            if not left(folder):
+            if not has_unexported_use(folder):
                 return True
             ledger = self.ledger_of(name, folder)
         except LogError as error:
-            if not isinstance(error, HeldError):               # else it is back, or another has come to it
+            # A locked folder means that the instance is back, or that another one adopts its ledger.
+            if not isinstance(error, FolderLockedError):
                 self.counters.add("errors.adopted")
                 log.error("what %s counted cannot be adopted: %s", name, error)
             return False
--- a/larklb/export/audit.py
+++ b/larklb/export/audit.py
@@ -18,7 +18,7 @@
     """What the log adds up to; LogError where it is broken or makes no sense."""
     path = folder / "ledger.log"
     try:
-        return t.replayed(replay(path).records)
+        return t.replay_records(replay(path).records)
     except (msgspec.DecodeError, KeyError) as error:
         raise LogError(f"{path}: its records make no sense: {error}") from error
 
--- a/larklb/export/exporter.py
+++ b/larklb/export/exporter.py
@@ -23,7 +23,7 @@
 from larklb.export import tally as t
 from larklb.export.ledger import Ledger
 from larklb.net.http import TooLongError, dial
-from larklb.state.folder import put_file
+from larklb.state.folder import write_file_atomically
 
 log = logging.getLogger(__name__)
 
@@ -90,17 +90,17 @@
 def into_folder(folder: Path, name: str, data: bytes, step: Callable[[str], object] = bool) -> None:
     """The same events as a file; written again it is the same file."""
     folder.mkdir(parents=True, exist_ok=True)
-    put_file(folder / f"{name}.json", data, step, 0o644)
+    write_file_atomically(folder / f"{name}.json", data, step, 0o644)
 
 
 class Exporter:
     """One for a ledger: the folder's lock sees to it that there are no two."""
 
-    def __init__(self, ledger: Ledger, counters: Counters, to: Receiver | Path, most_wait_s: float = 60.0,
+    def __init__(self, ledger: Ledger, counters: Counters, to: Receiver | Path, max_wait_s: float = 60.0,
                  seed: int = 0) -> None:
-        self.ledger, self.counters, self.to, self.most_wait_s = ledger, counters, to, most_wait_s
+        self.ledger, self.counters, self.to, self.max_wait_s = ledger, counters, to, max_wait_s
         self.random = random.Random(seed)
-        self.failures, self.word = 0, ""
+        self.failures, self.last_error = 0, ""
 
     async def one(self, batch: t.Batch) -> None:
         """Delivers a batch and drops it; DeliveryError leaves it as it is."""
@@ -126,7 +126,7 @@
 
     def pause(self) -> float:
         """Seconds before the next try."""
-        most = min(self.most_wait_s, RETRY_FIRST_S * 2.0 ** min(self.failures - 1, 20))
+        most = min(self.max_wait_s, RETRY_FIRST_S * 2.0 ** min(self.failures - 1, 20))
         return most * (1.0 - SPREAD * self.random.random())
 
     async def run(self, sleep: Callable[[float], Awaitable[None]] = asyncio.sleep) -> None:
@@ -137,7 +137,7 @@
                 await self.all()
                 if self.failures:
                     log.info("use is taken again after %d tries in vain", self.failures)
-                self.failures, self.word = 0, ""
+                self.failures, self.last_error = 0, ""
                 await self.ledger.changed.wait()
             except Exception as error:
                 # Whatever it is, the batch is still there and goes out again.
@@ -146,5 +146,5 @@
                 self.counters.add("errors.export")
                 if not self.failures:
                     log.warning("use could not be delivered, and is kept: %s", error)
-                self.failures, self.word = self.failures + 1, str(error)
+                self.failures, self.last_error = self.failures + 1, str(error)
                 await sleep(self.pause())
--- a/larklb/export/ledger.py
+++ b/larklb/export/ledger.py
@@ -25,13 +25,13 @@
 
 from larklb.counters import Counters
 from larklb.export import tally as t
-from larklb.state.folder import Folder, put_file
+from larklb.state.folder import LockedFolder, write_file_atomically
 from larklb.state.log import Log, LogError, Step, sync_folder
 
 log = logging.getLogger(__name__)
 
-MOST_ROWS = 20_000             # told apart at once, some 8 MB; with more a cut comes early
-MOST_WAITING = 100_000         # records kept in memory while the disk takes none
+MAX_ROWS = 20_000             # told apart at once, some 8 MB; with more a cut comes early
+MAX_UNWRITTEN_RECORDS = 100_000         # records kept in memory while the disk takes none
 NEAR = 0.8                     # of the outbox's bound: said aloud from here on
 
 
@@ -44,24 +44,24 @@
 class Ticket:
     """A try that has begun; its end is told once."""
 
-    __slots__ = ("n", "whole")
+    __slots__ = ("number", "fully_sent")
 
-    def __init__(self, n: int) -> None:
-        self.n = n
-        self.whole = False         # an attempt of it has left whole: a node may have begun it
+    def __init__(self, number: int) -> None:
+        self.number = number
+        self.fully_sent = False         # an attempt of it has left whole: a node may have begun it
 
 
 class Ledger:
     """Counts for one instance; ``open`` replays and settles what a former process left."""
 
     def __init__(self, folder: Path, instance: str, counters: Counters, *, period_s: int = 3600,
-                 most_mb: float = 64.0, rewrite_mb: float = 8.0,
+                 max_mb: float = 64.0, rewrite_mb: float = 8.0,
                  clock: Callable[[], float] = time.time, step: Step = bool, patience_s: float = 0.0) -> None:
         """Whoever holds the folder is waited for ``patience_s`` at the most."""
         self.instance, self.counters, self.step, self.clock = instance, counters, step, clock
-        self.period_s, self.most_bytes, self.rewrite = period_s, most_mb * 1e6, rewrite_mb * 1e6
+        self.period_s, self.max_bytes, self.rewrite = period_s, max_mb * 1e6, rewrite_mb * 1e6
         self.outbox = folder / "outbox"
-        self.held = Folder(folder, patience_s)
+        self.held = LockedFolder(folder, patience_s)
         try:
             self._open(folder, step)
         except (LogError, OSError) as error:
@@ -72,7 +72,7 @@
         self.outbox.mkdir(mode=0o700, exist_ok=True)
         self.log = Log(folder / "ledger.log", step)
         try:
-            self.tally = t.replayed(self.log.records)
+            self.tally = t.replay_records(self.log.records)
         except (msgspec.DecodeError, KeyError, ValueError) as error:
             raise LogError(f"{self.log.path}: its records make no sense: {error}") from error
         self.log.records = []
@@ -88,7 +88,7 @@
         self.failing = self.near = False
         self.sealing, self.disk = asyncio.Lock(), asyncio.Lock()
         self.changed = asyncio.Event()                     # a batch was sealed
-        self.note(t.Started(self.tally.incarnation + 1, self.clock() * 1000.0))
+        self.enqueue(t.Started(self.tally.incarnation + 1, self.clock() * 1000.0))
         self.write()
         self.log.sync()
         if self.tally.in_doubt:
@@ -103,8 +103,8 @@
                 path.unlink()                              # half written, or acknowledged
         for batch in list(self.tally.batches.values()):
             if not batch.sealed:
-                put_file(self.file(batch), t.batch_bytes(self.instance, batch), self.step)
-                self._noted(t.Sealed(batch.seq))
+                write_file_atomically(self.file(batch), t.batch_bytes(self.instance, batch), self.step)
+                self._write_step(t.Sealed(batch.seq))
             elif not self.file(batch).exists():
                 raise LogError(f"{self.file(batch)}: a sealed batch is missing: put the file back")
         self.outbox_bytes = sum(self.file(b).stat().st_size for b in self.tally.batches.values())
@@ -124,7 +124,7 @@
         if not self.full():
             self.latest = max(self.latest, int(self.clock()) // self.period_s * self.period_s)
         key = t.Key(self.latest, account, plan, version, service, reservation, beyond)
-        if len(self.tally.rows) >= MOST_ROWS and key not in self.tally.rows:
+        if len(self.tally.rows) >= MAX_ROWS and key not in self.tally.rows:
             if self.full():
                 # Nobody takes the batches and no room is left to tell customers apart: the sum still holds.
                 self.counters.add("errors.ledger_unattributed")
@@ -135,21 +135,21 @@
         """Returns once the count is written: the first byte may go out."""
         self.numbers += 1
         ticket = Ticket(self.numbers)
-        self.note(t.Begun(ticket.n, job, key, round(units * t.MICRO)))
+        self.enqueue(t.Begun(ticket.number, job, key, round(units * t.MICRO)))
         await self.written()
         return ticket
 
     def end(self, ticket: Ticket) -> None:
         """Nothing of the try is out any more."""
-        (self.sent if ticket.whole else self.unsent).append(ticket.n)
+        (self.sent if ticket.fully_sent else self.unsent).append(ticket.number)
         self._soon()
 
-    async def use(self, key: t.Key, units: float) -> None:
+    async def record_use(self, key: t.Key, units: float) -> None:
         """A granted question: returns once it is counted, before its answer goes out."""
-        self.note(t.Used(key, round(units * t.MICRO)))
+        self.enqueue(t.Used(key, round(units * t.MICRO)))
         await self.written()
 
-    def note(self, record: t.Record) -> None:
+    def enqueue(self, record: t.Record) -> None:
         self.unwritten.append(record)
         self._soon()
 
@@ -183,9 +183,9 @@
                 log.error("use is kept in memory alone: %s", error)
                 self.failing = True
             self.unwritten = records + self.unwritten
-            if len(self.unwritten) > MOST_WAITING:
-                self.counters.add("errors.ledger_lost", len(self.unwritten) - MOST_WAITING)
-                del self.unwritten[MOST_WAITING:]
+            if len(self.unwritten) > MAX_UNWRITTEN_RECORDS:
+                self.counters.add("errors.ledger_lost", len(self.unwritten) - MAX_UNWRITTEN_RECORDS)
+                del self.unwritten[MAX_UNWRITTEN_RECORDS:]
         else:
             for r in records:
                 self.tally.apply(r)
@@ -202,7 +202,7 @@
 
     def full(self) -> bool:
         """Whether the outbox is at its bound: use goes on being counted, and is cut when there is room."""
-        return self.outbox_bytes >= self.most_bytes
+        return self.outbox_bytes >= self.max_bytes
 
     async def seal(self) -> int:
         """Cuts all that has been counted into batches, durable and ready to go out; how many."""
@@ -213,7 +213,7 @@
             if self.failing:
                 return 0
             if needed := self.tally.batches_needed():
-                self._noted(t.Cut(self.tally.next_seq, needed, self.clock() * 1000.0))
+                self._write_step(t.Cut(self.tally.next_seq, needed, self.clock() * 1000.0))
                 self.step("cut")
             cut = [b for b in self.tally.batches.values() if not b.sealed]
             for batch in cut:
@@ -222,21 +222,21 @@
 
     async def _seal(self, batch: t.Batch) -> None:
         data = t.batch_bytes(self.instance, batch)
-        await asyncio.to_thread(put_file, self.file(batch), data, self.step)
-        self._noted(t.Sealed(batch.seq))
+        await asyncio.to_thread(write_file_atomically, self.file(batch), data, self.step)
+        self._write_step(t.Sealed(batch.seq))
         self.outbox_bytes += len(data)
         await self.sync()
         self.step("sealed")
         self.changed.set()
-        if self.outbox_bytes >= NEAR * self.most_bytes and not self.near:
+        if self.outbox_bytes >= NEAR * self.max_bytes and not self.near:
             self.near = True
             log.warning("the outbox of sealed use is near its bound: %.1f of %.1f MB, the receiver is behind",
-                        self.outbox_bytes / 1e6, self.most_bytes / 1e6)
+                        self.outbox_bytes / 1e6, self.max_bytes / 1e6)
 
-    def _noted(self, record: t.Record) -> None:
+    def _write_step(self, record: t.Record) -> None:
         """A step of a batch stands in the log on return, or LogError and it was not taken: it is tried anew.
         What follows a step would be wrong without it."""
-        self.note(record)
+        self.enqueue(record)
         self.write()
         if self.failing:
             self.unwritten.remove(record)
@@ -250,42 +250,42 @@
         """The receiver has it: durable before the file goes."""
         self.step("acknowledged")
         path = self.file(batch)
-        self._noted(t.Acked(batch.seq))
+        self._write_step(t.Acked(batch.seq))
         await self.sync()
         self.step("acked")
         size = path.stat().st_size if path.exists() else 0
         path.unlink(missing_ok=True)
         self.step("dropped")
         self.outbox_bytes -= size
-        if self.near and self.outbox_bytes < NEAR * self.most_bytes / 2:
+        if self.near and self.outbox_bytes < NEAR * self.max_bytes / 2:
             self.near = False
 
     # Upkeep -------------------------------------------------------------------------------
 
-    async def keep(self, sync_ms: float, seal_s: float) -> None:
+    async def run_maintenance(self, sync_ms: float, seal_s: float) -> None:
         """Syncs, seals and shortens the log until it is cancelled."""
         next_seal = self.clock() + seal_s
         while True:
             await asyncio.sleep(sync_ms / 1000.0)
             try:
                 if self.log.broken:
-                    await self.shorten()
+                    await self.compact()
                 if self.unwritten:
                     self.write()
                 if self.dirty:
                     self.dirty = False
                     await self.sync()
-                early = len(self.tally.rows) >= MOST_ROWS
+                early = len(self.tally.rows) >= MAX_ROWS
                 if early or not 0 < next_seal - self.clock() <= seal_s:
                     next_seal = self.clock() + seal_s
                     await self.seal()
                 if self.log.size > self.floor + self.rewrite:
-                    await self.shorten()
+                    await self.compact()
             except (LogError, OSError) as error:
                 self.counters.add("errors.ledger")
                 log.error("the ledger's upkeep: %s", error)
 
-    async def shorten(self) -> None:
+    async def compact(self) -> None:
         """Writes the log anew as one record of what it adds up to, while counting goes on; a log whose sync
         failed is whole again with it."""
         async with self.sealing, self.disk:
--- a/larklb/export/tally.py
+++ b/larklb/export/tally.py
@@ -234,7 +234,7 @@
         return -(-len(self.rows) // BATCH)
 
 
-def replayed(payloads: Iterable[bytes]) -> Tally:
+def replay_records(payloads: Iterable[bytes]) -> Tally:
     """The state after all records; msgspec.DecodeError or KeyError where they make no sense."""
     tally = Tally()
     for payload in payloads:
--- a/larklb/net/execute.py
+++ b/larklb/net/execute.py
@@ -410,7 +410,7 @@
         self.core.counters.add("sent")
         self.core.counters.add(f"sent.{job.request.service}")
         if job.ticket is not None:
-            job.ticket.whole = True
+            job.ticket.fully_sent = True
 
     async def _buffer_answer(self, link: Link, more: Callable[[], object]) -> tuple[bytes, bool]:
         """Reads as much of an answer as may be buffered; returns it and whether it is complete."""
--- a/larklb/desk.py
+++ b/larklb/operator_services.py
@@ -36,9 +36,9 @@
 from larklb.quota.ring import digest, members, ring_owner
 from larklb.quota.table_limits import customers_for_memory
 from larklb.settings import Config, ConfigError, ExportEntry, InstanceEntry, LedgerEntry, Operator
-from larklb.state.folder import Folder
+from larklb.state.folder import LockedFolder
 from larklb.state.log import LogError, Step
-from larklb.state.reserved import ReservedLog
+from larklb.state.reserved import ReservationLog
 from larklb.wheel import Wheel
 
 if TYPE_CHECKING:
@@ -54,7 +54,7 @@
 PATIENCE_S = 0.5           # at a start, for a folder that others look at or are about to let go
 
 
-def fault() -> Step:
+def fault_injector() -> Step:
     """For tests: LARKLB_FAULT=step:n ends this process at once, as SIGKILL does, the n-th time at a step."""
     name, _, number = os.environ.get("LARKLB_FAULT", "").partition(":")
     if not name:
@@ -78,7 +78,7 @@
         raise ConfigError(str(error)) from error
 
 
-def receiver_of(entry: ExportEntry, base: Path) -> ex.Receiver | Path:
+def parse_receiver(entry: ExportEntry, base: Path) -> ex.Receiver | Path:
     """Where an operator's file sends use; ConfigError where that makes no sense."""
     try:
         return ex.receiver(entry.url, str(base / entry.ca) if entry.ca else "") if entry.url else (
@@ -87,14 +87,14 @@
         raise ConfigError(f"export: {error}") from error
 
 
-def ledger_of(entry: LedgerEntry, folder: Path, name: str, counters: Counters, step: Step,
+def open_ledger(entry: LedgerEntry, folder: Path, name: str, counters: Counters, step: Step,
               patience_s: float = 0.0) -> Ledger:
     """An instance's ledger as the operator's file wants it; LogError where it cannot be had."""
-    return Ledger(folder, name, counters, period_s=entry.period_s, most_mb=entry.most_mb,
+    return Ledger(folder, name, counters, period_s=entry.period_s, max_mb=entry.most_mb,
                   rewrite_mb=entry.rewrite_mb, step=step, patience_s=patience_s)
 
 
-class Desk:
+class OperatorServices:
     """Of one instance."""
 
     def __init__(self, config: Config, base: Path, operator: Operator, entry: InstanceEntry,
@@ -103,12 +103,12 @@
         unusable."""
         self.config, self.operator, self.entry, self.counters = config, operator, entry, counters
         self.offset = time.time() * 1000.0 - now
-        self.step = fault()
+        self.step = fault_injector()
         self.plans_file = base / operator.plans.file if operator.plans is not None else None
-        self.held: Folder | None = None
+        self.held: LockedFolder | None = None
         self.ledger: Ledger | None = None
         self.exporter: ex.Exporter | None = None
-        self.reserved: ReservedLog | None = None
+        self.reserved: ReservationLog | None = None
         self.tasks: list[asyncio.Task[None]] = []
         self.admin = Admin(base / entry.admin, self.handlers()) if entry.admin else None
         self.began = time.time()
@@ -118,23 +118,23 @@
         if operator.state is not None:
             folder = base / operator.state.folder / config.name
             if operator.ledger is not None:
-                self.ledger = ledger_of(operator.ledger, folder / "use", config.name, counters, self.step,
+                self.ledger = open_ledger(operator.ledger, folder / "use", config.name, counters, self.step,
                                         PATIENCE_S)
             if operator.reservations is not None:
-                self.held = Folder(folder / "reservations")
+                self.held = LockedFolder(folder / "reservations")
                 r = operator.reservations
                 reservations = Reservations(
                     ReservationLimits(r.fleet_share * r.fleet_rate if r.fleet_rate else float("inf"),
                                       r.customer_share),
                     config.settings.gateways, config.settings.number)
-                self.reserved = ReservedLog(folder / "reservations" / "reservations.log", reservations,
+                self.reserved = ReservationLog(folder / "reservations" / "reservations.log", reservations,
                                             self.wall(), self.step)
         self.reservations = reservations
-        self.book = Entitlements(plans, catalogue, reservations, self.offset, settle=operator.quota.settle,
-                                 reserve=operator.quota.reserve(),
-                                 max_customers=customers_for_memory(config.memory_mb))
+        self.entitlements = Entitlements(plans, catalogue, reservations, self.offset,
+                                         settle=operator.quota.settle, reserve=operator.quota.reserve(),
+                                         max_customers=customers_for_memory(config.memory_mb))
         if self.ledger is not None and operator.export is not None:
-            self.exporter = ex.Exporter(self.ledger, counters, receiver_of(operator.export, base),
+            self.exporter = ex.Exporter(self.ledger, counters, parse_receiver(operator.export, base),
                                         operator.export.most_wait_s, config.seed)
         self.adopter = self._adopter(base) if self.exporter is not None else None
         self.core: Core | None = None
@@ -145,10 +145,10 @@
         o = self.operator
         if o.ledger is None or o.export is None or o.state is None or not o.ledger.adopt_s:
             return None
-        entry, to = o.ledger, receiver_of(o.export, base)
+        entry, to = o.ledger, parse_receiver(o.export, base)
         folders = {e.name: base / o.state.folder / e.name / "use" for e in o.instance}
         return Adopter(self.config.name, folders, entry.adopt_s, self.counters,
-                       lambda name, folder: ledger_of(entry, folder, name, self.counters, self.step),
+                       lambda name, folder: open_ledger(entry, folder, name, self.counters, self.step),
                        lambda ledger: ex.Exporter(ledger, self.counters, to))
 
     def wall(self) -> float:
@@ -163,7 +163,7 @@
         loop = asyncio.get_running_loop()
         if self.ledger is not None and self.operator.ledger is not None and self.operator.state is not None:
             e = self.operator.ledger
-            upkeep = functools.partial(self.ledger.keep, self.operator.state.sync_ms, e.seal_s)
+            upkeep = functools.partial(self.ledger.run_maintenance, self.operator.state.sync_ms, e.seal_s)
             self.tasks.append(loop.create_task(run_forever("ledger", upkeep, self.counters)))
         if self.exporter is not None:
             self.tasks.append(loop.create_task(self.exporter.run()))
@@ -173,16 +173,16 @@
             tidy = functools.partial(self._tidy, self.reserved)
             self.tasks.append(loop.create_task(run_forever("reserved", tidy, self.counters)))
 
-    async def _tidy(self, reserved: ReservedLog) -> None:
+    async def _tidy(self, reserved: ReservationLog) -> None:
         await asyncio.sleep(TIDY_S)
-        reserved.tidy(self.wall())
+        reserved.compact(self.wall())
 
     def keep(self, drawn: io.RecordDraw) -> None:
         """A draw is on the disk before the answer that tells of it."""
         if self.reserved is None:
             return
         try:
-            self.reserved.drew(drawn, self.config.settings.number)
+            self.reserved.record_draw(drawn, self.config.settings.number)
         except LogError as error:
             # Served all the same, and written once the disk takes it: a kill before that draws it twice.
             self.counters.add("errors.reserved")
@@ -213,17 +213,17 @@
             self.take(read_catalogue(self.plans_file, self.config.settings.plans))
         except (ConfigError, cat.CatalogueError) as error:
             self.counters.add("errors.plans")
-            log.error("the plans stay at version %d: %s", self.book.catalogue.newest.number, error)
+            log.error("the plans stay at version %d: %s", self.entitlements.catalogue.newest.number, error)
 
     def take(self, new: cat.Catalogue) -> None:
-        taken = cat.successor(self.book.catalogue, new, self.wall())
+        taken = cat.successor(self.entitlements.catalogue, new, self.wall())
         assert self.core is not None
-        self.book.replace_catalogue(self.core.wheel.now(), taken)
+        self.entitlements.replace_catalogue(self.core.wheel.now(), taken)
         self.counters.add("plans.taken")
         log.info("plans: version %d is the newest, %d counts now", taken.newest.number, self._counts())
 
     def _counts(self) -> int:
-        c = self.book.catalogue
+        c = self.entitlements.catalogue
         return c.versions[c.index_at(self.wall())].number
 
     # What the administrative address answers ------------------------------------------------
@@ -238,18 +238,19 @@
                 "usage.show": self.usage_show, "usage.export": self.usage_export}
 
     async def status(self, q: dict[str, Any]) -> dict[str, Any]:
-        c = self.book.catalogue
+        c = self.entitlements.catalogue
         return {"name": self.config.name, "number": self.config.settings.number, "pid": os.getpid(),
                 "program": __version__, "serving_s": round(time.time() - self.began, 1),
                 "plans": {"counts": self._counts(), "newest": c.newest.number,
-                          "heard": self.book.newest_peer_version},
+                          "heard": self.entitlements.newest_peer_version},
                 "reservations": len(self.reservations.by_name) if self.reservations is not None else 0,
                 "jobs": len(self.core.jobs) if self.core is not None else 0}
 
     async def plans_show(self, q: dict[str, Any]) -> dict[str, Any]:
-        c = self.book.catalogue
+        c = self.entitlements.catalogue
         return {"name": self.config.name, "counts": self._counts(), "newest": c.newest.number,
-                "heard": self.book.newest_peer_version, "versions": [shown(v) for v in c.versions]}
+                "heard": self.entitlements.newest_peer_version,
+                "versions": [version_row(v) for v in c.versions]}
 
     def _told(self, q: dict[str, Any]) -> cat.Catalogue:
         if self.plans_file is None:
@@ -262,10 +263,10 @@
     async def plans_check(self, q: dict[str, Any]) -> dict[str, Any]:
         new = self._told(q)
         try:
-            taken = cat.successor(self.book.catalogue, new, self.wall())
+            taken = cat.successor(self.entitlements.catalogue, new, self.wall())
         except cat.CatalogueError as error:
             raise AdminError(str(error)) from error
-        return {"name": self.config.name, "changes": cat.differences(self.book.catalogue, taken)}
+        return {"name": self.config.name, "changes": cat.differences(self.entitlements.catalogue, taken)}
 
     async def plans_apply(self, q: dict[str, Any]) -> dict[str, Any]:
         try:
@@ -274,7 +275,7 @@
             raise AdminError(str(error)) from error
         return await self.plans_show(q)
 
-    def _reservations(self) -> tuple[Reservations, ReservedLog]:
+    def _reservations(self) -> tuple[Reservations, ReservationLog]:
         if self.reservations is None or self.reserved is None:
             raise AdminError("the operator's file allows this instance no reservations")
         return self.reservations, self.reserved
@@ -297,14 +298,14 @@
         owned = owner == s.number
         if not owned and not q.get("copy"):
             raise AdminError(f"the owner of this customer is limiter {owner}")
-        c = self.book.catalogue
+        c = self.entitlements.catalogue
         index = c.index_at(wanted.begin)
         plan = c.versions[index].plans[c.plan_of(key, index, number)]
         known = wanted.name in reservations.by_name
         try:
             r = reservations.add(wanted, owned, self.wall(), plan.rate)
             if not known:
-                reserved.added(r)
+                reserved.record_added(r)
         except RefusedError as error:
             raise AdminError(str(error)) from error
         except LogError as error:
@@ -329,7 +330,7 @@
         reservations, reserved = self._reservations()
         try:
             r = reservations.cancel(str(q.get("id")), self.wall())
-            reserved.cancelled(r)
+            reserved.record_cancelled(r)
         except (RefusedError, LogError) as error:
             raise AdminError(str(error)) from error
         return self._shown(r)
@@ -446,7 +447,8 @@
     async def usage_show(self, q: dict[str, Any]) -> dict[str, Any]:
         ledger = self._ledger()
         ledger.write()
-        return usage(self.config.name, ledger.tally, self.exporter.word if self.exporter is not None else "")
+        return usage_report(self.config.name, ledger.tally,
+                            self.exporter.last_error if self.exporter is not None else "")
 
     async def usage_export(self, q: dict[str, Any]) -> dict[str, Any]:
         ledger = self._ledger()
@@ -457,17 +459,17 @@
         while ledger.tally.batches and time.monotonic() < until:
             await asyncio.sleep(0.02)
         return {"name": self.config.name, "sealed": sealed, "waiting": len(ledger.tally.batches),
-                "word": self.exporter.word}
+                "word": self.exporter.last_error}
 
 
-def shown(v: cat.Version) -> dict[str, Any]:
+def version_row(v: cat.Version) -> dict[str, Any]:
     """A version for a command."""
     return {"number": v.number, "from": cat.format_instant(v.effective_at), "note": v.note,
             "says": cat.summary(v),
             "plans": {p.name: {"rate": p.rate, "burst": p.burst, "most_open": p.most_open} for p in v.plans}}
 
 
-def usage(name: str, tally: t.Tally, word: str = "") -> dict[str, Any]:
+def usage_report(name: str, tally: t.Tally, word: str = "") -> dict[str, Any]:
     """The sums of a ledger and its uncut rows, for a command."""
     def told(s: t.Sum) -> dict[str, Any]:
         return {"units": t.units_text(s.units), "tries": s.tries}
--- a/larklb/serve.py
+++ b/larklb/serve.py
@@ -44,9 +44,9 @@
 from larklb.wheel import Wheel
 
 if TYPE_CHECKING:
-    from larklb.desk import Desk
     from larklb.grpc.front import RateLimitFront
     from larklb.net.keeper import CustodyKeeper
+    from larklb.operator_services import OperatorServices
     from larklb.store import BucketStore
 
 log = logging.getLogger(__name__)
@@ -70,7 +70,7 @@
     loop.add_signal_handler(signal.SIGUSR1, lambda: print(counters.as_json(), file=sys.stderr, flush=True))
     wheel = Wheel(config.settings.tick, functools.partial(counters.add, "errors.timer"))
     desk = _create_desk(config, base, operator, counters, wheel) if operator is not None else None
-    entitlements = desk.book if desk is not None else Entitlements(
+    entitlements = desk.entitlements if desk is not None else Entitlements(
         config.settings.plans, max_customers=customers_for_memory(config.memory_mb))
     limits = _create_limits(config, operator, wheel) if operator is not None else None
     core = Core(config.settings, config.seed, wheel, counters, entitlements, limits)
@@ -221,7 +221,7 @@
 
 
 def _create_keeper(config: Config, operator: Operator, core: Core, nodes: ExecuteNodes, phase: Phase,
-            desk: Desk | None) -> CustodyKeeper | None:
+            desk: OperatorServices | None) -> CustodyKeeper | None:
     """Creates the custody service if the operator's file enables it.
 
     Raises ConfigError if the configuration does not support custody.
@@ -244,15 +244,17 @@
     return CustodyKeeper(config, operator.custody, zones, core, nodes, core.counters, phase, core.crash_point)
 
 
-def _create_desk(config: Config, base: Path, operator: Operator, counters: Counters, wheel: Wheel) -> Desk:
+def _create_desk(config: Config, base: Path, operator: Operator, counters: Counters,
+          wheel: Wheel) -> OperatorServices:
     """Creates the desk; imported only here, because without an operator's file it is not needed.
 
     Raises StartError if its logs cannot be used.
     """
-    from larklb.desk import Desk
+    from larklb.operator_services import OperatorServices
     from larklb.state.log import LogError
     try:
-        return Desk(config, base, operator, operator.instance_entry(config.name), counters, wheel.now())
+        return OperatorServices(config, base, operator, operator.instance_entry(config.name), counters,
+                                wheel.now())
     except LogError as error:
         raise StartError(error) from error
 
--- a/larklb/state/folder.py
+++ b/larklb/state/folder.py
@@ -11,15 +11,15 @@
 
 AGAIN_S = 0.01             # between two tries to have a folder that somebody holds
 
-class HeldError(LogError):
+class FolderLockedError(LogError):
     """Another process holds the folder."""
 
 
-class Folder:
+class LockedFolder:
     """Held from here until ``close``; the lock dies with the process that has it."""
 
     def __init__(self, path: Path, patience_s: float = 0.0) -> None:
-        """Who holds it is waited for so long at the most, the thread with it; HeldError after that."""
+        """Locks the folder, blocking for at most ``patience_s``; raises FolderLockedError after that."""
         self.path = path
         try:
             path.mkdir(mode=0o700, parents=True, exist_ok=True)
@@ -31,7 +31,7 @@
             if time.monotonic() >= until:
                 holder = os.read(self.fd, 20).decode("ascii", "replace").strip() or "another one"
                 os.close(self.fd)
-                raise HeldError(f"{path}: it is in use by process {holder}")
+                raise FolderLockedError(f"{path}: it is in use by process {holder}")
             time.sleep(AGAIN_S)
         os.ftruncate(self.fd, 0)
         os.pwrite(self.fd, b"%d\n" % os.getpid(), 0)
@@ -49,7 +49,7 @@
             self.fd = -1
 
 
-def held(path: Path) -> bool:
+def is_locked(path: Path) -> bool:
     """Whether a process holds a folder.  The look writes nothing, and two of them do not meet; a process that
     starts while one lasts finds the folder held for that moment, and is to be patient."""
     try:
@@ -67,7 +67,7 @@
     return False
 
 
-def put_file(path: Path, data: bytes, step: Step = bool, mode: int = 0o600) -> None:
+def write_file_atomically(path: Path, data: bytes, step: Step = bool, mode: int = 0o600) -> None:
     """A file with this content, durable under its name on return; no reader sees a part of it."""
     new = path.with_name(path.name + ".new")
     fd = os.open(new, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, mode)
--- a/larklb/state/log.py
+++ b/larklb/state/log.py
@@ -18,7 +18,7 @@
 import google_crc32c
 
 MAGIC = b"LARKLOG1"
-MOST_RECORD = 16 * 1024 * 1024         # bytes: a longer length is no length
+MAX_RECORD_BYTES = 16 * 1024 * 1024         # bytes: a longer length is no length
 _HEAD = struct.Struct("!II")
 
 Step = Callable[[str], object]
@@ -29,7 +29,7 @@
     """The log cannot be used or written; the text is one line with the file, and where it is broken."""
 
 
-class Replayed(NamedTuple):
+class ReplayResult(NamedTuple):
     """What a log holds: its records, the bytes they fill, and how many behind them were torn."""
 
     records: list[bytes]
@@ -52,23 +52,23 @@
         return None
     length, crc = _HEAD.unpack_from(data, at)
     end = at + _HEAD.size + length
-    if not 0 < length <= MOST_RECORD or end > len(data):
+    if not 0 < length <= MAX_RECORD_BYTES or end > len(data):
         return None
     payload = data[at + _HEAD.size:end]
     return payload if _crc(data[at:at + 4] + payload) == crc else None
 
 
-def replay(path: Path) -> Replayed:
+def replay(path: Path) -> ReplayResult:
     """Reads a log and changes nothing; LogError where it is broken before its end."""
     try:
         data = path.read_bytes()
     except FileNotFoundError:
-        return Replayed([], 0, 0)
+        return ReplayResult([], 0, 0)
     except OSError as error:
         raise LogError(f"{path}: {error.strerror}") from error
     if data[:len(MAGIC)] != MAGIC:
         if MAGIC.startswith(data) or not data.strip(b"\0"):
-            return Replayed([], 0, len(data))          # made, and not yet written to
+            return ReplayResult([], 0, len(data))          # made, and not yet written to
         raise LogError(f"{path}: it does not begin as a log of this version does")
     records, at = [], len(MAGIC)
     while (payload := _record(data, at)) is not None:
@@ -79,7 +79,7 @@
         if data[later:later + 4] != b"\0\0\0\0" and _record(data, later) is not None:
             raise LogError(f"{path}: broken at byte {at} of {len(data)}, and whole from byte {later} on: "
                            "keep the file, and put back the last good copy")
-    return Replayed(records, at, len(data) - at)
+    return ReplayResult(records, at, len(data) - at)
 
 
 def sync_folder(folder: Path) -> None:
@@ -100,7 +100,7 @@
         found = replay(path)
         self.records, self.torn = found.records, found.torn
         self.broken = ""                       # why nothing more can be written before a rewrite
-        self.untidy = False                    # a torn end is still to be cut off
+        self.has_torn_tail = False                    # a torn end is still to be cut off
         try:
             self.fd = os.open(path, os.O_RDWR | os.O_CREAT, 0o600)
             if found.size == 0:
@@ -123,11 +123,11 @@
         data = b"".join(map(frame, payloads))
         self.step("append")
         try:
-            if self.untidy:
+            if self.has_torn_tail:
                 self._cut_off()
-            self.untidy = True
+            self.has_torn_tail = True
             self._write(self.fd, data, self.size)
-            self.untidy = False
+            self.has_torn_tail = False
         except OSError as error:
             with contextlib.suppress(OSError):      # else it is tried again before the next record
                 self._cut_off()
@@ -138,12 +138,12 @@
                 self._write(self.next, data, self.next_size)
                 self.next_size += len(data)
             except OSError:
-                self.drop_rewrite()
+                self.abort_rewrite()
         self.step("appended")
 
     def _cut_off(self) -> None:
         os.ftruncate(self.fd, self.size)
-        self.untidy = False
+        self.has_torn_tail = False
 
     @staticmethod
     def _write(fd: int, data: bytes, at: int) -> None:
@@ -169,14 +169,14 @@
 
     def begin_rewrite(self, payloads: Sequence[bytes]) -> None:
         """From here on the log is also written to a new file that begins with these records alone."""
-        self.drop_rewrite()
+        self.abort_rewrite()
         path = self.path.with_suffix(".new")
         try:
             self.next = os.open(path, os.O_RDWR | os.O_CREAT | os.O_TRUNC, 0o600)
             data = MAGIC + b"".join(map(frame, payloads))
             self._write(self.next, data, 0)
         except OSError as error:
-            self.drop_rewrite()
+            self.abort_rewrite()
             raise LogError(f"{path}: {error.strerror}") from error
         self.next_size = len(data)
         self.step("rewrite.written")
@@ -189,7 +189,7 @@
         try:
             os.fsync(fd)
         except OSError as error:
-            self.drop_rewrite()
+            self.abort_rewrite()
             raise LogError(f"{self.path}: {error.strerror}") from error
         self.step("rewrite.synced")
 
@@ -205,9 +205,9 @@
             raise LogError(f"{self.path}: {error.strerror}") from error
         os.close(self.fd)
         self.fd, self.size, self.next = self.next, self.next_size, None
-        self.broken, self.untidy = "", False
+        self.broken, self.has_torn_tail = "", False
 
-    def drop_rewrite(self) -> None:
+    def abort_rewrite(self) -> None:
         if self.next is not None:
             os.close(self.next)
             self.next = None
@@ -224,6 +224,6 @@
 
     def close(self) -> None:
         if self.fd >= 0:
-            self.drop_rewrite()
+            self.abort_rewrite()
             os.close(self.fd)
             self.fd, self.broken = -1, "it is closed"
--- a/larklb/state/reserved.py
+++ b/larklb/state/reserved.py
@@ -63,12 +63,13 @@
     _load(replay(path).records, into, path)
 
 
-class ReservedLog:
+class ReservationLog:
     """Fills a ``Reservations`` from the log, and keeps what changes."""
 
     def __init__(self, path: Path, reservations: Reservations, wall: float, step: Step = bool) -> None:
         self.reservations = reservations
-        self.late: dict[tuple[int, bool, int], _Drew] = {}       # draws that the disk has not taken yet
+        # Draws that could not be written yet.
+        self.unwritten_draws: dict[tuple[int, bool, int], _Drew] = {}
         self.log = Log(path, step)
         _load(self.log.records, reservations, path)
         self.log.records = []
@@ -84,40 +85,40 @@
                                          r.state is State.CANCELLED))
                           for r in self.reservations.by_name.values()])
         self.floor = self.log.size
-        self.late.clear()
+        self.unwritten_draws.clear()
 
     def _mend(self) -> None:
         """A log whose sync failed is written anew, from memory; LogError while it cannot be."""
         if self.log.broken:
             self._rewrite()
 
-    def added(self, r: Reservation) -> None:
+    def record_added(self, r: Reservation) -> None:
         """Durable on return: the customer counts on it from then on."""
         self._mend()
         self.log.append([_encode(_Added(r.wanted, r.owned))])
         self.log.sync()
 
-    def cancelled(self, r: Reservation) -> None:
+    def record_cancelled(self, r: Reservation) -> None:
         self._mend()
         self.log.append([_encode(_Cancelled(r.wanted.name))])
         self.log.sync()
 
-    def drew(self, d: io.RecordDraw, number: int) -> None:
+    def record_draw(self, d: io.RecordDraw, number: int) -> None:
         """Survives this process's death on return; no sync, for a request waits.  What LogError left out goes
         with the next draw, or when all is tidied: a draw is told as the sum of all."""
         by = number if d.limiter < 0 else d.limiter
-        self.late[d.tag, d.without_owner, by] = _Drew(d.tag, d.units, d.without_owner, by)
+        self.unwritten_draws[d.tag, d.without_owner, by] = _Drew(d.tag, d.units, d.without_owner, by)
         self._flush()
 
     def _flush(self) -> None:
         self._mend()
-        self.log.append(map(_encode, self.late.values()))
-        self.late.clear()
+        self.log.append(map(_encode, self.unwritten_draws.values()))
+        self.unwritten_draws.clear()
 
-    def tidy(self, wall: float) -> None:
+    def compact(self, wall: float) -> None:
         """Off the requests' path: forgets what is long over, and the draws that newer ones replace."""
         self.reservations.expire(wall)
-        if self.late or self.log.broken:
+        if self.unwritten_draws or self.log.broken:
             self._flush()
         if self.log.size - self.floor > REWRITE:
             self._rewrite()
--- a/tests/test_adopt.py
+++ b/tests/test_adopt.py
@@ -10,9 +10,9 @@
 import pytest
 
 from larklb.export import tally as t
-from larklb.export.adopt import due, left
+from larklb.export.adopt import due_adoptions, has_unexported_use
 from larklb.export.audit import audit
-from larklb.state.folder import held
+from larklb.state.folder import is_locked
 from tests.receiver import Receiver
 from tests.standins import Yard, ask, job
 from tests.test_usage import larklb, operator_text
@@ -25,9 +25,9 @@
 
 
 def test_the_others_look_in_turns_once_a_lock_was_free_for_long_enough() -> None:
-    assert due(10.0, {"a": 9.5, "b": 8.9}, 1.0, {}) == ["b"]
-    assert due(10.0, {"a": 8.9}, 1.0, {"a": 1}) == []
-    assert due(10.0, {"a": 8.4}, 1.0, {"a": 1}) == ["a"]
+    assert due_adoptions(10.0, {"a": 9.5, "b": 8.9}, 1.0, {}) == ["b"]
+    assert due_adoptions(10.0, {"a": 8.9}, 1.0, {"a": 1}) == []
+    assert due_adoptions(10.0, {"a": 8.4}, 1.0, {"a": 1}) == ["a"]
 
 
 async def all_received(receiver: Receiver, tries: int, within: float = 12.0) -> None:
@@ -55,10 +55,10 @@
             folder = tmp_path / "var" / "n0" / "use"
             await all_received(receiver, 7)
             for _ in range(100):
-                if not left(folder):
+                if not has_unexported_use(folder):
                     break
                 await asyncio.sleep(0.1)
-            assert receiver.tries() == 7 and not receiver.differing and not left(folder)
+            assert receiver.tries() == 7 and not receiver.differing and not has_unexported_use(folder)
             found = audit(folder, "n0")
             assert not found.differences and found.tally.counted.tries == 7 == found.tally.acked.tries
             counts: Counter[str] = Counter()
@@ -66,7 +66,7 @@
                 counts.update(await limiter.counters())
             assert counts["adopted.ledgers"] == 1 and not counts["errors.adopted"]
             for _ in range(100):
-                if not held(folder):                       # while the heir is at work a start is turned down
+                if not is_locked(folder):        # while the heir is at work a start is turned down
                     break
                 await asyncio.sleep(0.05)
             await lost.start()
@@ -137,6 +137,6 @@
             assert (await ask(yard.limiters[0].port, job()))[0] == 200
             await yard.limiters[0].stop(signal.SIGKILL)
             await asyncio.sleep(3.0)
-            assert receiver.deliveries == 0 and left(tmp_path / "var" / "n0" / "use")
+            assert receiver.deliveries == 0 and has_unexported_use(tmp_path / "var" / "n0" / "use")
         await receiver.stop()
     asyncio.run(go())
--- a/tests/test_desk.py
+++ b/tests/test_desk.py
@@ -238,6 +238,6 @@
         with pytest.raises(OSError, match="bytes at most"):
             await admin.Admin(tmp_path / ("x" * 120), {}).start()
         await server.stop()
-        with pytest.raises(admin.SilentError):
+        with pytest.raises(admin.UnreachableError):
             await asyncio.to_thread(admin.ask, path, "echo", x=5)
     asyncio.run(go())
--- a/tests/test_hardening.py
+++ b/tests/test_hardening.py
@@ -477,7 +477,7 @@
 def test_a_disk_that_fails_at_the_end_does_not_cut_an_orderly_stop_short(
         tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """The reservations' last sync failed, and with it the stop: exit 1, counters not told."""
-    from larklb.desk import Desk
+    from larklb.operator_services import OperatorServices
     from larklb.settings import load_operator
     yard = Yard(tmp_path, more='[state]\nfolder = "var"\n[reservations]\n')
     config = load({"EDGE_CONFIG": str(yard.limiters[0].config())})
@@ -485,7 +485,7 @@
 
     async def go() -> None:
         core = core_with()
-        desk = Desk(
+        desk = OperatorServices(
             config, tmp_path, operator, operator.instance_entry("n0"), core.counters, core.wheel.now())
         await desk.start(core)
         assert desk.reserved is not None and desk.held is not None
--- a/tests/test_running_out.py
+++ b/tests/test_running_out.py
@@ -21,7 +21,7 @@
 from larklb.quota.reservations import ReservationLimits, Reservations, Wanted
 from larklb.state import folder as state_folder
 from larklb.state.log import Log, LogError, replay
-from larklb.state.reserved import ReservedLog
+from larklb.state.reserved import ReservationLog
 from tests.test_usage import ledger, served
 
 
@@ -88,7 +88,7 @@
             with pytest.raises(LogError, match="could not be brought"):
                 await x.sync()                  # a second try may claim what the first one lost
         await served(x, "meanwhile")
-        keeping = asyncio.create_task(x.keep(10.0, 1e6))
+        keeping = asyncio.create_task(x.run_maintenance(10.0, 1e6))
         await mended(x)
         await served(x, "after")
         x.write()
@@ -125,13 +125,13 @@
     """The end of a try whose begin was dropped broke the sums, the jobs that waited, and the next start."""
     async def go() -> None:
         x = ledger(tmp_path)
-        monkeypatch.setattr(ledger_module, "MOST_WAITING", 5)
+        monkeypatch.setattr(ledger_module, "MAX_UNWRITTEN_RECORDS", 5)
         with monkeypatch.context() as patch:
             Disk(patch, "pwrite")
             out = [await asyncio.wait_for(x.begin(f"j{i}", t.Key(0, "1", "slow", 0, "c", 0, False), 1.0), 1)
                    for i in range(9)]
         for ticket in out:
-            ticket.whole = True
+            ticket.fully_sent = True
             x.end(ticket)
         await asyncio.wait_for(served(x, "again"), 1)
         x.write()
@@ -163,13 +163,13 @@
             for i in range(3):
                 await asyncio.wait_for(served(x, f"j{i}"), 1)
                 await asyncio.sleep(0)
-                for step in (x.seal, lambda: deliver(x), x.shorten):
+                for step in (x.seal, lambda: deliver(x), x.compact):
                     try:
                         await step()
                     except (LogError, OSError):
                         pass
             reached = disk.left < 0
-        keeping = asyncio.create_task(x.keep(1.0, 1e6))     # there is room again
+        keeping = asyncio.create_task(x.run_maintenance(1.0, 1e6))     # there is room again
         await asyncio.wait_for(served(x, "last"), 5)
         await mended(x)
         keeping.cancel()
@@ -213,9 +213,9 @@
     asyncio.run(go())
 
 
-def reserved_log(folder: Path) -> tuple[Reservations, ReservedLog]:
+def reserved_log(folder: Path) -> tuple[Reservations, ReservationLog]:
     reservations = Reservations(ReservationLimits(), 1, 0)
-    return reservations, ReservedLog(folder / "reservations.log", reservations, 0.0)
+    return reservations, ReservationLog(folder / "reservations.log", reservations, 0.0)
 
 
 def test_draws_that_the_disk_did_not_take_are_written_once_it_does(
@@ -227,19 +227,19 @@
         reservations, kept = reserved_log(folder)
         wanted = [Wanted(n, f"{1:016x}", "slow", 10.0, 0.0, 9000.0) for n in ("a", "b", "refused")]
         a, b = (reservations.add(w, True, 0.0, 1.0) for w in wanted[:2])
-        kept.added(a)
-        kept.added(b)
+        kept.record_added(a)
+        kept.record_added(b)
         with monkeypatch.context() as patch:
             Disk(patch, *names, code=code)
             refused = reservations.add(wanted[2], True, 0.0, 1.0)
             with pytest.raises(LogError):
-                kept.added(refused)
+                kept.record_added(refused)
             reservations.remove(refused)
             a.draw(4.0)
             with pytest.raises(LogError):
-                kept.drew(io.RecordDraw(a.tag, a.drawn), 0)
+                kept.record_draw(io.RecordDraw(a.tag, a.drawn), 0)
         b.draw(1.0)
-        kept.drew(io.RecordDraw(b.tag, b.drawn), 0)
+        kept.record_draw(io.RecordDraw(b.tag, b.drawn), 0)
         again, _ = reserved_log(folder)                    # killed, and started
         assert {r.wanted.name: r.drawn for r in again.by_name.values()} == {"a": 4.0, "b": 1.0}
 
@@ -254,10 +254,10 @@
 
 
 def test_a_half_written_file_is_never_in_place(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    state_folder.put_file(tmp_path / "f", b"old")
+    state_folder.write_file_atomically(tmp_path / "f", b"old")
     for after in range(3):
         with monkeypatch.context() as patch:
             Disk(patch, "open", "write", "fsync", "rename", after=after)
             with pytest.raises(OSError):
-                state_folder.put_file(tmp_path / "f", b"new")
+                state_folder.write_file_atomically(tmp_path / "f", b"new")
         assert (tmp_path / "f").read_bytes() == b"old"
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -12,7 +12,7 @@
 import pytest
 
 from larklb.state import log as state_log
-from larklb.state.folder import Folder, HeldError, held, put_file
+from larklb.state.folder import FolderLockedError, LockedFolder, is_locked, write_file_atomically
 from larklb.state.log import MAGIC, Log, LogError, replay
 from tests.standins import ROOT
 
@@ -131,31 +131,31 @@
 
 
 def test_a_folder_is_held_by_one_process_and_freed_by_its_death(tmp_path: Path) -> None:
-    code = ("import sys, pathlib; from larklb.state.folder import Folder; "
-            "f = Folder(pathlib.Path(sys.argv[1])); print('held', flush=True); sys.stdin.read()")
+    code = ("import sys, pathlib; from larklb.state.folder import LockedFolder; "
+            "f = LockedFolder(pathlib.Path(sys.argv[1])); print('held', flush=True); sys.stdin.read()")
     other = subprocess.Popen([sys.executable, "-c", code, str(tmp_path)], cwd=ROOT, stdin=subprocess.PIPE,
                              stdout=subprocess.PIPE)
     assert other.stdout is not None and other.stdout.readline() == b"held\n"
-    with pytest.raises(HeldError, match=f"in use by process {other.pid}"):
-        Folder(tmp_path)
-    assert held(tmp_path)
+    with pytest.raises(FolderLockedError, match=f"in use by process {other.pid}"):
+        LockedFolder(tmp_path)
+    assert is_locked(tmp_path)
     other.kill()
     other.communicate()
-    assert not held(tmp_path)
-    Folder(tmp_path).close()
+    assert not is_locked(tmp_path)
+    LockedFolder(tmp_path).close()
 
 
 def test_a_start_waits_for_one_who_only_looks_at_its_folder(tmp_path: Path) -> None:
     """Others look whether an instance is there: a start that came just then found its folder in use."""
-    Folder(tmp_path).close()
+    LockedFolder(tmp_path).close()
     code = ("import fcntl, sys, time; f = open(sys.argv[1]); fcntl.flock(f, fcntl.LOCK_SH); "
             "print('looks', flush=True); time.sleep(0.4)")
     other = subprocess.Popen([sys.executable, "-c", code, str(tmp_path / "lock")], stdout=subprocess.PIPE)
     assert other.stdout is not None and other.stdout.readline() == b"looks\n"
-    with pytest.raises(HeldError):
-        Folder(tmp_path)
-    assert not held(tmp_path), "two who look do not take each other for its holder"
-    Folder(tmp_path, patience_s=10.0).close()
+    with pytest.raises(FolderLockedError):
+        LockedFolder(tmp_path)
+    assert not is_locked(tmp_path), "two who look do not take each other for its holder"
+    LockedFolder(tmp_path, patience_s=10.0).close()
     other.communicate()
 
 
@@ -166,16 +166,16 @@
                 raise InterruptedError
         return step
 
-    put_file(tmp_path / "f", b"old")
+    write_file_atomically(tmp_path / "f", b"old")
     with pytest.raises(InterruptedError):
-        put_file(tmp_path / "f", b"newer", dies_at("file.written"))
+        write_file_atomically(tmp_path / "f", b"newer", dies_at("file.written"))
     assert (tmp_path / "f").read_bytes() == b"old"
     with pytest.raises(InterruptedError):
-        put_file(tmp_path / "f", b"newer", dies_at("file.renamed"))
+        write_file_atomically(tmp_path / "f", b"newer", dies_at("file.renamed"))
     assert (tmp_path / "f").read_bytes() == b"newer"
 
 
 def test_a_record_longer_than_any_is_no_length(tmp_path: Path) -> None:
     path = tmp_path / "log"
-    path.write_bytes(MAGIC + (state_log.MOST_RECORD + 1).to_bytes(4, "big") + b"\0" * 40)
+    path.write_bytes(MAGIC + (state_log.MAX_RECORD_BYTES + 1).to_bytes(4, "big") + b"\0" * 40)
     assert replay(path).records == []
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -46,7 +46,7 @@
 
 async def served(x: Ledger, name: str, units: float = 1.0, account: int = 1) -> None:
     ticket = await x.begin(name, x.key(f"{account:016x}", "slow", 3, "place-order"), units)
-    ticket.whole = True
+    ticket.fully_sent = True
     x.end(ticket)
 
 
@@ -93,7 +93,7 @@
                 note(t.Started(tally.incarnation + 1, 0.0))
             case "k":
                 payloads[:] = [t.encode(tally.base())]
-        again = t.replayed(payloads)
+        again = t.replay_records(payloads)
         assert again == tally and list(again.rows) == list(tally.rows), "in order too: batches are cut by it"
     uncut = sum(units for units, _ in tally.rows.values())
     waiting = sum(b.total.units for b in tally.batches.values())
@@ -129,7 +129,7 @@
         tickets = await asyncio.gather(*(x.begin(f"j{i}", KEY, 1.0) for i in range(50)))
         assert len(writes) - before == 1
         assert {b.job for b in read(tmp_path).begun.values()} == {f"j{i}" for i in range(50)}
-        tickets[0].whole = True
+        tickets[0].fully_sent = True
         for ticket in tickets:
             x.end(ticket)
         await asyncio.sleep(0)
@@ -163,7 +163,7 @@
         await receiver.start()
         x = ledger(tmp_path)
         to = ex.receiver(receiver.url)
-        exporter = ex.Exporter(x, x.counters, to, most_wait_s=0.1)
+        exporter = ex.Exporter(x, x.counters, to, max_wait_s=0.1)
         await served(x, "first")
         assert await x.seal() == 1 and await exporter.all() == 1
         for i in range(4):
@@ -185,7 +185,7 @@
         tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
     async def go() -> None:
         x = ledger(tmp_path)
-        exporter = ex.Exporter(x, x.counters, ex.receiver("http://127.0.0.1:1/"), most_wait_s=4.0, seed=5)
+        exporter = ex.Exporter(x, x.counters, ex.receiver("http://127.0.0.1:1/"), max_wait_s=4.0, seed=5)
         await served(x, "j")
         await x.seal()
         pauses: list[float] = []
@@ -208,21 +208,22 @@
 
 def test_a_receiver_that_stays_away_costs_bounded_disk_and_memory_and_loses_nothing(
         tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture) -> None:
-    monkeypatch.setattr(ledger_module, "MOST_ROWS", 30)
+    monkeypatch.setattr(ledger_module, "MAX_ROWS", 30)
 
     async def go() -> None:
         clock = Clock()
-        x = ledger(tmp_path, most_mb=0.05, clock=clock)
+        x = ledger(tmp_path, max_mb=0.05, clock=clock)
         for n in range(600):
             clock.now += 60.0
-            await x.use(x.key(f"{n:016x}", "slow", 3, "place-order"), 1.0)
+            await x.record_use(x.key(f"{n:016x}", "slow", 3, "place-order"), 1.0)
             if n % 5 == 0:
                 await x.seal()
         size = sum(p.stat().st_size for p in x.outbox.iterdir())
         assert x.full() and size == x.outbox_bytes < 60_000
         assert len(x.tally.rows) <= 32 and x.counters["errors.ledger_unattributed"] > 0
         assert sum("near its bound" in r.message for r in caplog.records) == 1
-        assert len(t.replayed([t.encode(x.tally.base())]).periods) < 12, "no new period while it is full"
+        assert len(t.replay_records([t.encode(x.tally.base())]).periods) < 12, (
+            "no new period while it is full")
         done = tmp_path / "out"
         await ex.Exporter(x, x.counters, done).all()
         await x.seal()
