--- a/tests/test_bulk.py
+++ b/tests/test_bulk.py
@@ -1,4 +1,4 @@
-"""Bodies and answers over 64 KiB, slow sides, and the forms of HTTP/1.1, over sockets."""
+"""Tests of streamed bodies and answers (over 64 KiB), slow peers and the forms of HTTP/1.1, over sockets."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def order(body: bytes, *, chunked: int = 0, name: str = "", more: str = "") -> bytes:
-    """A place-order with a body, chunked in pieces of so many bytes if that is not 0."""
+    """Returns a place-order request; ``chunked`` is the chunk size in bytes, 0 for a Content-Length."""
     head, _, _ = job(name, "place-order").partition("\r\n\r\n")
     if not chunked:
         return head.replace("Content-Length: 0", f"Content-Length: {len(body)}{more}").encode() \
@@ -31,10 +31,10 @@
 
 
 class BulkNode(ExecuteNode):
-    """Answers with the digest of the body that came, or with what ``answer`` writes."""
+    """Answers with the digest of the received body, or with what ``answer`` writes."""
 
-    cut_after = 0              # bytes of a body, at which it turns the request away unread
-    hold = 0.0                 # s before it reads a body
+    cut_after = 0              # body bytes after which the request is refused
+    hold = 0.0                 # seconds before a body is read
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
@@ -58,8 +58,8 @@
         finally:
             writer.close()
 
-    async def answer(self, writer: asyncio.StreamWriter, word: bytes) -> None:
-        writer.write(http(200, word))
+    async def answer(self, writer: asyncio.StreamWriter, digest_line: bytes) -> None:
+        writer.write(http(200, digest_line))
         await writer.drain()
 
 
@@ -85,7 +85,7 @@
     return yard
 
 
-def word(body: bytes) -> bytes:
+def digest_line(body: bytes) -> bytes:
     return f"{len(body)} {hashlib.sha256(body).hexdigest()}".encode()
 
 
@@ -93,28 +93,28 @@
 
 
 @pytest.mark.parametrize("chunked", [0, 1000, 200_000])
-def test_a_long_body_reaches_its_node_as_it_came(tmp_path: Path, chunked: int) -> None:
+def test_a_long_body_reaches_its_node_unchanged(tmp_path: Path, chunked: int) -> None:
     async def go() -> None:
         yard = bulk_yard(tmp_path)
         async with yard:
             port = yard.limiters[0].port
             for body in (BODY, b"y" * 65536, b"z" * 65537, b"", b"short"):
                 status, _, answer = await ask(port, order(body, chunked=chunked if body else 0))
-                assert (status, answer) == (200, word(body))
+                assert (status, answer) == (200, digest_line(body))
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             text = order(BODY, chunked=chunked, more="\r\nExpect: 100-continue")
             head, end, body = text.partition(b"\r\n\r\n")
             writer.write(head + end)
             assert (await reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 100")
             writer.write(body)
-            assert (await read_answer(reader))[2] == word(BODY)
-            writer.write(job().encode())                    # the connection goes on
+            assert (await read_answer(reader))[2] == digest_line(BODY)
+            writer.write(job().encode())                    # the connection stays usable
             assert (await read_answer(reader))[0] == 200
     asyncio.run(go())
 
 
-def test_a_slow_body_is_carried_and_a_slower_one_told_and_closed(tmp_path: Path) -> None:
-    """64 kB a second, after 2 s for the head; and one that stops in the middle."""
+def test_a_slow_body_is_accepted_and_one_below_the_minimum_rate_is_rejected(tmp_path: Path) -> None:
+    """A body at 64 kB/s after 2 s for the head is accepted; one that stops in the middle gets 408."""
     async def go() -> None:
         yard = bulk_yard(tmp_path)
         async with yard:
@@ -136,15 +136,15 @@
             text = order(body)
             whole, held, carried = await asyncio.gather(
                 sent(text, len(text)), sent(order(body), 60_000), sent(order(body), 90_000))
-            assert whole[:2] == (200, word(body))
+            assert whole[:2] == (200, digest_line(body))
             for stopped in (held, carried):
                 assert stopped[0] == 408 and stopped[2] < 9
             assert yard.nodes[0].seen["begun"] == 2, "the second body had not come to be sent on"
     asyncio.run(go())
 
 
-def test_a_long_body_goes_to_another_node_only_while_it_is_kept(tmp_path: Path) -> None:
-    """A node that is not there costs nothing; one that turns it away in the middle ends it."""
+def test_a_long_body_is_retried_only_while_it_is_buffered(tmp_path: Path) -> None:
+    """An unreachable node is skipped; a node that refuses the body in the middle ends the job."""
     async def go() -> None:
         yard = bulk_yard(tmp_path, nodes=2)
         async with yard:
@@ -153,7 +153,7 @@
             assert isinstance(first, BulkNode) and isinstance(second, BulkNode) and second.server is not None
             second.server.close()
             for _ in range(4):
-                assert (await ask(port, order(BODY)))[2] == word(BODY)
+                assert (await ask(port, order(BODY)))[2] == digest_line(BODY)
             first.cut_after = 1000_000
             begun = first.seen["begun"]
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -167,11 +167,11 @@
 
 
 @pytest.mark.parametrize("result", [io.Result.FULL, io.Result.CONNECT_FAILED, io.Result.ERROR])
-def test_what_cannot_be_sent_again_has_no_further_attempt(result: io.Result) -> None:
+def test_a_consumed_body_gets_no_further_attempt(result: io.Result) -> None:
     bed = Bed(servers=3)
     bed.ask(0, "r", "write", "free")
     bed.give(0, io.BodyConsumed("r"))
-    bed.run(400)                   # no review moves it either
+    bed.run(400)                   # no review moves the job either
     assert not bed.of(io.Cancel)
     bed.end(0, "r", result)
     assert len(bed.of(io.Send, "r")) == 1
@@ -179,7 +179,7 @@
     assert len(bed.of(final, "r")) == 1
 
 
-def test_an_answer_that_flows_leaves_its_node_room_and_its_customer_no_slot() -> None:
+def test_a_streamed_answer_frees_its_node_but_keeps_the_customers_slot() -> None:
     bed = Bed(servers=1)
     for n in range(2):
         bed.ask(0, f"a{n}", plan="open")
@@ -192,7 +192,7 @@
     assert len(bed.of(io.Send, "c")) == 1
 
 
-def test_too_long_a_body_is_told_so(tmp_path: Path) -> None:
+def test_a_body_over_the_limit_is_answered_with_413(tmp_path: Path) -> None:
     async def go() -> None:
         yard = bulk_yard(tmp_path)
         async with yard:
@@ -215,12 +215,12 @@
 
 
 class LongAnswers(BulkNode):
-    """32 MB, as fast as they are taken; or what else ``how`` says."""
+    """Answers with 32 MB as fast as they are read, or in the form that ``how`` names."""
 
     how = "length"
     whole = bytes(65536) * 512
 
-    async def answer(self, writer: asyncio.StreamWriter, word: bytes) -> None:
+    async def answer(self, writer: asyncio.StreamWriter, digest_line: bytes) -> None:
         if self.how == "length":
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(self.whole))
             for at in range(0, len(self.whole), 65536):
@@ -256,7 +256,7 @@
     return b"".join([part async for part in body_of(reader, headers)])
 
 
-def test_long_answers_in_every_form_and_those_that_break_off_can_be_told(tmp_path: Path) -> None:
+def test_long_answers_in_every_form_and_incomplete_ones_are_detected(tmp_path: Path) -> None:
     async def go() -> None:
         yard = bulk_yard(tmp_path, kind=LongAnswers)
         console = with_console(yard)
@@ -268,7 +268,7 @@
                                 ("slowly", b"s" * 1000), ("trickle", b"t" * 100_000)):
                 node.how = how
                 writer.write(job().encode())
-                if how == "trickle":          # the first bytes come at once
+                if how == "trickle":          # the first bytes arrive at once
                     await asyncio.wait_for(reader.readuntil(b"t" * 10), 0.8)
                     assert await asyncio.wait_for(reader.readexactly(99_990), 5) == b"t" * 99_990
                 else:
@@ -277,9 +277,9 @@
             writer.write(job().encode())
             with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
                 await whole_answer(reader)
-            told = (await figures(console))["responses"]["stock-check"]
-            assert (told["ok"], told["errors"]) == (4, 1)
-            node.how = "chunked"             # HTTP/1.0 knows no chunks: the answer ends with the connection
+            statistics = (await figures(console))["responses"]["stock-check"]
+            assert (statistics["ok"], statistics["errors"]) == (4, 1)
+            node.how = "chunked"             # HTTP/1.0 has no chunks: the close ends the answer
             text = job().replace("HTTP/1.1", "HTTP/1.0").encode()
             reader, writer = await asyncio.open_connection("127.0.0.1", yard.limiters[0].port)
             writer.write(text)
@@ -289,9 +289,9 @@
 
 
 def test_many_long_answers_to_slow_readers_stay_within_memory(tmp_path: Path) -> None:
-    """24 times 32 MB, none of which is read for a while: a limiter that held them would need 768 MB.
+    """24 answers of 32 MB are not read for a while; a limiter that buffered them would need 768 MB.
 
-    It may have 46 MB, of which 5 are for what flows: of 24 at once some wait."""
+    It may use 46 MB, of which 5 are for streamed transfers, so that some of the 24 wait."""
     async def go() -> None:
         yard = bulk_yard(tmp_path, nodes=2, kind=LongAnswers)
         yard.memory_mb = 46
@@ -299,11 +299,11 @@
             process = yard.limiters[0].process
             assert process is not None
 
-            def most_mb() -> float:
+            def max_mb() -> float:
                 text = Path(f"/proc/{process.pid}/status").read_text()
                 return int(text.split("VmHWM:")[1].split()[0]) / 1024
 
-            before = most_mb()
+            before = max_mb()
 
             async def slow() -> int:
                 reader, writer = await asyncio.open_connection("127.0.0.1", yard.limiters[0].port, limit=4096)
@@ -319,12 +319,12 @@
                 return got
 
             assert await asyncio.gather(*(slow() for _ in range(24))) == [32 * MB] * 24
-            assert most_mb() - before < 10
+            assert max_mb() - before < 10
     asyncio.run(go())
 
 
-def test_what_flows_at_once_is_bounded_by_the_memory_and_the_rest_waits(tmp_path: Path) -> None:
-    """30 MB leave four places: answers that nobody reads hold them, a small one needs none."""
+def test_concurrent_streams_are_bounded_by_memory_and_the_rest_wait(tmp_path: Path) -> None:
+    """30 MB leave four streaming slots, held by unread answers; a small answer needs none."""
     async def go() -> None:
         yard = bulk_yard(tmp_path, nodes=2, kind=LongAnswers)
         yard.memory_mb = 30
@@ -349,7 +349,7 @@
     asyncio.run(go())
 
 
-def test_requests_behind_one_another_are_answered_in_turn_and_a_flood_is_not(tmp_path: Path) -> None:
+def test_pipelined_requests_are_answered_in_order_and_too_many_are_rejected(tmp_path: Path) -> None:
     async def go() -> None:
         async with Yard(tmp_path) as yard:
             port = yard.limiters[0].port
@@ -366,10 +366,10 @@
     asyncio.run(go())
 
 
-def test_a_submitter_that_leaves_in_the_middle_of_its_body_leaves_nothing(tmp_path: Path) -> None:
+def test_a_client_that_disconnects_during_its_body_leaves_no_state(tmp_path: Path) -> None:
     async def go() -> None:
         yard = bulk_yard(tmp_path)
-        yard.memory_mb = 30                # four places for what flows: they are free again
+        yard.memory_mb = 30                # four streaming slots, free again afterwards
         console = with_console(yard)
         async with yard:
             for _ in range(9):
@@ -378,8 +378,8 @@
                 await asyncio.sleep(0.1)
                 writer.transport.abort()
             await asyncio.sleep(0.5)
-            told = await figures(console)
-            assert (told["active"], told["tries"]) == (0, 0)
+            statistics = await figures(console)
+            assert (statistics["active"], statistics["tries"]) == (0, 0)
             assert (await ask(yard.limiters[0].port, order(BODY)))[0] == 200
     asyncio.run(go())
 
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -1,4 +1,4 @@
-"""The program, started and spoken to over sockets."""
+"""Tests of the running program over its sockets."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
     (job(service="place-order").replace("Content-", "Transfer-Encoding: chunked\r\nContent-") + "0\r\n\r\n"
      + job(), 400),
     (job().replace("GET", "POST", 1), 400)])
-def test_what_is_no_job_is_told_so(tmp_path: Path, text: str, status: int) -> None:
+def test_an_invalid_request_is_rejected(tmp_path: Path, text: str, status: int) -> None:
     async def go() -> None:
         async with Yard(tmp_path) as yard:
             assert (await ask(yard.limiters[0].port, text))[0] == status
@@ -47,8 +47,8 @@
     asyncio.run(go())
 
 
-def test_strangers_are_closed_in_time_and_do_not_keep_submitters_out(tmp_path: Path) -> None:
-    """Silent connections stayed for good; a first message under way was aborted at the next sweep."""
+def test_silent_connections_are_closed_and_do_not_block_clients(tmp_path: Path) -> None:
+    """Guards against silent connections that stay open, and a sweep that aborts a first request."""
     async def go() -> None:
         async with Yard(tmp_path) as yard:
             port = yard.limiters[0].port
@@ -71,23 +71,23 @@
     asyncio.run(go())
 
 
-def test_many_that_ask_once_and_stay_do_not_hold_all_connections(tmp_path: Path) -> None:
-    """Submitters may hold so many connections for their jobs: kept idle, these left none for the next job."""
+def test_the_number_of_idle_client_connections_is_limited(tmp_path: Path) -> None:
+    """Guards against clients whose idle connections leave no descriptor for the next client."""
     async def go() -> None:
         async with Yard(tmp_path) as yard:
-            kept = []
+            idle_connections = []
             for _ in range(120):
                 reader, writer = await asyncio.open_connection("127.0.0.1", yard.limiters[0].port)
                 writer.write(job().encode())
                 status, headers, _ = await read_answer(reader)
-                kept.append((headers.get("connection", "keep"), writer))
+                idle_connections.append((headers.get("connection", "keep"), writer))
                 assert status == 200
-            assert [word for word, _ in kept] == ["keep"] * 102 + ["close"] * 18
+            assert [word for word, _ in idle_connections] == ["keep"] * 102 + ["close"] * 18
     asyncio.run(go())
 
 
-def test_what_follows_an_answer_is_never_the_next_jobs_answer(tmp_path: Path) -> None:
-    """A second copy or noise behind an answer, at once or a little later, was served to the next job."""
+def test_bytes_after_an_answer_are_not_taken_as_the_next_answer(tmp_path: Path) -> None:
+    """A second answer on the same connection, at once or later, must not be served to the next job."""
     async def more(headers: dict[str, str], body: bytes) -> bytes:
         return await served(headers, body) + http(200, b"another's")
 
@@ -104,17 +104,17 @@
     asyncio.run(go())
 
 
-@pytest.mark.parametrize("spoilt", [
+@pytest.mark.parametrize("invalid", [
     b"HTTP/1.1 2x0 OK\r\nContent-Length: 2\r\n\r\nok", b"HTTP/1.1 200 OK\r\nX-Pad: " + b"p" * 99999,
     b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", b"HTTP/1.1 200 OK\r\n\r\nok", b"\0" * 99,
     b"HTTP/1.1 200 OK\r\n",
     b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"])
-def test_a_spoilt_answer_is_a_failed_attempt_and_serves_nobody(tmp_path: Path, spoilt: bytes) -> None:
+def test_an_invalid_answer_is_a_failed_attempt_and_is_not_served(tmp_path: Path, invalid: bytes) -> None:
     async def go() -> None:
         async with Yard(tmp_path) as yard:
             async def once(headers: dict[str, str], body: bytes) -> bytes:
                 first = yard.seen()[headers["x-correlation-id"]] == 1
-                return spoilt if first else await served(headers, body)
+                return invalid if first else await served(headers, body)
 
             for node in yard.nodes:
                 node.reply = once
@@ -125,19 +125,19 @@
     asyncio.run(go())
 
 
-def test_answers_announced_ahead_are_passed_over(tmp_path: Path) -> None:
-    async def ahead(headers: dict[str, str], body: bytes) -> bytes:
+def test_informational_answers_are_skipped(tmp_path: Path) -> None:
+    async def with_informational(headers: dict[str, str], body: bytes) -> bytes:
         hints = b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n"
         return hints + await served(headers, body)
 
     async def go() -> None:
         async with Yard(tmp_path, nodes=1) as yard:
-            yard.nodes[0].reply = ahead
+            yard.nodes[0].reply = with_informational
             assert (await ask(yard.limiters[0].port, job("00000000000000aa")))[2] == b"done 00000000000000aa"
     asyncio.run(go())
 
 
-def test_a_node_at_the_address_of_another_gets_no_connection_of_its(tmp_path: Path) -> None:
+def test_a_new_node_at_a_known_address_gets_a_new_connection(tmp_path: Path) -> None:
     async def go() -> None:
         async with Yard(tmp_path, nodes=1) as yard:
             assert (await ask(yard.limiters[0].port, job()))[0] == 200
@@ -149,8 +149,8 @@
     asyncio.run(go())
 
 
-def test_a_submitter_that_is_still_sending_gets_its_413(tmp_path: Path) -> None:
-    """Closed over unread bytes the connection was reset, and the answer lost before it was read."""
+def test_a_client_that_is_still_sending_receives_413(tmp_path: Path) -> None:
+    """Closing the connection with unread bytes resets it, and the client never reads the answer."""
     def send_all_then_read(port: int) -> bytes:
         with socket.create_connection(("127.0.0.1", port), timeout=10) as s:
             text = job(service="place-order", body=b"x" * 200000).encode().replace(
@@ -167,7 +167,7 @@
     asyncio.run(go())
 
 
-def test_beyond_the_quota_is_429_with_the_time_to_come_back(tmp_path: Path) -> None:
+def test_an_exceeded_quota_is_429_with_retry_after(tmp_path: Path) -> None:
     async def go() -> None:
         async with Yard(tmp_path) as yard:
             answers = [await ask(yard.limiters[0].port, job(plan="slow")) for _ in range(12)]
@@ -176,8 +176,8 @@
     asyncio.run(go())
 
 
-def test_never_run_goes_elsewhere_and_may_have_run_stays_in_its_cell(tmp_path: Path) -> None:
-    async def unseen(headers: dict[str, str], body: bytes) -> bytes:
+def test_unprocessed_requests_move_and_uncertain_ones_stay_in_their_cell(tmp_path: Path) -> None:
+    async def unprocessed(headers: dict[str, str], body: bytes) -> bytes:
         return http(503, b"", "X-Unprocessed: 1")
 
     async def broken(headers: dict[str, str], body: bytes) -> None:
@@ -185,7 +185,7 @@
 
     async def go() -> None:
         async with Yard(tmp_path) as yard:
-            yard.nodes[0].reply = unseen
+            yard.nodes[0].reply = unprocessed
             answers = [await ask(yard.limiters[0].port, job(service="place-order")) for _ in range(6)]
             assert {a[0] for a in answers} == {200}
             yard.nodes[1].cell = 1
@@ -200,8 +200,8 @@
     asyncio.run(go())
 
 
-def test_a_stale_pooled_connection_costs_no_second_copy(tmp_path: Path) -> None:
-    """A node that closes after each answer: a request on the closed connection would end as a reset."""
+def test_a_stale_pooled_connection_causes_no_second_attempt(tmp_path: Path) -> None:
+    """The node closes after each answer; a request on the closed connection would end as a reset."""
     async def once(headers: dict[str, str], body: bytes) -> bytes:
         return http(200, b"ok", "Connection: close")
 
@@ -216,7 +216,7 @@
     asyncio.run(go())
 
 
-def test_connections_that_are_dead_when_used_again_come_to_be_trusted_for_less(tmp_path: Path) -> None:
+def test_connections_found_closed_shorten_the_trusted_idle_time(tmp_path: Path) -> None:
     async def go() -> None:
         async with Yard(tmp_path, nodes=1) as yard:
             async def dead(headers: dict[str, str], body: bytes) -> bytes | None:
@@ -234,7 +234,7 @@
     asyncio.run(go())
 
 
-def test_the_watch_is_taken_up_at_its_version_and_a_draining_node_gets_nothing(tmp_path: Path) -> None:
+def test_the_watch_resumes_at_its_version_and_a_draining_node_gets_no_jobs(tmp_path: Path) -> None:
     async def go() -> None:
         async with Yard(tmp_path) as yard:
             yard.discovery.tell(5, yard.nodes[0].entry("draining"))
@@ -248,7 +248,7 @@
     asyncio.run(go())
 
 
-def test_a_submitter_that_leaves_is_noticed_and_its_job_is_over(tmp_path: Path) -> None:
+def test_a_disconnected_client_ends_its_job(tmp_path: Path) -> None:
     async def silent(headers: dict[str, str], body: bytes) -> None:
         await asyncio.sleep(30)
 
@@ -281,7 +281,7 @@
     asyncio.run(go())
 
 
-def test_sigterm_finishes_what_was_taken_and_takes_what_still_arrives(tmp_path: Path) -> None:
+def test_sigterm_finishes_accepted_jobs_and_accepts_late_ones(tmp_path: Path) -> None:
     async def slow(headers: dict[str, str], body: bytes) -> bytes:
         await asyncio.sleep(0.8)
         return await served(headers, body)
@@ -292,13 +292,13 @@
                 node.reply = slow
             limiter = yard.limiters[0]
             idle, _ = await asyncio.open_connection("127.0.0.1", limiter.port)
-            kept_reader, kept = await asyncio.open_connection("127.0.0.1", limiter.port)
-            kept.write(job().encode())
+            client_reader, client = await asyncio.open_connection("127.0.0.1", limiter.port)
+            client.write(job().encode())
             await asyncio.sleep(0.2)
             stopped = asyncio.ensure_future(limiter.stop())
             await asyncio.sleep(0.2)
             late = asyncio.ensure_future(ask(limiter.port, job()))
-            status, headers, _ = await read_answer(kept_reader)
+            status, headers, _ = await read_answer(client_reader)
             assert (status, headers["connection"]) == (200, "close")
             assert (await late)[0] == 200
             assert await idle.read() == b""
@@ -308,11 +308,11 @@
     asyncio.run(go())
 
 
-def test_a_watch_that_falls_silent_is_taken_up_again(tmp_path: Path) -> None:
-    """It stayed open and told nothing more: drains were heard of never."""
+def test_a_silent_watch_is_reopened(tmp_path: Path) -> None:
+    """A watch that stays open without data must not hide drains from the limiter."""
     async def go() -> None:
         async with Yard(tmp_path) as yard:
-            while not yard.discovery.asked:          # a watch that comes later is told at once
+            while not yard.discovery.asked:          # a later watch gets the update at once
                 await asyncio.sleep(0.01)
             yard.discovery.deaf = True
             yard.discovery.tell(4, yard.nodes[0].entry("draining"))
@@ -327,8 +327,8 @@
     asyncio.run(go())
 
 
-def test_sighup_moves_the_watch_and_a_bad_file_keeps_the_old_one(tmp_path: Path) -> None:
-    """SIGHUP once ended the program.  Another discovery may number its lists from the start again."""
+def test_sighup_changes_the_watched_discovery_and_an_invalid_file_keeps_the_old_one(tmp_path: Path) -> None:
+    """Guards against SIGHUP ending the program; another discovery may number its lists from the start."""
     async def go() -> None:
         async with Yard(tmp_path) as yard:
             limiter, old, new = yard.limiters[0], yard.discovery, Discovery()
@@ -357,7 +357,7 @@
 
 
 @pytest.mark.parametrize("text", ["", "{", '{"settings":{}}', '{"settings":{"limits":1}}'])
-def test_a_bad_configuration_is_one_plain_line_and_exit_2(tmp_path: Path, text: str) -> None:
+def test_an_invalid_configuration_prints_one_line_and_exits_with_2(tmp_path: Path, text: str) -> None:
     path = tmp_path / "c.json"
     path.write_text(text)
     env = {**os.environ, "EDGE_CONFIG": str(path), "PYTHONPATH": str(ROOT)}
@@ -365,12 +365,12 @@
     assert done.returncode == 2 and done.stderr.startswith(b"larklb: ") and done.stderr.count(b"\n") == 1
 
 
-def test_an_address_that_is_taken_is_one_plain_line(tmp_path: Path) -> None:
+def test_an_address_in_use_prints_one_line_and_exits_with_1(tmp_path: Path) -> None:
     async def go() -> None:
         async with Yard(tmp_path) as yard:
             twin = Yard(tmp_path / "twin")
             twin.folder.mkdir()
-            twin.discovery.tell(2, twin.nodes[0].entry())   # a silent discovery would be a line of its own
+            twin.discovery.tell(2, twin.nodes[0].entry())   # a silent discovery would log a line
             await twin.discovery.start()
             twin.limiters[0].port = yard.limiters[0].port
             path = twin.limiters[0].config()
@@ -382,7 +382,7 @@
     asyncio.run(go())
 
 
-def test_the_agent_restarts_an_instance_that_dies_and_drains_at_its_end(tmp_path: Path) -> None:
+def test_the_agent_restarts_a_killed_instance_and_drains_on_exit(tmp_path: Path) -> None:
     async def go() -> None:
         yard = Yard(tmp_path, limiters=2, second_front=False)
         await yard.discovery.start()
