--- a/larklb/net/execute.py
+++ b/larklb/net/execute.py
@@ -246,7 +246,7 @@
         job.abort_attempt = attempt.stop
         attempt.timer = self.wheel.after(left, attempt.stop, io.Result.TIMEOUT)
         link: Link | None = None
-        kept = False
+        reusable = False
         try:
             link = self._pooled(place)
             rest = None if link is None else started - link.since
@@ -257,7 +257,7 @@
                 return AttemptOutcome(result, self.wheel.now() - started, stale=attempt.local_failure)
             await self.core.charge(job, send.stamp)
             if attempt.result is not None:           # cancelled or timed out before a byte was written
-                kept = True
+                reusable = True
                 self._keep(place, link)
                 return AttemptOutcome(io.Result.NOT_SENT, self.wheel.now() - started)
             # The dial may have outlasted the node's drain grace, after which no new request may be sent.
@@ -265,7 +265,7 @@
                 self.core.counters.add("held_back.drain")
                 return AttemptOutcome(io.Result.NOT_SENT, self.wheel.now() - started)
             if job.may_send is not None and not job.may_send():
-                kept = True
+                reusable = True
                 self._keep(place, link)
                 return AttemptOutcome(io.Result.NOT_SENT, self.wheel.now() - started)
             attempt.link = link
@@ -284,13 +284,13 @@
                     self.core.counters.add("errors.stale_connection")
                 ended = ended._replace(stale=stale)
             if ended.result in (io.Result.OK, io.Result.ERROR, io.Result.FULL) and ended.whole:
-                kept = True
+                reusable = True
                 self._keep(place, link)
             return ended
         finally:
             attempt.timer.cancel()
             job.abort_attempt = None
-            if link is not None and not kept:
+            if link is not None and not reusable:
                 self._close(place, link)
 
     async def _attempt_upload(self, link: Link, attempt: _Attempt, job: Job, sink: Sink, head: h11.Request,
--- a/larklb/net/front.py
+++ b/larklb/net/front.py
@@ -128,11 +128,11 @@
     if not 0 < wait <= MAX_TIME_LEFT_S:
         raise MalformedError("x-time-left makes no sense")
     units, spread, first = parse_quota_info(info, core.settings)
-    later = max_upload_ms(upload) if upload is not None else 0.0
+    upload_ms = max_upload_ms(upload) if upload is not None else 0.0
     request = io.Request(request=name, service=service, plan=plan, customer=parse_account(customer),
                          # Capped by the deadline of the class: a longer wait would keep the job's state, here
                          # and at the quota owner, for minutes.
-                         due=now + min(wait * 1000.0, cls.deadline) + later, units=units, first=first,
+                         due=now + min(wait * 1000.0, cls.deadline) + upload_ms, units=units, first=first,
                          spread=spread)
     passed = tuple((n, headers[n]) for n in _FORWARDED_HEADERS if n in headers)
     if upload is not None and upload.length is None:
@@ -226,14 +226,14 @@
     def pause_accepting(self) -> socket.socket:
         """Stops reading new requests, which stay in the sockets; returns a copy of the listening socket."""
         assert self.server is not None
-        kept = socket.socket(fileno=os.dup(self.server.sockets[0].fileno()))
+        duplicate = socket.socket(fileno=os.dup(self.server.sockets[0].fileno()))
         # Not closed yet: a connection accepted just now would be dropped with it.
         asyncio.get_running_loop().remove_reader(self.server.sockets[0].fileno())
         self.accepting_paused = True
         for link in self.links:
             if not link.busy and not link.has_unread_data():
                 link.pause()
-        return kept
+        return duplicate
 
     async def resume_accepting(self, listening: socket.socket) -> None:
         """Resumes after a pause, or when the successor process has exited."""
@@ -553,8 +553,8 @@
         custody = await self.keeper.take(request, content, key, repeat, link.reader.ended)
         if not isinstance(custody, StoredAnswer):
             return custody
-        later = min(self.core.settings.max_retry_after, LEASE_MS) if custody.status == 503 else 0.0
-        return Answer(custody.status, custody.body, custody.kind or b"text/plain", later)
+        retry_after = min(self.core.settings.max_retry_after, LEASE_MS) if custody.status == 503 else 0.0
+        return Answer(custody.status, custody.body, custody.kind or b"text/plain", retry_after)
 
     async def _execute(self, job: Job, content: Content, sink: AnswerSink,
                        hold: HeldJob | None) -> tuple[Answer | None, str]:
--- a/larklb/net/keeper.py
+++ b/larklb/net/keeper.py
@@ -114,8 +114,8 @@
         good = await self.keep(JobState.ANSWERED, StoredAnswer(status, kind, body))
         self.keeper.drop(self)
         self.keeper.step("answer kept")
-        word = "kept" if good else "fenced" if self.hand.is_fenced() else "unkept"
-        self.keeper.counters.add(f"custody.{word}")
+        result = "kept" if good else "fenced" if self.hand.is_fenced() else "unkept"
+        self.keeper.counters.add(f"custody.{result}")
 
     async def keep(self, state: JobState, answer: StoredAnswer | None = None, why: str = "") -> bool:
         """Stores the job, without its content if there is no room; returns whether two custodians have it."""
@@ -188,7 +188,7 @@
     # Client tries -------------------------------------------------------------------------
 
     async def take(self, request: io.Request, content: Content, key: bytes, repeat: bool,
-                   gone: Callable[[], bool]) -> HeldJob | StoredAnswer | None:
+                   client_gone: Callable[[], bool]) -> HeldJob | StoredAnswer | None:
         """Claims a job; returns it if this limiter holds it now, otherwise the answer for its client.
 
         The answer is a stored one, 502 if the job must not be sent again, 409 if the key was used with
@@ -200,7 +200,7 @@
         key_hash = cu.key_of(request.customer, request.service, key)
         body = digest(content.body.hex()) & 0xFFFFFFFF
         while key_hash in self.held_jobs:  # another try of the same job
-            if gone() or self.now() >= request.due - ANSWER_MARGIN_MS:
+            if client_gone() or self.now() >= request.due - ANSWER_MARGIN_MS:
                 return StoredAnswer(503, b"", b"")
             await asyncio.sleep(POLL_INTERVAL_MS / 1000.0)
         self.held_jobs[key_hash] = None
@@ -212,7 +212,8 @@
                         cu.group_of(key_hash, self.limiters, self.zones),
                 first=self.entry.marked and not repeat,
             )
-            turn = await self._claim(hand, lambda: gone() or self.now() >= request.due - ANSWER_MARGIN_MS)
+            turn = await self._claim(
+                hand, lambda: client_gone() or self.now() >= request.due - ANSWER_MARGIN_MS)
             if turn is ClaimOutcome.ENDED:
                 self.counters.add("custody.given")
                 record = hand.record
--- a/larklb/net/peers.py
+++ b/larklb/net/peers.py
@@ -71,9 +71,9 @@
         """Stops reading; returns a copy of the socket, which keeps unread datagrams for the next process."""
         if self.transport is None:
             return None
-        kept = socket.socket(fileno=os.dup(self.transport.get_extra_info("socket").fileno()))
+        duplicate = socket.socket(fileno=os.dup(self.transport.get_extra_info("socket").fileno()))
         self.close()
-        return kept
+        return duplicate
 
     def close(self) -> None:
         """Closes the socket for good."""
