--- a/larklb/cli/system_disk.py
+++ b/larklb/cli/system_disk.py
@@ -1,4 +1,4 @@
-"""Commands on a core machine's disk: check what lies there, dump it, put an earlier generation in force."""
+"""Commands on a core machine's disk: check its files, dump them, restore an earlier generation of the log."""
 
 from __future__ import annotations
 
@@ -31,12 +31,12 @@
 
 
 def check(folder: Path, *, json: bool = False) -> int:
-    """Check a core machine's folder: whole generations, and what a limiter would start with; changes nothing.
+    """Check a core machine's folder: intact generations, and the state a limiter would start with; read-only.
 
-    0: usable; 1: usable, but something in it is torn, or it is empty; 2: a limiter could not start with it.
+    0: usable; 1: usable, but a file is torn or the folder is empty; 2: a limiter could not start with it.
 
-    :param folder: dataDir of its settings.
-    :param json: One JSON line for programs.
+    :param folder: The core machine's dataDir.
+    :param json: Print one JSON line for programs.
     """
     with _probe_running(folder) as running:
         rows, state = _generation_rows(folder), _folder_state(folder)
@@ -63,14 +63,14 @@
 
 
 def dump(folder: Path, *, generation: int = 0, json: bool = False) -> int:
-    """Show what lies on a core machine's disk; changes nothing.
+    """Show the files on a core machine's disk; read-only.
 
-    0: here it is; 1: there is nothing, or not that generation; 2: it can't be read.
+    0: printed; 1: the folder is empty, or the generation holds no configuration; 2: it can't be read.
 
-    :param folder: dataDir of its settings.
+    :param folder: The core machine's dataDir.
     :param generation: Print the configuration in this generation of the log as one JSON line, as it was sent,
-        tenants' keys with it: what replace takes.
-    :param json: A JSON line for each generation.
+        including tenants' keys; replace accepts it.
+    :param json: Print a JSON line for each generation.
     """
     with _probe_running(folder):
         if generation:
@@ -93,17 +93,17 @@
 
 
 def restore(folder: Path, generation: int, *, yes: bool = False, json: bool = False) -> int:
-    """Put an earlier whole generation of the log in force; only of a limiter that doesn't run.
+    """Restore an earlier intact generation of the log; the limiter must not be running.
 
-    It is written anew as the newest one, so that the one in force until now stays beside it. Votes (the
-    ballot) never go back, as a disk that votes twice in a term makes two leaders.
+    The log is written again as the newest generation, so the current one remains on disk. The ballot (votes)
+    is never rolled back: a disk that votes twice in a term could elect two leaders.
 
     0: done; 1: refused, or --yes is missing, nothing was changed; 2: the folder can't be used.
 
-    :param folder: dataDir of its settings.
+    :param folder: The core machine's dataDir.
     :param generation: Number of the generation of the log, as dump shows it.
-    :param yes: Do it. Without it, it is said what would be done.
-    :param json: One JSON line for programs.
+    :param yes: Make the change. Otherwise only print what would be done.
+    :param json: Print one JSON line for programs.
     """
     with _exclusive(folder):
         used = next((row for row in _generation_rows(folder) if row["key"] == LOG and row["used"]), None)
@@ -120,18 +120,19 @@
             if wanted.group_id != HardState.from_json(decode(before[BALLOT])).group_id:
                 raise UnusableError(f"{folder}: log-{generation}: is of another group than the votes here")
             _load_replica(folder, {**before, LOG: value})
-            now, then = _stored_version(before[LOG]), _version(_newest_document(wanted))
-            told = {"folder": str(folder), "generation": generation, "from": now, "to": then, "done": yes}
+            old_version, new_version = _stored_version(before[LOG]), _version(_newest_document(wanted))
+            outcome = {"folder": str(folder), "generation": generation, "from": old_version,
+                       "to": new_version, "done": yes}
             if yes:
                 store.save({LOG: value})
         except (StorageError, ConsensusError) as error:
             raise UnusableError(f"{folder}: {error}") from error
     if json:
-        print_json(told)
+        print_json(outcome)
     else:
         print(f"{folder}: log-{generation} {'is' if yes else 'would be'} in force: "
-              f"{'what could not be read' if now is None else f'version {now}'} "
-              f"{'gave' if yes else 'gives'} way to version {then}")
+              f"{'what could not be read' if old_version is None else f'version {old_version}'} "
+              f"{'gave' if yes else 'gives'} way to version {new_version}")
     if not yes:
         print_error("nothing was changed: what was acknowledged after that generation is lost, where no "
                     "majority of the other disks has it; --yes does it")
@@ -143,15 +144,17 @@
 
 
 @contextlib.contextmanager
-def _lock_folder(folder: Path, how: int) -> Iterator[bool]:
-    """Whether no limiter runs on a folder; with LOCK_EX none can start on it meanwhile."""
+def _lock_folder(folder: Path, operation: int) -> Iterator[bool]:
+    """Try to lock a folder; yields whether that succeeded, that is, whether no limiter runs on it.
+
+    With LOCK_EX no limiter can start on the folder while the context is active."""
     try:
-        mark = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
+        descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
     except OSError as error:
         raise UnusableError(f"{folder}: {error.strerror}: must be a core machine's dataDir") from error
     try:
         try:
-            fcntl.flock(mark, how | fcntl.LOCK_NB)
+            fcntl.flock(descriptor, operation | fcntl.LOCK_NB)
         except BlockingIOError:
             yield False
         except OSError as error:
@@ -160,12 +163,14 @@
         else:
             yield True
     finally:
-        os.close(mark)
+        os.close(descriptor)
 
 
 @contextlib.contextmanager
 def _probe_running(folder: Path) -> Iterator[bool]:
-    """Whether a limiter runs on it; a look must not keep one from starting, so the mark is let go at once."""
+    """Yield whether a limiter runs on a folder.
+
+    The lock is released at once, since a read-only command must not prevent a limiter from starting."""
     with _lock_folder(folder, fcntl.LOCK_EX) as free:
         pass
     yield not free
@@ -173,6 +178,7 @@
 
 @contextlib.contextmanager
 def _exclusive(folder: Path) -> Iterator[None]:
+    """Hold the folder's lock. Raises UnusableError while a limiter runs on it."""
     with _lock_folder(folder, fcntl.LOCK_EX) as free:
         if not free:
             raise UnusableError(f"{folder}: {RUNNING}")
@@ -180,21 +186,25 @@
 
 
 def _generation_rows(folder: Path) -> list[Row]:
+    """A row for each generation of each key; `used` marks the newest intact one of its key."""
     store, rows = Store(folder), []
     try:
-        for one in store.list_generations():
-            value = store.read_generation(one.key, one.number) if one.intact else None
-            rows.append({"key": one.key, "number": one.number, "bytes": one.size_bytes, "whole": one.intact,
-                         "used": False, "what": _describe(one.key, value)})
+        for generation in store.list_generations():
+            value = (store.read_generation(generation.key, generation.number) if generation.intact
+                     else None)
+            rows.append({"key": generation.key, "number": generation.number,
+                         "bytes": generation.size_bytes, "whole": generation.intact,
+                         "used": False, "what": _describe(generation.key, value)})
     except StorageError as error:
         raise UnusableError(f"{folder}: {error}") from error
-    newest = {row["key"]: row["number"] for row in rows if row["whole"]}       # they come by number
+    newest = {row["key"]: row["number"] for row in rows if row["whole"]}       # ordered by number
     for row in rows:
         row["used"] = row["number"] == newest.get(row["key"])
     return rows
 
 
 def _describe(key: str, value: bytes | None) -> str:
+    """A one-line summary of a stored value."""
     if value is None:
         return "torn"
     try:
@@ -205,8 +215,8 @@
             return f"term {ballot.get('term')}, vote for {ballot.get('vote') or 'nobody'}"
         if key == LOG:
             log = Log.from_bytes(value)
-            known = _version(log.state.document)
-            return (f"version {_version(_newest_document(log))}, {known} known as acknowledged, "
+            acknowledged = _version(log.state.document)
+            return (f"version {_version(_newest_document(log))}, {acknowledged} known as acknowledged, "
                     f"entries to {log.last_index}, voters {','.join(sorted(log.voters.values()))}")
     except (ConsensusError, UnicodeDecodeError) as error:
         return f"can't be understood: {error}"
@@ -214,14 +224,16 @@
 
 
 def _newest_document(log: Log) -> Document | None:
-    """The newest configuration in a log. It may have been acknowledged, though that isn't known there yet:
-    who leads appends first, and hears of the others' disks afterwards."""
-    held = [entry.document for entry in log.entries if entry.document is not None]
-    return held[-1] if held else log.state.document
+    """The newest configuration in a log.
+
+    It may be committed without this log recording that yet: a leader appends an entry before it learns that
+    the other disks have stored it."""
+    documents = [entry.document for entry in log.entries if entry.document is not None]
+    return documents[-1] if documents else log.state.document
 
 
 def _stored_version(value: bytes) -> int | None:
-    """The version in a stored log; None where that can't be understood, which is a reason to replace it."""
+    """The version in a stored log, or None if the log can't be decoded, which is one reason to restore."""
     try:
         return _version(_newest_document(Log.from_bytes(value)))
     except ConsensusError:
@@ -233,18 +245,21 @@
 
 
 def _load_log(folder: Path, number: int) -> Log:
+    """Load a generation of the log. Raises UnusableError if it is missing, torn or undecodable."""
     try:
         value = Store(folder).read_generation(LOG, number)
         if value is not None:
             return Log.from_bytes(value)
     except (StorageError, ConsensusError) as error:
         raise UnusableError(f"{folder}: log-{number}: {error}") from error
-    there = [str(row["number"]) for row in _generation_rows(folder) if row["key"] == LOG and row["whole"]]
+    available = [str(row["number"]) for row in _generation_rows(folder)
+                 if row["key"] == LOG and row["whole"]]
     raise UnusableError(f"{folder}: log-{number}: no whole generation: must be one of "
-                        f"{', '.join(there) or 'none, as there is none'}")
+                        f"{', '.join(available) or 'none, as there is none'}")
 
 
 def _folder_state(folder: Path) -> Document:
+    """The state that a limiter would start with. Raises UnusableError if it could not start."""
     store = Store(folder)
     try:
         stored = store.load()
@@ -254,7 +269,8 @@
         raise UnusableError(f"{folder}: {error}") from error
     replica = _load_replica(folder, stored or {})
     log = Log.from_bytes(stored[LOG]) if stored and LOG in stored else Log()
-    dropped = replica.last_index < log.last_index  # it goes with no votes, or with those of another group
+    # The replica discards a log without a ballot, or with the ballot of another group.
+    dropped = replica.last_index < log.last_index
     return {"blank": stored is None, "disk": identity["what"].removeprefix("disk ") if identity else "",
             "dropped": dropped, "version": 0 if dropped else _version(_newest_document(log)),
             "acknowledged": replica.version, "term": replica.term, "founded": replica.founded,
@@ -262,10 +278,10 @@
 
 
 def _load_replica(folder: Path, stored: dict[str, bytes]) -> Replica:
-    """What a limiter would start with; UnusableError where it could not."""
+    """The replica that a limiter would start with. Raises UnusableError if it could not start."""
 
     def apply(document: Document | None, call: Call) -> Document:
-        raise AssertionError("it takes no calls")
+        raise AssertionError("this replica takes no calls")
 
     try:
         return Replica("", "", stored or None, 0.0, 0, tolerance=1, apply=apply)
