--- a/larklb/cli/__init__.py
+++ b/larklb/cli/__init__.py
@@ -1,4 +1,6 @@
-"""The command line: parses, calls, prints; decides nothing, and imports late what a command needs."""
+"""The command line: parses arguments, calls the library and prints results.
+
+It contains no decision logic, and commands import what they need when they run."""
 
 from larklb.cli import fleet as fleet
 from larklb.cli import instances as instances
--- a/larklb/cli/common.py
+++ b/larklb/cli/common.py
@@ -1,7 +1,7 @@
-"""What all commands share: the application, the operator's file as an argument, how a command ends.
+"""Shared by all commands: the application, common arguments, output, exit statuses and instance queries.
 
-Exit statuses: 0 done; 1 something does not answer, or differs; 2 a file or an argument cannot be used,
-nothing was changed; 3 turned down, nothing was changed.
+Exit statuses: 0 success; 1 an instance does not answer, or values differ; 2 a file or an argument cannot be
+used, nothing was changed; 3 refused, nothing was changed.
 """
 
 from __future__ import annotations
@@ -17,9 +17,10 @@
 if TYPE_CHECKING:
     from larklb.settings import Config, InstanceEntry, Operator
 
-EXIT_FAILED = 1                 # exit status: an instance does not answer, or what should agree differs
-EXIT_UNUSABLE = 2               # a file or an argument cannot be used, nothing was changed
-EXIT_REFUSED = 3                # the instances turned it down, nothing was changed
+# Exit statuses, see above.
+EXIT_FAILED = 1
+EXIT_UNUSABLE = 2
+EXIT_REFUSED = 3
 
 app = typer.Typer(no_args_is_help=True, add_completion=False, pretty_exceptions_enable=False,
                   help="A quota-keeping limiter.")
@@ -27,22 +28,22 @@
 AsJson = Annotated[bool, typer.Option("--json", help="JSON for programs, not a table for people.")]
 
 
-def command_group(name: str, words: str) -> typer.Typer:
-    """A group of commands under one name."""
-    commands = typer.Typer(no_args_is_help=True, add_completion=False, help=words)
+def command_group(name: str, description: str) -> typer.Typer:
+    """Add a group of commands to the application, with `description` as its help text."""
+    commands = typer.Typer(no_args_is_help=True, add_completion=False, help=description)
     app.add_typer(commands, name=name)
     return commands
 
 
 def exit_error(error: Exception | str, status: int = EXIT_UNUSABLE) -> typer.Exit:
-    """One plain line and the exit status, for ``raise``."""
+    """Print an error on standard error and return the exception that exits with ``status``, for ``raise``."""
     print(f"larklb: {error}", file=sys.stderr)
     return typer.Exit(status)
 
 
 @contextmanager
 def exit_on_config_error() -> Iterator[None]:
-    """What cannot be used ends the command with one line and status 2."""
+    """Turn a ConfigError in the body into a one-line message and exit status 2."""
     from larklb.settings import ConfigError
     try:
         yield
@@ -51,7 +52,7 @@
 
 
 def print_rows(rows: Sequence[dict[str, Any]], columns: Sequence[str], as_json: bool) -> None:
-    """A table, or one JSON line for each row."""
+    """Print rows as an aligned table of ``columns``, or as one JSON line each."""
     if as_json:
         import msgspec
         for row in rows:
@@ -64,7 +65,7 @@
 
 
 def load_instance_config(operator: Path, entry: InstanceEntry) -> Config:
-    """The configuration that the operator's file names for an instance."""
+    """Load the configuration that the operator's file names for an instance. Raises ConfigError."""
     from larklb.settings import load
     return load({"EDGE_NAME": entry.name, "EDGE_CONFIG": str(operator.parent / entry.config)})
 
@@ -72,8 +73,10 @@
 def gather_rows(operator: Path, loaded: Operator, question: dict[str, Any], key: str,
                 more: Callable[[dict[str, Any]], dict[str, Any]] = lambda answer: {},
                 ) -> tuple[list[dict[str, Any]], list[str]]:
-    """The rows under ``key`` of all instances' answers, each with its instance's name and what ``more`` takes
-    from the answer; and a line for each instance that has none."""
+    """Ask all instances at once and combine the rows under ``key`` in their answers.
+
+    Each row gets the instance's name and the fields that ``more`` extracts from the whole answer. Returns the
+    rows, and one line for each instance whose answer has no such rows."""
     rows: list[dict[str, Any]] = []
     silent = []
     for entry, answer in ask_instances(operator, loaded, lambda e: dict(question), at_once=True):
@@ -86,24 +89,26 @@
 
 def ask_instances(operator: Path, loaded: Operator, question: Callable[[InstanceEntry], dict[str, Any]],
                   at_once: bool = False) -> Iterator[tuple[InstanceEntry, dict[str, Any]]]:
-    """Each instance with its answer to a question, or with ``silent`` or ``error`` and why; one after the
-    other, or all ``at_once``."""
+    """Yield each instance with its answer to a question, asking in turn or, if ``at_once``, in parallel.
+
+    In place of an answer there is ``silent`` (no answer) or ``error`` (refused) with the reason. Raises
+    ConfigError if an instance has no admin address."""
     from concurrent.futures import ThreadPoolExecutor
 
     from larklb.admin import AdminError, UnreachableError, ask
     from larklb.settings import ConfigError
 
-    def one(entry: InstanceEntry) -> dict[str, Any]:
+    def ask_one(entry: InstanceEntry) -> dict[str, Any]:
         if not entry.admin:
             raise ConfigError(f"{operator}: instance {entry.name} has no admin address")
         try:
-            q = question(entry)
-            return ask(operator.parent / entry.admin, q.pop("do"), **q)
+            arguments = question(entry)
+            return ask(operator.parent / entry.admin, arguments.pop("do"), **arguments)
         except UnreachableError as error:
             return {"silent": str(error)}
         except AdminError as error:
             return {"error": str(error)}
 
     with ThreadPoolExecutor(len(loaded.instance) if at_once else 1) as pool:
-        answers = pool.map(one, loaded.instance) if at_once else map(one, loaded.instance)
+        answers = pool.map(ask_one, loaded.instance) if at_once else map(ask_one, loaded.instance)
         yield from zip(loaded.instance, answers, strict=True)
--- a/larklb/cli/instances.py
+++ b/larklb/cli/instances.py
@@ -1,4 +1,4 @@
-"""Commands on instances: serve, agent, status, version."""
+"""Commands that run and query instances: serve, agent, status, version."""
 
 from __future__ import annotations
 
@@ -20,22 +20,22 @@
 @app.command()
 def serve(operator: Annotated[Path | None, typer.Option(help="An operator's file that adds to it.")] = None,
           ) -> None:
-    """Run one limiter, as the EDGE_* variables and their configuration file say."""
+    """Run one limiter, configured by the EDGE_* variables and the configuration file that they name."""
     from larklb import serve as program
     from larklb.settings import ConfigError, load, load_operator
     try:
         config = load()
-        more = load_operator(operator) if operator is not None else None
-        if more is not None:
-            more.instance_entry(config.name)
+        loaded = load_operator(operator) if operator is not None else None
+        if loaded is not None:
+            loaded.instance_entry(config.name)
     except ConfigError as error:
         raise exit_error(error) from error
-    program.run(config, more, operator.parent if operator is not None else Path())
+    program.run(config, loaded, operator.parent if operator is not None else Path())
 
 
 @app.command()
 def agent(operator: OperatorFile) -> None:
-    """Start and watch the instances of an operator's file; SIGHUP renews them in turn, SIGTERM drains."""
+    """Supervise the instances of an operator's file; SIGHUP restarts them in turn, SIGTERM drains."""
     from larklb import agent as program
     from larklb.settings import ConfigError, load_operator
     try:
@@ -47,8 +47,9 @@
 
 @app.command()
 def status(operator: OperatorFile) -> None:
-    """Ask each instance of an operator's file for its counters, a line each; 1 if any does not answer."""
-    import urllib.error  # here alone: a limiter that starts again must not wait for it
+    """Print the counters of each instance of an operator's file, a line each; 1 if any does not answer."""
+    # Imported here so that it does not delay the start of `serve`.
+    import urllib.error
     import urllib.request
 
     from larklb.settings import ConfigError, load, load_operator
--- a/larklb/cli/system.py
+++ b/larklb/cli/system.py
@@ -1,7 +1,7 @@
-"""``larklb system ...``: the operators' commands for the system; also ``python -m larklb.cli.system``.
+"""Entry point of ``larklb system ...``, the operators' commands; also ``python -m larklb.cli.system``.
 
-Exit statuses: 0 done; 1 something differs, was refused or is silent; 2 a file or an argument can't be used,
-nothing was changed.  The serving process imports none of this.
+Exit statuses: 0 success; 1 something differs, was refused or did not answer; 2 a file or an argument can't be
+used, nothing was changed.  The serving process does not import this module.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 
 
 def trial(*, seconds: float = 12.0, json: bool = False) -> int:
-    """Show the gateway whole on loopback, with nothing prepared: limiters, servers, a configuration, faults.
+    """Demonstrate the gateway on loopback, without preparation: limiters, servers, configuration, faults.
 
-    0: no request was lost, no unsafe one ran twice, and the newest configuration is everywhere; 1: not so.
+    0: no request was lost, no unsafe one ran twice, and the newest configuration is everywhere; 1: otherwise.
 
-    :param seconds: How long requests are sent; all of it takes some 8 s more.
-    :param json: The figures as one JSON line at the end.
+    :param seconds: How long requests are sent; the whole run takes about 8 s longer.
+    :param json: Print the figures as one JSON line at the end.
     """
     from larklb.lab import system
     if not seconds >= system.LEAST_S:
@@ -50,10 +50,12 @@
 
 
 def main(argv: Sequence[str] | None = None) -> int:
-    """Runs one command; its exit status. SystemExit: the arguments can't be used, or help was asked for."""
-    words = list(sys.argv[1:] if argv is None else argv)
+    """Run one command and return its exit status.
+
+    Raises SystemExit if the arguments are invalid or help was requested."""
+    arguments = list(sys.argv[1:] if argv is None else argv)
     try:
-        return int(defopt.run(COMMANDS, argv=words or ["--help"], short={}, no_negated_flags=True,
+        return int(defopt.run(COMMANDS, argv=arguments or ["--help"], short={}, no_negated_flags=True,
                               version=False, argparse_kwargs={"prog": "larklb system"}))
     except UnusableError as error:
         print_error(str(error))
--- a/larklb/cli/system_metrics.py
+++ b/larklb/cli/system_metrics.py
@@ -1,7 +1,7 @@
-"""What limiters say of themselves as metrics: names, helps and labels here are kept stable for dashboards.
+"""Prometheus metrics of all limiters; the names, help texts and labels are kept stable for dashboards.
 
-All limiters are asked in one run, so a sample's ``node`` tells whose it is.  Imported by its command alone,
-as only that needs the library.
+All limiters are queried in one run; the label ``node`` tells which one a sample belongs to.  Only the metrics
+command imports this module, since only that command needs prometheus-client.
 """
 
 from __future__ import annotations
@@ -23,10 +23,12 @@
 SERVER_STATES = ("steady", "draining", "gone")
 
 
-@define(eq=False)         # the registry keeps it as a key
+@define(eq=False)         # must stay hashable: the registry uses collectors as keys
 class LimiterCollector(Collector):
-    """All limiters' answers at one moment. ``servers``: as the first one that answered sees them; ``quotas``
-    and ``cores``: rows, each with its ``node``."""
+    """Converts the answers of all limiters, collected once, to metrics.
+
+    ``servers`` are as seen by the first limiter that answered; ``quotas`` and ``cores`` are rows that each
+    include their ``node``."""
 
     fleet: Fleet
     servers: list[Row]
@@ -34,7 +36,7 @@
     cores: list[Row]
 
     def collect(self) -> Iterable[Metric]:
-        """All families; a state that nobody is in is there with 0, so that a graph of it has no gaps."""
+        """Yield all metric families; a state without members is reported as 0, so graphs have no gaps."""
         yield from self._limiters()
         yield from families(self.fleet.answers)
         yield from self._tables()
@@ -47,6 +49,7 @@
                      ("state",), [((s,), states[s]) for s in sorted({*MEMBER_STATES, *states})])
         yield gauge("larklb_up", "1 if the limiter answered, 0 if it is silent or down.", ("node", "zone"),
                      [((row["node"], row["zone"]), row["node"] in answers) for row in self.fleet.members])
+
     def _tables(self) -> Iterable[Metric]:
         states = Counter((row["service"], row["state"]) for row in self.servers)
         silent = Counter(row["service"] for row in self.servers if row["silent"])
@@ -89,13 +92,13 @@
 
 
 def told(caller: Caller) -> tuple[Fleet, str]:
-    """Asks all limiters; the exposition of what they say, and the limiters with those that are silent.
+    """Query all limiters; returns their answers, including which are silent, and the text exposition.
 
-    SilentError where none answers."""
+    Raises NoAnswerError if none answers."""
     fleet = fetch_all(caller, calls.COUNTS)
 
     def answered(row: Row) -> bool:
-        # Who was silent once is not waited for again.
+        # Limiters that did not answer the first call are not queried again, to avoid further timeouts.
         return row["node"] in fleet.answers
 
     quotas = fetch_all(caller, calls.QUOTAS, answered, key="quotas", by="tenant")
@@ -105,7 +108,7 @@
     registry = CollectorRegistry()
     registry.register(LimiterCollector(
         fleet, fetch(caller, calls.SERVERS, "servers", "id")["servers"],
-        [{"node": node, **row} for node, told in quotas.answers.items() for row in told["quotas"]],
-        [{"node": node, **told["core"]} for node, told in cores.answers.items()
-         if told["core"] is not None]))
+        [{"node": node, **row} for node, answer in quotas.answers.items() for row in answer["quotas"]],
+        [{"node": node, **answer["core"]} for node, answer in cores.answers.items()
+         if answer["core"] is not None]))
     return fleet, generate_latest(registry).decode()
