--- a/larklb/state/__init__.py
+++ b/larklb/state/__init__.py
@@ -1,4 +1,4 @@
-"""What outlives a process: logs of checksummed records in a folder that one process holds at a time.
+"""Durable state: append-only logs of checksummed records, in folders that one process at a time locks.
 
-It knows bytes and files; what the records say is their owners' concern.
+This package handles bytes and files; the owners of the logs define what the records mean.
 """
--- a/larklb/state/log.py
+++ b/larklb/state/log.py
@@ -1,9 +1,9 @@
-"""An append-only log of checksummed records: append, sync, replay, and a rewrite that drops what is over.
+"""An append-only log of checksummed records: append, sync, replay, and a rewrite that drops obsolete records.
 
-A file is an 8-byte name and version, then frames: length (4 bytes, big endian), CRC32C of those four
-bytes and the payload (4 bytes), payload.  What was appended survives the process's death at once; a power
-cut may cost what was appended since the last ``sync``.  A torn end is cut off and told; anything broken
-before it is refused.
+A file consists of an 8-byte magic number with the version, followed by frames: length (4 bytes, big endian),
+CRC32C of those four bytes and the payload (4 bytes), payload.  Appended records survive the death of the
+process at once; a power failure may lose those appended since the last ``sync``.  A torn tail is truncated
+and its length is reported; corruption before the tail is an error.
 """
 
 from __future__ import annotations
@@ -18,19 +18,20 @@
 import google_crc32c
 
 MAGIC = b"LARKLOG1"
-MAX_RECORD_BYTES = 16 * 1024 * 1024         # bytes: a longer length is no length
+# A frame with a longer length is treated as corrupt.
+MAX_RECORD_BYTES = 16 * 1024 * 1024
 _HEAD = struct.Struct("!II")
 
 Step = Callable[[str], object]
-"""Called with the name of each step that a crash could come at; tests end the process there."""
+"""Called with the name of each step at which a crash matters; tests end the process there."""
 
 
 class LogError(Exception):
-    """The log cannot be used or written; the text is one line with the file, and where it is broken."""
+    """The log cannot be used or written; the message is one line with the file and the place of the fault."""
 
 
 class ReplayResult(NamedTuple):
-    """What a log holds: its records, the bytes they fill, and how many behind them were torn."""
+    """The content of a log: its records, the bytes of the valid prefix, and the bytes of the torn tail."""
 
     records: list[bytes]
     size: int
@@ -42,12 +43,13 @@
 
 
 def frame(payload: bytes) -> bytes:
+    """Returns the frame of one payload."""
     length = len(payload).to_bytes(4, "big")
     return length + _crc(length + payload).to_bytes(4, "big") + payload
 
 
-def _record(data: bytes, at: int) -> bytes | None:
-    """The payload of a whole and undamaged frame, if one begins here."""
+def _decode_frame(data: bytes, at: int) -> bytes | None:
+    """Returns the payload of the frame at offset ``at``, or None if no intact frame begins there."""
     if at + _HEAD.size > len(data):
         return None
     length, crc = _HEAD.unpack_from(data, at)
@@ -59,7 +61,7 @@
 
 
 def replay(path: Path) -> ReplayResult:
-    """Reads a log and changes nothing; LogError where it is broken before its end."""
+    """Reads a log without changing it; raises LogError if it is corrupt before its tail."""
     try:
         data = path.read_bytes()
     except FileNotFoundError:
@@ -68,22 +70,23 @@
         raise LogError(f"{path}: {error.strerror}") from error
     if data[:len(MAGIC)] != MAGIC:
         if MAGIC.startswith(data) or not data.strip(b"\0"):
-            return ReplayResult([], 0, len(data))          # made, and not yet written to
+            # The file was created, but its header was not completely written.
+            return ReplayResult([], 0, len(data))
         raise LogError(f"{path}: it does not begin as a log of this version does")
     records, at = [], len(MAGIC)
-    while (payload := _record(data, at)) is not None:
+    while (payload := _decode_frame(data, at)) is not None:
         records.append(payload)
         at += _HEAD.size + len(payload)
-    # Behind a torn end there is nothing; a whole record behind a broken one means that the middle is damaged.
+    # Nothing follows a torn tail; an intact record after a broken one means corruption in the middle.
     for later in range(at + 1, len(data) - _HEAD.size):
-        if data[later:later + 4] != b"\0\0\0\0" and _record(data, later) is not None:
+        if data[later:later + 4] != b"\0\0\0\0" and _decode_frame(data, later) is not None:
             raise LogError(f"{path}: broken at byte {at} of {len(data)}, and whole from byte {later} on: "
                            "keep the file, and put back the last good copy")
     return ReplayResult(records, at, len(data) - at)
 
 
 def sync_folder(folder: Path) -> None:
-    """Makes creations, renames and removals in a folder durable."""
+    """Makes creations, renames and removals of files in a folder durable; raises OSError."""
     fd = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
     try:
         os.fsync(fd)
@@ -92,15 +95,20 @@
 
 
 class Log:
-    """One log, open for writing; its folder must be held by this process alone (``hold``)."""
+    """A log open for writing; the process must have locked its folder (``LockedFolder``)."""
 
     def __init__(self, path: Path, step: Step = bool) -> None:
-        """Replays it first: ``records`` holds what it says until the caller lets go of them."""
+        """Replays the log, truncates a torn tail and opens the file; raises LogError.
+
+        ``records`` holds the replayed records until the caller clears it.
+        """
         self.path, self.step = path, step
         found = replay(path)
         self.records, self.torn = found.records, found.torn
-        self.broken = ""                       # why nothing more can be written before a rewrite
-        self.has_torn_tail = False                    # a torn end is still to be cut off
+        # Why nothing can be written before a rewrite; empty if the log is intact.
+        self.broken = ""
+        # A failed append may have left a partial frame, which has not been truncated yet.
+        self.has_torn_tail = False
         try:
             self.fd = os.open(path, os.O_RDWR | os.O_CREAT, 0o600)
             if found.size == 0:
@@ -113,35 +121,37 @@
         except OSError as error:
             raise LogError(f"{path}: {error.strerror}") from error
         self.size = max(found.size, len(MAGIC))
-        self.next: int | None = None           # the rewritten file, while it is not yet in place
-        self.next_size = 0
+        # The new file of a rewrite that has not replaced the old one yet.
+        self.rewrite_fd: int | None = None
+        self.rewrite_size = 0
 
     def append(self, payloads: Iterable[bytes]) -> None:
-        """All of them or, with LogError, none; on return they survive the death of this process."""
+        """Appends all records or, with LogError, none; on return they survive the death of the process."""
         if self.broken:
             raise LogError(f"{self.path}: {self.broken}")
         data = b"".join(map(frame, payloads))
         self.step("append")
         try:
             if self.has_torn_tail:
-                self._cut_off()
+                self._truncate_tail()
             self.has_torn_tail = True
             self._write(self.fd, data, self.size)
             self.has_torn_tail = False
         except OSError as error:
-            with contextlib.suppress(OSError):      # else it is tried again before the next record
-                self._cut_off()
+            # If truncation fails too, it is retried before the next append.
+            with contextlib.suppress(OSError):
+                self._truncate_tail()
             raise LogError(f"{self.path}: {error.strerror}") from error
         self.size += len(data)
-        if self.next is not None:
+        if self.rewrite_fd is not None:
             try:
-                self._write(self.next, data, self.next_size)
-                self.next_size += len(data)
+                self._write(self.rewrite_fd, data, self.rewrite_size)
+                self.rewrite_size += len(data)
             except OSError:
                 self.abort_rewrite()
         self.step("appended")
 
-    def _cut_off(self) -> None:
+    def _truncate_tail(self) -> None:
         os.ftruncate(self.fd, self.size)
         self.has_torn_tail = False
 
@@ -153,9 +163,12 @@
             view, at = view[done:], at + done
 
     def sync(self) -> None:
-        """Blocks until all that was appended is on the disk.  After a failure nothing more is written: what
-        is on the disk is unknown then (fsync(2)), and a second try may claim what the first one lost.  A
-        rewrite, or a restart, which reads the file, makes it whole again."""
+        """Blocks until all appended records are on the disk; raises LogError.
+
+        After a failure the log rejects all writes: the content on the disk is unknown then (fsync(2)), and a
+        second fsync may report success for data that the first one lost.  A rewrite, or a restart, which
+        reads the file, restores the log.
+        """
         if self.broken:
             raise LogError(f"{self.path}: {self.broken}")
         self.step("sync")
@@ -165,25 +178,26 @@
             self.broken = f"it could not be brought to the disk ({error.strerror})"
             raise LogError(f"{self.path}: {self.broken}") from error
 
-    # A rewrite: begin, sync_rewrite (may block, in a thread), swap.  Appends in between go to both files.
+    # A rewrite consists of begin_rewrite, sync_rewrite (blocking, may run in a thread) and swap.  Appends in
+    # between go to both files.
 
     def begin_rewrite(self, payloads: Sequence[bytes]) -> None:
-        """From here on the log is also written to a new file that begins with these records alone."""
+        """Starts a new file with only these records, to which later appends go too; raises LogError."""
         self.abort_rewrite()
         path = self.path.with_suffix(".new")
         try:
-            self.next = os.open(path, os.O_RDWR | os.O_CREAT | os.O_TRUNC, 0o600)
+            self.rewrite_fd = os.open(path, os.O_RDWR | os.O_CREAT | os.O_TRUNC, 0o600)
             data = MAGIC + b"".join(map(frame, payloads))
-            self._write(self.next, data, 0)
+            self._write(self.rewrite_fd, data, 0)
         except OSError as error:
             self.abort_rewrite()
             raise LogError(f"{path}: {error.strerror}") from error
-        self.next_size = len(data)
+        self.rewrite_size = len(data)
         self.step("rewrite.written")
 
     def sync_rewrite(self) -> None:
-        """Blocks until the new file is on the disk."""
-        fd = self.next
+        """Blocks until the new file is on the disk; raises LogError."""
+        fd = self.rewrite_fd
         if fd is None:
             raise LogError(f"{self.path}: the rewrite was given up")
         try:
@@ -194,9 +208,11 @@
         self.step("rewrite.synced")
 
     def swap(self) -> None:
-        """The new file, which has been synced, takes the old one's place, in one step; durable once its
-        folder is synced."""
-        if self.next is None:
+        """Atomically replaces the old file by the new one, which must have been synced; raises LogError.
+
+        The replacement is durable once the folder is synced.
+        """
+        if self.rewrite_fd is None:
             raise LogError(f"{self.path}: the rewrite was given up")
         try:
             os.rename(self.path.with_suffix(".new"), self.path)
@@ -204,16 +220,17 @@
         except OSError as error:
             raise LogError(f"{self.path}: {error.strerror}") from error
         os.close(self.fd)
-        self.fd, self.size, self.next = self.next, self.next_size, None
+        self.fd, self.size, self.rewrite_fd = self.rewrite_fd, self.rewrite_size, None
         self.broken, self.has_torn_tail = "", False
 
     def abort_rewrite(self) -> None:
-        if self.next is not None:
-            os.close(self.next)
-            self.next = None
+        """Abandons a rewrite, if one is in progress."""
+        if self.rewrite_fd is not None:
+            os.close(self.rewrite_fd)
+            self.rewrite_fd = None
 
     def rewrite(self, payloads: Sequence[bytes]) -> None:
-        """All three steps at once, where nobody waits."""
+        """Rewrites the log in one blocking call; raises LogError."""
         self.begin_rewrite(payloads)
         self.sync_rewrite()
         self.swap()
@@ -223,6 +240,7 @@
             raise LogError(f"{self.path.parent}: {error.strerror}") from error
 
     def close(self) -> None:
+        """Closes the log without a sync; later writes raise LogError."""
         if self.fd >= 0:
             self.abort_rewrite()
             os.close(self.fd)
--- a/larklb/state/reserved.py
+++ b/larklb/state/reserved.py
@@ -1,4 +1,4 @@
-"""Reservations on the disk: each is there before its customer is told, each draw before its answer leaves."""
+"""The log of reservations: each is durable before it is confirmed, each draw written before its answer."""
 
 from __future__ import annotations
 
@@ -10,22 +10,23 @@
 from larklb.quota.reservations import Reservation, Reservations, State, Transition, Wanted
 from larklb.state.log import Log, LogError, Step, replay
 
-REWRITE = 256 * 1024       # bytes of draws after which the log is written anew
+# Growth of the log after which it is rewritten.
+REWRITE_AFTER_BYTES = 256 * 1024
 
 
 class _Added(msgspec.Struct, array_like=True, tag=1):
     wanted: Wanted
     owned: bool
     drawn: float = 0.0
-    apart: dict[int, float] = {}
+    remote_draws: dict[int, float] = {}
     cancelled: bool = False
 
 
-class _Drew(msgspec.Struct, array_like=True, tag=2):
+class _Drawn(msgspec.Struct, array_like=True, tag=2):
     tag: int
     units: float
-    apart: bool
-    by: int
+    without_owner: bool
+    limiter: int
 
 
 class _Cancelled(msgspec.Struct, array_like=True, tag=3):
@@ -33,43 +34,43 @@
 
 
 _encode = msgspec.msgpack.Encoder().encode
-_decoder = msgspec.msgpack.Decoder(_Added | _Drew | _Cancelled)
+_decoder = msgspec.msgpack.Decoder(_Added | _Drawn | _Cancelled)
 
 
-def _load(payloads: list[bytes], into: Reservations, where: Path) -> None:
+def _load(payloads: list[bytes], into: Reservations, path: Path) -> None:
     for payload in payloads:
         try:
             record = _decoder.decode(payload)
         except msgspec.DecodeError as error:
-            raise LogError(f"{where}: a record of another version: {error}") from error
+            raise LogError(f"{path}: a record of another version: {error}") from error
         match record:
             case _Added():
                 r = into.insert(Reservation(record.wanted, record.owned, State.HELD, record.drawn,
-                                            record.apart))
+                                            record.remote_draws))
                 if record.cancelled:
                     r.apply(Transition.CANCEL)
-            case _Drew() if record.tag in into.by_tag:
+            case _Drawn() if record.tag in into.by_tag:
                 r = into.by_tag[record.tag]
-                if record.apart:
-                    r.remote_draws[record.by] = record.units
+                if record.without_owner:
+                    r.remote_draws[record.limiter] = record.units
                 else:
                     r.drawn = record.units
             case _Cancelled() if record.name in into.by_name:
                 into.by_name[record.name].apply(Transition.CANCEL)
 
 
-def look(path: Path, into: Reservations) -> None:
-    """What a log says, read while another process may write it."""
+def load(path: Path, into: Reservations) -> None:
+    """Loads a log, which another process may be writing; raises LogError if it is corrupt."""
     _load(replay(path).records, into, path)
 
 
 class ReservationLog:
-    """Fills a ``Reservations`` from the log, and keeps what changes."""
+    """Loads a ``Reservations`` from the log and records its changes."""
 
     def __init__(self, path: Path, reservations: Reservations, wall: float, step: Step = bool) -> None:
         self.reservations = reservations
         # Draws that could not be written yet.
-        self.unwritten_draws: dict[tuple[int, bool, int], _Drew] = {}
+        self.unwritten_draws: dict[tuple[int, bool, int], _Drawn] = {}
         self.log = Log(path, step)
         _load(self.log.records, reservations, path)
         self.log.records = []
@@ -84,47 +85,55 @@
         self.log.rewrite([_encode(_Added(r.wanted, r.owned, r.drawn, r.remote_draws,
                                          r.state is State.CANCELLED))
                           for r in self.reservations.by_name.values()])
-        self.floor = self.log.size
+        self.rewritten_size = self.log.size
         self.unwritten_draws.clear()
 
-    def _mend(self) -> None:
-        """A log whose sync failed is written anew, from memory; LogError while it cannot be."""
+    def _repair(self) -> None:
+        """Rewrites the log from memory if a sync of it failed; raises LogError if that fails."""
         if self.log.broken:
             self._rewrite()
 
     def record_added(self, r: Reservation) -> None:
-        """Durable on return: the customer counts on it from then on."""
-        self._mend()
+        """Records a reservation, durable on return, as the customer relies on it then; raises LogError."""
+        self._repair()
         self.log.append([_encode(_Added(r.wanted, r.owned))])
         self.log.sync()
 
     def record_cancelled(self, r: Reservation) -> None:
-        self._mend()
+        """Records a cancellation, durable on return; raises LogError."""
+        self._repair()
         self.log.append([_encode(_Cancelled(r.wanted.name))])
         self.log.sync()
 
     def record_draw(self, d: io.RecordDraw, number: int) -> None:
-        """Survives this process's death on return; no sync, for a request waits.  What LogError left out goes
-        with the next draw, or when all is tidied: a draw is told as the sum of all."""
-        by = number if d.limiter < 0 else d.limiter
-        self.unwritten_draws[d.tag, d.without_owner, by] = _Drew(d.tag, d.units, d.without_owner, by)
+        """Records a draw, which survives the death of the process on return; raises LogError.
+
+        There is no sync, as a request is waiting.  A draw that could not be written is written with the next
+        one or by ``compact``; since each record holds the cumulative units, the latest one is sufficient.
+        """
+        limiter = number if d.limiter < 0 else d.limiter
+        self.unwritten_draws[d.tag, d.without_owner, limiter] = _Drawn(d.tag, d.units, d.without_owner,
+                                                                       limiter)
         self._flush()
 
     def _flush(self) -> None:
-        self._mend()
+        self._repair()
         self.log.append(map(_encode, self.unwritten_draws.values()))
         self.unwritten_draws.clear()
 
     def compact(self, wall: float) -> None:
-        """Off the requests' path: forgets what is long over, and the draws that newer ones replace."""
+        """Drops expired reservations and superseded draws; not to be called on the request path.
+
+        ``wall`` is the time in Unix milliseconds.  Raises LogError.
+        """
         self.reservations.expire(wall)
         if self.unwritten_draws or self.log.broken:
             self._flush()
-        if self.log.size - self.floor > REWRITE:
+        if self.log.size - self.rewritten_size > REWRITE_AFTER_BYTES:
             self._rewrite()
 
     def close(self) -> None:
-        """LogError where not all could be kept."""
+        """Writes and syncs pending draws and closes the log; raises LogError if some cannot be written."""
         try:
             self._flush()
             self.log.sync()
