--- a/larklb/lab/soak.py
+++ b/larklb/lab/soak.py
@@ -1,19 +1,20 @@
-"""A soak: limiters as processes on loopback, under overlapping series of signals, restarts and changes.
+"""Soak test: limiter processes on loopback under overlapping series of signals, restarts and changes.
 
-Clients use their connections until the process is gone, some leave in the middle of the work. What must hold
-is judged from what clients and servers have seen:
+Clients use their connections until the process is gone, and some disconnect during a request. These
+violations are detected from the records of clients and servers:
 
     twice     an unsafe request ran more than once
-    promise   a request that was refused with a promise (408, 421, 429, 503) has run
-    wrong     a success without its own answer, or one that no server ran whole
-    lost      a request that had reached a server was cut off by a process that nobody killed
-    gone      a run began, or a safe run went on, more than half a second after its client had left
-    end       a process didn't end with 0 within its grace after SIGTERM
-    settled   in the end not all limiters are there with the configuration that was acknowledged last
+    promise   a request ran though its status (408, 421, 429, 503) promises that it didn't
+    wrong     a success has another body than its own, or no server completed the request
+    lost      a request that had reached a server was disconnected by a process that wasn't killed
+    gone      a run began, or a safe run continued, more than half a second after its client had disconnected
+    end       a process didn't exit with 0 within its grace period after SIGTERM
+    settled   at the end, not all limiters are ready with the last acknowledged configuration
 
     python -m larklb.lab.soak [--seeds N] [--first S] [--seconds T] [--jobs J]
 
-prints a line a seed and exits with 1 if anything broke; the processes' logs of such a seed are kept."""
+prints one line per seed, and exits with 1 on any violation. The processes' logs of such a seed are retained.
+"""
 
 from __future__ import annotations
 
@@ -33,67 +34,73 @@
 
 from attrs import define, field
 
-from larklb.lab.soak_clients import Asked, KeptClient, Run, SoakServer
+from larklb.lab.soak_clients import ClientRequest, PersistentClient, Run, SoakServer
 from larklb.lab.system import BACK_S, START_S, Trial
 from larklb.lab.system_clients import PROMISES
 from larklb.lab.system_network import CONFIGURATION, CORES, GRACE_S, LIMITERS, TrialError
 from larklb.schema import calls
 
-GONE_S = 0.5  # after its client has left, in which a request's work must have ended ...
-SLACK_S = 0.35  # ... on a machine that does much else
-NEAR_S = 0.4  # a cut so shortly round a kill is that kill's
+# The work of a request must end within this time after its client has disconnected.
+ABANDONED_WORK_S = 0.5
+SLACK_S = 0.35  # additional time allowed for a loaded machine
+# A disconnect this shortly before or after a kill is attributed to the kill.
+KILL_WINDOW_S = 0.4
 CLIENTS = 14
-DOWN_S = (0.2, 1.0)  # between a process's end and its next start
-SECONDS = 8.0
+DOWN_S = (0.2, 1.0)  # time between the end and the restart of a process, (min, max)
+DEFAULT_DURATION_S = 8.0
 Step = Callable[[random.Random], Awaitable[None]]
 
 
 @define
-class Broken:
-    """What didn't hold, and of which request or process."""
+class Violation:
+    """A violated rule, and the request or process concerned."""
 
     rule: str
-    what: str
+    detail: str
 
 
 @define
 class Result:
-    """Of one seed. ``counts``: requests by status, clients that left, signals."""
+    """Result of one seed; ``counts`` has requests by status, clients that disconnected, and signals."""
 
     seed: int
     counts: Counter[str]
-    broken: list[Broken] = field(factory=list)
-    logs: str = ""  # where they are kept, if anything broke
+    broken: list[Violation] = field(factory=list)
+    logs: str = ""  # folder of the logs after a violation
 
 
 class Soak(Trial):
-    """One seed's run; everything it started ends with it."""
+    """The run for one seed, which stops everything it started."""
 
     def __init__(self, folder: Path, seconds: float, seed: int) -> None:
         super().__init__(folder, seconds, True)
         self.seed, self.chance = seed, random.Random(seed)
-        self.soaked = [
+        self.soak_servers = [
             SoakServer(s.id, s.service, s.zone, s.ip, s.port, s.controls, random.Random(seed + k))
             for k, s in enumerate(self.servers)
         ]
-        self.servers = list(self.soaked)
-        self.kept = [
-            KeptClient(f"c{n}", self.net, random.Random(seed * 1_000 + n), self._target)
+        self.servers = list(self.soak_servers)
+        self.persistent_clients = [
+            PersistentClient(f"c{n}", self.net, random.Random(seed * 1_000 + n), self._target)
             for n in range(CLIENTS)
         ]
         self.kills: list[tuple[int, float]] = []
         self.restarting: set[int] = set()
-        self.core_free = asyncio.Lock()  # no more core machines at once than may be lost
+        self.core_lock = asyncio.Lock()  # one core machine at a time, the most that may be lost
         self.version = int(CONFIGURATION["version"])
         self.counts: Counter[str] = Counter()
-        self.broken: list[Broken] = []
+        self.broken: list[Violation] = []
 
     def _target(self) -> int:
         ready = self.clients.ready() or list(range(LIMITERS))
         return self.chance.choice(ready)
 
     async def play(self) -> Result:
-        """All of it, from the first start to the judgement."""
+        """Runs the soak, from the first start to the final checks.
+
+        Raises:
+            TrialError: The limiters don't become ready.
+        """
         for server in self.servers:
             await server.start()
             self.tasks.append(asyncio.ensure_future(server.live()))
@@ -105,18 +112,19 @@
             raise TrialError("they never got ready")
         until = asyncio.get_running_loop().time() + self.seconds
         await asyncio.gather(
-            *(client.live(until) for client in self.kept), *(series for series in self._series(until))
+            *(client.run(until) for client in self.persistent_clients),
+            *(series for series in self._series(until)),
         )
         self.clients.killed = {}
-        await asyncio.sleep(GONE_S + SLACK_S)
-        self.broken += self._judged()
-        await self._settled()
+        await asyncio.sleep(ABANDONED_WORK_S + SLACK_S)
+        self.broken += self._check_requests()
+        await self._check_settled()
         return Result(self.seed, self.counts, self.broken)
 
-    # Troubles -----------------------------------------------------------------------------
+    # Faults -----------------------------------------------------------------------------
 
     def _series(self, until: float) -> Iterator[asyncio.Future[None]]:
-        """Series that overlap, each with a pace of its own."""
+        """Starts the overlapping series of faults, each at its own rate."""
         for step, count in ((self._term, 2), (self._hang_up, 2), (self._kill, 1), (self._amend, 1)):
             for _ in range(count):
                 yield asyncio.ensure_future(self._repeat(step, until))
@@ -129,43 +137,45 @@
             await step(chance)
             await asyncio.sleep(gap * chance.uniform(0.3, 1.7))
 
-    async def _restart(self, i: int, how: signal.Signals, chance: random.Random) -> None:
+    async def _restart(self, i: int, signal_number: signal.Signals, chance: random.Random) -> None:
         if i in self.restarting:
             return
         self.restarting.add(i)
         try:
             if i < CORES:
-                async with self.core_free:
-                    await self._ended_and_started(i, how, chance)
-                    await self._rejoined(i)
+                async with self.core_lock:
+                    await self._restart_process(i, signal_number, chance)
+                    await self._wait_until_serving(i)
             else:
-                await self._ended_and_started(i, how, chance)
+                await self._restart_process(i, signal_number, chance)
         finally:
             self.restarting.discard(i)
 
-    async def _ended_and_started(self, i: int, how: signal.Signals, chance: random.Random) -> None:
+    async def _restart_process(self, i: int, signal_number: signal.Signals, chance: random.Random) -> None:
         clock, process = asyncio.get_running_loop().time, self.processes[i]
-        # A process that has just begun, and listens to nobody yet, may end by the signal itself.
-        fine = (0,) if await self.status(i, calls.COUNTS) else (0, -signal.SIGTERM)
-        self.counts[how.name] += 1
+        # A process that has just started may not handle the signal yet, and is then ended by it.
+        expected_codes = (0,) if await self.status(i, calls.COUNTS) else (0, -signal.SIGTERM)
+        self.counts[signal_number.name] += 1
         self.clients.killed[i] = clock()
-        if how is signal.SIGKILL:
+        if signal_number is signal.SIGKILL:
             self.kills.append((i, clock()))
-        process.send_signal(how)
+        process.send_signal(signal_number)
         try:
             await asyncio.wait_for(process.wait(), GRACE_S + 1.5)
         except TimeoutError:
-            self.broken.append(Broken("end", f"limiter-{i} runs on after its grace"))
+            self.broken.append(Violation("end", f"limiter-{i} runs on after its grace"))
             self.kills.append((i, clock()))
             process.kill()
             await process.wait()
-        if how is signal.SIGTERM and process.returncode not in fine:
-            self.broken.append(Broken("end", f"limiter-{i} ended with {process.returncode}: {self.last(i)}"))
+        if signal_number is signal.SIGTERM and process.returncode not in expected_codes:
+            self.broken.append(
+                Violation("end", f"limiter-{i} ended with {process.returncode}: {self.last(i)}")
+            )
         await asyncio.sleep(chance.uniform(*DOWN_S))
         await self.start(i, False)
 
-    async def _rejoined(self, i: int) -> None:
-        """A core machine counts as lost until it is one of them again."""
+    async def _wait_until_serving(self, i: int) -> None:
+        """Waits up to 6 s for a core machine to serve again; until then it counts as lost."""
         for _ in range(60):
             if ((await self.status(i, calls.CORE)).get("core") or {}).get("serves"):
                 return
@@ -179,7 +189,7 @@
 
     async def _hang_up(self, chance: random.Random) -> None:
         i = chance.randrange(LIMITERS)
-        # A process that has just begun doesn't handle signals yet.
+        # A process that has just started doesn't handle signals yet.
         if i not in self.restarting and (await self.status(i, calls.COUNTS)).get("ready"):
             self.counts["SIGHUP"] += 1
             self.processes[i].send_signal(signal.SIGHUP)
@@ -196,64 +206,75 @@
 
     # What must hold -----------------------------------------------------------------------
 
-    def _runs(self, path: str) -> list[Run]:
-        return [run for server in self.soaked for run in server.done.get(path, ())]
+    def _runs_of(self, path: str) -> list[Run]:
+        return [run for server in self.soak_servers for run in server.runs_by_path.get(path, ())]
 
-    def _killed(self, asked: Asked, at: float) -> bool:
-        """Whether its limiter was killed between its sending and ``at``, or nearly so."""
+    def _was_killed(self, request: ClientRequest, at: float) -> bool:
+        """Whether its limiter was killed between its sending and ``at``, within KILL_WINDOW_S."""
         return any(
-            i == asked.limiter and asked.sent - NEAR_S <= when <= at + NEAR_S for i, when in self.kills
+            i == request.limiter and request.sent_at - KILL_WINDOW_S <= killed_at <= at + KILL_WINDOW_S
+            for i, killed_at in self.kills
         )
 
-    def _judged(self) -> Iterator[Broken]:
-        for client in self.kept:
-            for asked in client.asked:
-                self.counts[str(asked.status) if asked.status else "left" if asked.left else "cut"] += 1
-                yield from self._judge(asked, self._runs(asked.path))
-
-    def _judge(self, asked: Asked, runs: list[Run]) -> Iterator[Broken]:
-        if not asked.safe and len(runs) > 1:
-            yield Broken("twice", asked.path)
-        if asked.status in PROMISES and runs:
-            yield Broken("promise", f"{asked.path}: {asked.status}")
-        if asked.status == 200 and (
-            not any(run.whole for run in runs)
-            or asked.body.decode("utf-8", "replace") != f"{asked.path} for yard"
+    def _check_requests(self) -> Iterator[Violation]:
+        for client in self.persistent_clients:
+            for request in client.requests:
+                self.counts[
+                    str(request.status) if request.status else "left" if request.closed_at else "cut"
+                ] += 1
+                yield from self._check_request(request, self._runs_of(request.path))
+
+    def _check_request(self, request: ClientRequest, runs: list[Run]) -> Iterator[Violation]:
+        if not request.safe and len(runs) > 1:
+            yield Violation("twice", request.path)
+        if request.status in PROMISES and runs:
+            yield Violation("promise", f"{request.path}: {request.status}")
+        if request.status == 200 and (
+            not any(run.completed for run in runs)
+            or request.body.decode("utf-8", "replace") != f"{request.path} for yard"
+        ):
+            yield Violation("wrong", request.path)
+        if (
+            request.disconnected_at is not None
+            and runs
+            and not self._was_killed(request, request.disconnected_at)
         ):
-            yield Broken("wrong", asked.path)
-        if asked.cut is not None and runs and not self._killed(asked, asked.cut):
-            yield Broken("lost", f"{asked.path} at limiter-{asked.limiter}")
-        if asked.left is not None and not self._killed(asked, asked.left + GONE_S):
-            yield from self._gone(asked, asked.left + GONE_S + SLACK_S, runs)
+            yield Violation("lost", f"{request.path} at limiter-{request.limiter}")
+        if request.closed_at is not None and not self._was_killed(
+            request, request.closed_at + ABANDONED_WORK_S
+        ):
+            yield from self._gone(request, request.closed_at + ABANDONED_WORK_S + SLACK_S, runs)
 
     @staticmethod
-    def _gone(asked: Asked, bound: float, runs: list[Run]) -> Iterator[Broken]:
+    def _gone(request: ClientRequest, bound: float, runs: list[Run]) -> Iterator[Violation]:
         for run in runs:
-            if run.began > bound or asked.safe and (run.ended is None or run.ended > bound):
-                yield Broken("gone", asked.path)
+            if run.started_at > bound or request.safe and (run.ended_at is None or run.ended_at > bound):
+                yield Violation("gone", request.path)
 
-    async def _settled(self) -> None:
+    async def _check_settled(self) -> None:
         if not await self.until("all limiters are there", BACK_S, self.there):
-            self.broken.append(Broken("settled", "not all limiters are back with one configuration"))
-        read = await self._read_back()
-        if read.get("version") != self.version:
-            self.broken.append(Broken("settled", f"{read.get('version')} is read, not {self.version}"))
+            self.broken.append(Violation("settled", "not all limiters are back with one configuration"))
+        configuration = await self._read_back()
+        if configuration.get("version") != self.version:
+            self.broken.append(
+                Violation("settled", f"{configuration.get('version')} is read, not {self.version}")
+            )
 
 
-async def _played(folder: Path, seconds: float, seed: int) -> Result:
+async def _run_soak(folder: Path, seconds: float, seed: int) -> Result:
     soak = Soak(folder, seconds, seed)
     try:
         return await soak.play()
     except TrialError as error:
-        return Result(seed, soak.counts, [*soak.broken, Broken("settled", str(error))])
+        return Result(seed, soak.counts, [*soak.broken, Violation("settled", str(error))])
     finally:
         await soak.stop()
 
 
-def play(seed: int, seconds: float = SECONDS) -> Result:
-    """One seed in this process; the limiters' logs are kept if anything broke."""
+def play(seed: int, seconds: float = DEFAULT_DURATION_S) -> Result:
+    """Runs one seed in this process; the limiters' logs are retained on a violation."""
     folder = tempfile.mkdtemp(prefix=f"larklb-soak-{seed}-")
-    result = asyncio.run(_played(Path(folder), seconds, seed))
+    result = asyncio.run(_run_soak(Path(folder), seconds, seed))
     if result.broken:
         result.logs = folder
     else:
@@ -261,9 +282,9 @@
     return result
 
 
-def _alone(seed: int, seconds: float) -> str:
-    """One seed in a process of its own: its line of JSON."""
-    done = subprocess.run(
+def _run_in_subprocess(seed: int, seconds: float) -> str:
+    """Runs one seed in a subprocess and returns its line of JSON."""
+    completed_process = subprocess.run(
         [
             sys.executable,
             "-m",
@@ -278,15 +299,17 @@
         capture_output=True,
         text=True,
     )
-    return done.stdout.strip() or json.dumps({"seed": seed, "broken": [["fault", done.stderr[-400:]]]})
+    return completed_process.stdout.strip() or json.dumps(
+        {"seed": seed, "broken": [["fault", completed_process.stderr[-400:]]]}
+    )
 
 
-def line(result: Result) -> str:
-    """A seed's result as a line of JSON."""
+def format_result(result: Result) -> str:
+    """Formats the result of a seed as a line of JSON."""
     return json.dumps(
         {
             "seed": result.seed,
-            "broken": [[b.rule, b.what] for b in result.broken],
+            "broken": [[b.rule, b.detail] for b in result.broken],
             "logs": result.logs,
             **dict(sorted(result.counts.items())),
         }
@@ -294,23 +317,23 @@
 
 
 def main() -> int:
-    """The command of the module's docstring."""
+    """Runs the command and returns its exit status."""
     parser = argparse.ArgumentParser(prog="python -m larklb.lab.soak")
     parser.add_argument("--seeds", type=int, default=1)
     parser.add_argument("--first", type=int, default=1)
-    parser.add_argument("--seconds", type=float, default=SECONDS)
+    parser.add_argument("--seconds", type=float, default=DEFAULT_DURATION_S)
     parser.add_argument("--jobs", type=int, default=1)
-    chosen = parser.parse_args()
-    seeds = range(chosen.first, chosen.first + chosen.seeds)
-    if chosen.seeds == 1:
-        result = play(chosen.first, chosen.seconds)
-        print(line(result), flush=True)
+    options = parser.parse_args()
+    seeds = range(options.first, options.first + options.seeds)
+    if options.seeds == 1:
+        result = play(options.first, options.seconds)
+        print(format_result(result), flush=True)
         return 1 if result.broken else 0
     failed = 0
-    with ThreadPoolExecutor(chosen.jobs) as pool:
-        for told in pool.map(lambda seed: _alone(seed, chosen.seconds), seeds):
-            print(told, flush=True)
-            failed += bool(json.loads(told)["broken"])
+    with ThreadPoolExecutor(options.jobs) as pool:
+        for result_line in pool.map(lambda seed: _run_in_subprocess(seed, options.seconds), seeds):
+            print(result_line, flush=True)
+            failed += bool(json.loads(result_line)["broken"])
     print(f"{len(seeds)} seeds, {failed} with anything broken", flush=True)
     return 1 if failed else 0
 
--- a/larklb/lab/soak_clients.py
+++ b/larklb/lab/soak_clients.py
@@ -1,6 +1,7 @@
-"""Clients and servers of a soak: connections that are used until their process is gone, and a record of all.
+"""Clients and servers of a soak test, which record all requests and their runs.
 
-Times are the loop's seconds.
+Clients use their connections until the limiter's process is gone. Times are in seconds of the event
+loop's clock.
 """
 
 from __future__ import annotations
@@ -16,73 +17,77 @@
 from larklb.lab.system_servers import StandIn
 from larklb.lab.yard import read_head
 
-LONG_PART, LONG_S = 0.25, (0.3, 1.4)  # of the work is long
-LEAVE_PART, LEAVE_S = 0.2, (0.0, 0.5)  # of the requests lose their client after so long
-UNSAFE_PART = 0.4
-PAUSE_S = 0.03  # between two requests of a client, and before it comes again
-PATIENCE_S = 4.0
+# Fraction of the requests with long work, and its duration (min, max).
+LONG_FRACTION, LONG_S = 0.25, (0.3, 1.4)
+# Fraction of the requests whose client disconnects early, and after which time (min, max).
+LEAVE_FRACTION, LEAVE_S = 0.2, (0.0, 0.5)
+UNSAFE_FRACTION = 0.4  # fraction of the requests that aren't idempotent
+PAUSE_S = 0.03  # max pause between requests of a client, and pause before it reconnects
+CLIENT_TIMEOUT_S = 4.0
 KEY = CONFIGURATION["tenants"][0]["keys"][0]
 
 
 @define
 class Run:
-    """One run of a request at a server; ``ended`` is None while it goes on."""
+    """One execution of a request at a server; ``ended_at`` is None while it runs."""
 
-    began: float
-    ended: float | None = None
-    whole: bool = False
+    started_at: float
+    ended_at: float | None = None
+    completed: bool = False
 
 
 @define
-class Asked:
-    """One request of a client and what became of it."""
+class ClientRequest:
+    """One request of a client and its result."""
 
     path: str
     safe: bool
     limiter: int
-    sent: float
+    sent_at: float
     status: int = 0  # 0: no answer
     body: bytes = b""
-    left: float | None = None  # when its client closed, without an answer
-    cut: float | None = None  # when its connection ended without one, though its client stayed
+    closed_at: float | None = None  # when its client disconnected without an answer
+    disconnected_at: float | None = None  # when the limiter closed the connection without an answer
 
 
 @define(eq=False)
 class SoakServer(StandIn):
-    """A server that works for long at times, and keeps when each run began and ended."""
+    """A server that sometimes works for a long time, and records the start and end of each run."""
 
-    done: dict[str, list[Run]] = field(factory=dict)  # by path
+    runs_by_path: dict[str, list[Run]] = field(factory=dict)
 
     async def work(self, path: str) -> None:
+        """Handles a request and records its run."""
         clock = asyncio.get_running_loop().time
         run = Run(clock())
-        self.done.setdefault(path, []).append(run)
+        self.runs_by_path.setdefault(path, []).append(run)
         try:
             await asyncio.sleep(
                 self.chance.uniform(*LONG_S)
-                if self.chance.random() < LONG_PART
+                if self.chance.random() < LONG_FRACTION
                 else self.chance.uniform(0.01, 0.06)
             )
-            run.whole = True
+            run.completed = True
         finally:
-            run.ended = clock()
+            run.ended_at = clock()
 
 
 @define(eq=False)
-class KeptClient:
-    """One client: a request after the other on a connection to one limiter, for as long as that lasts.
+class PersistentClient:
+    """A client that sends sequential requests over a persistent connection to one limiter.
 
-    ``limiter`` names where the next connection goes to."""
+    ``limiter`` returns the index of the limiter for the next connection.
+    """
 
     name: str
     net: Net
     chance: random.Random
     limiter: Callable[[], int]
-    asked: list[Asked] = field(factory=list)
+    requests: list[ClientRequest] = field(factory=list)
     number: int = 0
 
-    async def live(self, until: float) -> None:
-        """Asks until then, and to the end of its last request."""
+    async def run(self, until: float) -> None:
+        """Sends requests until the time ``until``, and completes the last one."""
         clock = asyncio.get_running_loop().time
         while clock() < until:
             limiter = self.limiter() % LIMITERS
@@ -93,42 +98,44 @@
                 await asyncio.sleep(PAUSE_S)
                 continue
             try:
-                while clock() < until and await self._one(limiter, reader, writer):
+                while clock() < until and await self._send_request(limiter, reader, writer):
                     await asyncio.sleep(PAUSE_S * self.chance.random())
             finally:
                 writer.transport.abort()
 
-    async def _one(self, limiter: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
-        """One request; whether its connection carries another one."""
+    async def _send_request(
+        self, limiter: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> bool:
+        """Sends one request; returns whether its connection can be reused."""
         clock = asyncio.get_running_loop().time
         self.number += 1
-        safe = self.chance.random() >= UNSAFE_PART
+        safe = self.chance.random() >= UNSAFE_FRACTION
         path = f"{'/parts/' if safe else '/orders/'}{self.name}-{self.number}"
-        asked = Asked(path, safe, limiter, clock())
-        self.asked.append(asked)
+        request = ClientRequest(path, safe, limiter, clock())
+        self.requests.append(request)
         method, length = ("GET", "") if safe else ("POST", "Content-Length: 2\r\n")
         writer.write(
             f"{method} {path} HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: {path[1:]}\r\n"
-            f"X-Time-Left: {PATIENCE_S * 1000:.0f}\r\nAuthorization: Bearer {KEY}\r\n{length}\r\n"
+            f"X-Time-Left: {CLIENT_TIMEOUT_S * 1000:.0f}\r\nAuthorization: Bearer {KEY}\r\n{length}\r\n"
             f"{'' if safe else '{}'}".encode()
         )
-        leaves = self.chance.random() < LEAVE_PART
-        patience = self.chance.uniform(*LEAVE_S) if leaves else PATIENCE_S + 1.0
+        leaves_early = self.chance.random() < LEAVE_FRACTION
+        timeout_s = self.chance.uniform(*LEAVE_S) if leaves_early else CLIENT_TIMEOUT_S + 1.0
         try:
-            async with asyncio.timeout(patience):
+            async with asyncio.timeout(timeout_s):
                 head, headers = await read_head(reader)
-                asked.body = await reader.readexactly(int(headers.get("content-length", 0)))
-                asked.status = int(head.split()[1])
+                request.body = await reader.readexactly(int(headers.get("content-length", 0)))
+                request.status = int(head.split()[1])
         except TimeoutError:
-            asked.left = clock()
-            if leaves and self.chance.random() < 0.5:
-                writer.close()  # a FIN; else a reset
+            request.closed_at = clock()
+            if leaves_early and self.chance.random() < 0.5:
+                writer.close()  # sends a FIN; without it the connection is reset
                 await asyncio.sleep(0)
             return False
         except (OSError, EOFError, asyncio.LimitOverrunError):
-            asked.cut = clock()
+            request.disconnected_at = clock()
             return False
-        if asked.status >= 300:
+        if request.status >= 300:
             with suppress(ValueError):
                 await asyncio.sleep(min(0.3, float(headers.get("retry-after", "0"))))
         return headers.get("connection") != "close"
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""A soak of real processes, short and seeded; `python -m larklb.lab.soak` is its long run, by hand."""
+"""Short seeded soak tests of real processes; `python -m larklb.lab.soak` runs longer ones by hand."""
 
 from __future__ import annotations
 
@@ -6,34 +6,34 @@
 
 import pytest
 
-from larklb.lab.soak import GONE_S, SLACK_S, Soak, play
-from larklb.lab.soak_clients import Asked, Run
+from larklb.lab.soak import ABANDONED_WORK_S, SLACK_S, Soak, play
+from larklb.lab.soak_clients import ClientRequest, Run
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_nothing_breaks_under_overlapping_series(seed: int) -> None:
+def test_overlapping_faults_cause_no_violation(seed: int) -> None:
     result = play(seed, seconds=8.0)
     assert not result.broken, result
     assert result.counts["200"] > 100 and result.counts["left"] and result.counts["SIGTERM"], result.counts
 
 
-def broken(asked: Asked, *runs: Run, kills: tuple[tuple[int, float], ...] = ()) -> list[str]:
+def broken(request: ClientRequest, *runs: Run, kills: tuple[tuple[int, float], ...] = ()) -> list[str]:
     soak = Soak.__new__(Soak)
     soak.kills, soak.chance = list(kills), random.Random(1)
-    return [found.rule for found in soak._judge(asked, list(runs))]
+    return [found.rule for found in soak._check_request(request, list(runs))]
 
 
-def test_the_judgement_finds_what_it_is_for() -> None:
-    late = 1.0 + GONE_S + SLACK_S + 0.1
+def test_each_violation_is_detected() -> None:
+    late = 1.0 + ABANDONED_WORK_S + SLACK_S + 0.1
     well = Run(0.1, 0.2, True)
-    served = Asked("/parts/x", True, 0, 0.0, 200, b"/parts/x for yard")
+    served = ClientRequest("/parts/x", True, 0, 0.0, 200, b"/parts/x for yard")
     assert broken(served, well) == [] and broken(served) == ["wrong"]
-    assert broken(Asked("/parts/x", True, 0, 0.0, 200, b"/parts/y for yard"), well) == ["wrong"]
-    assert broken(Asked("/orders/x", False, 0, 0.0, 502), well, well) == ["twice"]
-    assert broken(Asked("/parts/x", True, 0, 0.0, 503), well) == ["promise"]
-    cut = Asked("/orders/x", False, 2, 0.0, cut=1.0)
+    assert broken(ClientRequest("/parts/x", True, 0, 0.0, 200, b"/parts/y for yard"), well) == ["wrong"]
+    assert broken(ClientRequest("/orders/x", False, 0, 0.0, 502), well, well) == ["twice"]
+    assert broken(ClientRequest("/parts/x", True, 0, 0.0, 503), well) == ["promise"]
+    cut = ClientRequest("/orders/x", False, 2, 0.0, disconnected_at=1.0)
     assert broken(cut, well) == ["lost"] and broken(cut) == [] and broken(cut, well, kills=((2, 0.9),)) == []
-    gone = Asked("/parts/x", True, 0, 0.0, left=1.0)
+    gone = ClientRequest("/parts/x", True, 0, 0.0, closed_at=1.0)
     assert broken(gone, Run(0.1, late)) == broken(gone, Run(0.1)) == broken(gone, Run(late, late)) == ["gone"]
     assert broken(gone, Run(0.1, 1.2)) == []
-    assert broken(Asked("/orders/x", False, 0, 0.0, left=1.0), Run(0.1, late, True)) == []
+    assert broken(ClientRequest("/orders/x", False, 0, 0.0, closed_at=1.0), Run(0.1, late, True)) == []
