--- a/larklb/cli/fleet.py
+++ b/larklb/cli/fleet.py
@@ -1,4 +1,4 @@
-"""Commands on what limiters decide together: what is stated in advance, and what running instances hold."""
+"""Commands on fleet-wide decisions: stated error bounds, and the state that running instances hold."""
 
 from __future__ import annotations
 
@@ -19,10 +19,13 @@
     print_rows,
 )
 
-LONG_MS = 1300.0           # the instance called three times within it: who is not heard since does not answer
+# An instance contacts a peer three times within this time: a peer not heard for longer does not answer.
+MAX_SILENCE_MS = 1300.0
 
-PATIENCE_PART = 0.375      # of the least aim: an attempt that hears nothing is given up by then (decide.py)
-INTO_PER_S = 4.0           # attempts of one limiter into a zone, for the figures that are stated
+# Fraction of the lowest latency target after which an attempt without an answer is abandoned (decide.py).
+ATTEMPT_TIMEOUT_FRACTION = 0.375
+# Attempts of one limiter into a zone that the stated figures assume.
+ZONE_ATTEMPTS_PER_S = 4.0
 
 fleet = command_group("fleet", "Limits and verdicts that hold for the whole fleet.")
 
@@ -33,7 +36,7 @@
           loss: Annotated[float, typer.Option(help="Part of the messages lost while links hold.")] = 0.02,
           apart: Annotated[float, typer.Option(help="Seconds for which two sides hear nothing.")] = 15.0,
           as_json: AsJson = False) -> None:
-    """Print how old verdicts may be, how soon a lost link is noticed, how far over and under limits go."""
+    """Print bounds: the age of verdicts, the detection time of lost links, the error of limits."""
     from larklb.decision_constants import ASK_TIMEOUT_AIMS
     from larklb.fleet import bound as stated
     from larklb.quota.shares import error_bound as quota
@@ -43,25 +46,25 @@
         settings = load_instance_config(operator, loaded.instance[0]).settings
     n = limiters or settings.gateways
     aim = min(c.aim for c in settings.classes)
-    age, seen = stated.age(n, loss), stated.detection_times(n, loss, aim, ASK_TIMEOUT_AIMS)
-    words = stated.message_rates(settings.inbox_per_s, n - 1)
+    age, detection = stated.age(n, loss), stated.detection_times(n, loss, aim, ASK_TIMEOUT_AIMS)
+    messages = stated.message_rates(settings.inbox_per_s, n - 1)
     rows: list[dict[str, Any]] = [
         {"what": "verdict on a node, half of the limiters", "unit": "ms", "linked": round(age.median)},
         {"what": "verdict on a node, 99.9% of them", "unit": "ms", "linked": round(age.tail)},
         {"what": "a limiter not heard: quotas keep its share aside", "unit": "ms",
-         "noticed": round(seen.quiet)},
-        {"what": "a limiter not heard: nobody asks it", "unit": "ms", "noticed": round(seen.silent)},
-        {"what": "messages to an inbox, a second", "unit": "", "linked": round(words.planned, 1),
-         "over": round(words.first_second, 1)}]
+         "noticed": round(detection.quiet)},
+        {"what": "a limiter not heard: nobody asks it", "unit": "ms", "noticed": round(detection.silent)},
+        {"what": "messages to an inbox, a second", "unit": "", "linked": round(messages.planned, 1),
+         "over": round(messages.first_second, 1)}]
     longest, limits = max(c.deadline for c in settings.classes), loaded.limits
     if limits.node_attempts:
-        s = stated.slots(n, limits.node_attempts, longest)
-        rows.append({"what": f"attempts at a node, {limits.node_attempts} at once, {s.lent} of them lent",
-                     "unit": "", "over": 0, "under": s.lent})
+        slots = stated.slots(n, limits.node_attempts, longest)
+        rows.append({"what": f"attempts at a node, {limits.node_attempts} at once, {slots.lent} of them lent",
+                     "unit": "", "over": 0, "under": slots.lent})
         rows.append({"what": "attempts at a node: who cannot ask has its base alone", "unit": "ms",
-                     "noticed": round(s.shrunk)})
+                     "noticed": round(slots.shrunk)})
         rows.append({"what": "attempts at a node: a lost limiter's share is lent anew", "unit": "ms",
-                     "noticed": round(s.lent_anew)})
+                     "noticed": round(slots.lent_anew)})
     if limits.further_attempts:
         rows.append(
             {
@@ -72,9 +75,10 @@
             }
         )
     if loaded.zones.leave:
-        times = stated.zone_times(n, loss, PATIENCE_PART * aim, INTO_PER_S)
+        times = stated.zone_times(n, loss, ATTEMPT_TIMEOUT_FRACTION * aim, ZONE_ATTEMPTS_PER_S)
         rows += [{"what": what, "unit": "ms", "noticed": round(ms)} for what, ms in (
-            (f"a zone that is lost, {INTO_PER_S:g} attempts a second into it: all have left it", times.leave),
+            (f"a zone that is lost, {ZONE_ATTEMPTS_PER_S:g} attempts a second into it: all have left it",
+             times.leave),
             ("a zone that is well again: all use it wholly", times.return_once),
             ("... after many losses in a row", times.return_max))]
     if loaded.custody is not None:
@@ -83,16 +87,16 @@
                      "noticed": round(takeover)})
     for plan in settings.plans if n > 1 else ():
         spread = min(3, n)
-        b = quota(plan.rate, plan.burst, spread, loss=loss, apart_s=apart, reserve=loaded.quota.reserve())
+        error = quota(plan.rate, plan.burst, spread, loss=loss, apart_s=apart, reserve=loaded.quota.reserve())
         rows.append({"what": f"quota of {plan.name}, {spread} limiters a customer, apart {apart:g} s",
-                     "unit": "units", "noticed": round(seen.quiet), "over": round(b.over, 1),
-                     "under": round(b.under, 1)})
+                     "unit": "units", "noticed": round(detection.quiet), "over": round(error.over, 1),
+                     "under": round(error.under, 1)})
     print_rows(rows, ("what", "unit", "linked", "noticed", "over", "under"), as_json)
 
 
 @fleet.command()
 def status(operator: OperatorFile, as_json: AsJson = False) -> None:
-    """Show what running instances hold of each other and of the nodes, and where two of them disagree."""
+    """Show how running instances see each other and the nodes, and where two of them disagree."""
     from larklb.settings import load_operator
     rows: list[dict[str, Any]] = []
     silent = False
@@ -105,7 +109,7 @@
     if as_json:
         print_rows(rows, (), True)
     else:
-        print_rows([_row(r) for r in rows],
+        print_rows([_status_row(r) for r in rows],
                    ("name", "heard", "quiet", "silent", "nodes", "reach", "verdicts", "inbox", "note"), False)
         print_rows([{"name": r["name"], "node": v["node"], "topic": v["topic"], "verdict": v["verdict"],
                      "observers": "; ".join(f"n{o} {x['slow']:g} ({x['age_ms']} ms ago)"
@@ -116,10 +120,10 @@
                  for r in rows for v in r.get("slots", ())]
         if slots:
             print_rows(slots, ("name", "node", "allowed", "base", "pool", "lender", "lent"), False)
-    differ = disagreements(rows)
-    for line in differ:
+    differences = disagreements(rows)
+    for line in differences:
         print(line)
-    raise typer.Exit(EXIT_FAILED if silent or differ else 0)
+    raise typer.Exit(EXIT_FAILED if silent or differences else 0)
 
 
 @fleet.command()
@@ -129,7 +133,7 @@
          account: Annotated[str, typer.Option(help="The customer of that key, 16 hex digits.")] = "",
          service: Annotated[str, typer.Option("--class", help="The class of that key.")] = "",
          as_json: AsJson = False) -> None:
-    """Show the jobs in custody: who holds each, who keeps its record, its term and state, what is unknown."""
+    """Show the jobs in custody: their holder, replicas of the record, term and state, and what is unknown."""
     from larklb.fleet.custody import key_of
     from larklb.settings import load_operator
     if bool(account) != bool(service) or account and not key:
@@ -155,9 +159,10 @@
           name: Annotated[str, typer.Argument(help="One that does not come back; none: all.")] = "",
           yes: Annotated[bool, typer.Option("--yes", help="Export it; else it is only shown.")] = False,
           as_json: AsJson = False) -> None:
-    """Show what instances that do not run have left in their folders, and export it in their place.
+    """Show the usage data that stopped instances have left in their folders, and export it for them.
 
-    Counted use goes out under their own names, once.  What cannot be taken over is named, and stays."""
+    Counted use is exported once, under the instance's own name.  Data that cannot be taken over is listed and
+    stays in place."""
     import asyncio
 
     from larklb.cli.usage import offline, use_folder
@@ -189,9 +194,9 @@
                 "waiting": len(tally.batches), "in flight": len(tally.begun),
                 "stays": "drawn reservations" if (folder.parent / "reservations").exists() else ""}
             if yes:
-                done = asyncio.run(offline(operator, loaded, entry))
-                row |= {"state": "exported" if done.get("waiting") == 0 else "not all of it",
-                        "waiting": done["waiting"], "word": done.get("error") or done.get("word", "")}
+                result = asyncio.run(offline(operator, loaded, entry))
+                row |= {"state": "exported" if result.get("waiting") == 0 else "not all of it",
+                        "waiting": result["waiting"], "word": result.get("error") or result.get("word", "")}
             rows.append(row)
     print_rows(rows, ("name", "state", "uncut", "waiting", "in flight", "stays", "word"), as_json)
     if not yes and any(r["state"] == "away" for r in rows):
@@ -201,29 +206,29 @@
     raise typer.Exit(EXIT_FAILED if failed else 0)
 
 
-def _row(r: dict[str, Any]) -> dict[str, Any]:
+def _status_row(r: dict[str, Any]) -> dict[str, Any]:
     members = r.get("members", {})
     named = {state: " ".join(map(str, members.get(state, ()))) for state in ("heard", "quiet", "silent")}
     return {**r, **named, "verdicts": len(r.get("verdicts", ())), "reach": len(r.get("reach", ()))}
 
 
 def disagreements(rows: list[dict[str, Any]]) -> list[str]:
-    """Where two instances hold what cannot both be so, a line each."""
+    """Describe where the states of two instances contradict each other, a line each."""
     found = []
-    known = [r for r in rows if "members" in r]
-    by_number = {r["number"]: r for r in known}
-    for r in known:
+    answered = [r for r in rows if "members" in r]
+    by_number = {r["number"]: r for r in answered}
+    for r in answered:
         for peer, age in r["ages_ms"].items():
             other = by_number.get(int(peer))
-            if other is not None and age > LONG_MS and r["number"] in other["members"]["heard"]:
+            if other is not None and age > MAX_SILENCE_MS and r["number"] in other["members"]["heard"]:
                 found.append(f"{r['name']} does not hear {other['name']}, which hears it")
     lenders: dict[str, set[int]] = {}
-    for r in known:
+    for r in answered:
         for v in r.get("slots", ()):
             lenders.setdefault(v["node"], set()).add(v["lender"])
-    found += [f"{node}: limiters differ on who lends its slots: {sorted(of)}"
-              for node, of in lenders.items() if len(of) > 1]
-    lists = {r["name"]: (r["list"], r["nodes"]) for r in known}
+    found += [f"{node}: limiters differ on who lends its slots: {sorted(numbers)}"
+              for node, numbers in lenders.items() if len(numbers) > 1]
+    lists = {r["name"]: (r["list"], r["nodes"]) for r in answered}
     newest = max((version for version, _ in lists.values()), default=0)
     found += [f"{name} has the machine list of version {version}, another has {newest}"
               for name, (version, _) in lists.items() if version < newest]
--- a/larklb/cli/lab.py
+++ b/larklb/cli/lab.py
@@ -1,4 +1,4 @@
-"""Commands for trying things out and for what to expect: try, lab quota, quota bound."""
+"""Commands for demonstrations, experiments and quota error bounds: try, lab, quota."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 @app.command("try")
 def trial(once: Once = False, system: System = False) -> None:
-    """Start the example on this machine, with nothing prepared, show what it does, and serve until Ctrl-C."""
+    """Start the example on this machine without preparation, demonstrate it, and serve until Ctrl-C."""
     if system:
         from larklb.cli.system import main
         raise typer.Exit(main(["try"]))
@@ -45,7 +45,7 @@
               settle: Annotated[bool, typer.Option(help="Settle with the owner, or go on as before.")] = True,
               reserve: Annotated[float, typer.Option(help="0 errs on the quota's side, 1 service's.")] = 1.0,
               as_json: AsJson = False) -> None:
-    """Play one day of several limiters under a scripted network, beside one perfect bucket per customer."""
+    """Simulate a day of several limiters on a scripted network, against one ideal bucket per customer."""
     from larklb.lab import net
     from larklb.quota.entitlements import Entitlements
     if scenario == "list":
@@ -69,7 +69,7 @@
               seed: Annotated[int, typer.Option(help="Of the load and of chance in the faults.")] = 1,
               limiters: Annotated[int, typer.Option(help="So many; 0: as the scenario says.")] = 0,
               as_json: AsJson = False) -> None:
-    """Play one day of real limiters on loopback with faults between them; 1 if it is not as expected."""
+    """Run a scenario with real limiters on loopback and faults between them; 1 if it is not as expected."""
     import asyncio
     import tempfile
 
@@ -88,23 +88,23 @@
     except script.ScriptError as error:
         raise exit_error(error) from error
 
-    async def go() -> fleet.Audit:
+    async def play() -> fleet.Audit:
         with tempfile.TemporaryDirectory(prefix="larklb-") as folder:
             async with fleet.Rig(day, Path(folder), seed) as rig:
                 return await rig.play()
 
-    audit = asyncio.run(go())
+    audit = asyncio.run(play())
     if as_json:
         print(msgspec.json.encode({"scenario": scenario, "seed": seed, "figures": audit.figures,
                                    "windows": audit.windows}).decode())
     else:
         print_rows(audit.windows, fleet.COLUMNS, False)
         print("  ".join(f"{name} {value:.4g}" for name, value in audit.figures.items()))
-    off = audit.off(day)
-    for line in off:
+    failures = audit.off(day)
+    for line in failures:
         print(f"{scenario}: {line}")
-    print(f"{scenario}, seed {seed}: {'not as expected' if off else 'as expected'}")
-    raise typer.Exit(EXIT_FAILED if off else 0)
+    print(f"{scenario}, seed {seed}: {'not as expected' if failures else 'as expected'}")
+    raise typer.Exit(EXIT_FAILED if failures else 0)
 
 
 quota = command_group("quota", "How far off quotas may be while limiters cannot hear each other.")
@@ -113,7 +113,7 @@
 @quota.command()
 def state(operator: OperatorFile, customer: Annotated[str, typer.Argument(help="16 hex digits.")],
           as_json: AsJson = False) -> None:
-    """Ask each running instance whether it judges a customer surely, and how far off it may be at most."""
+    """Show whether each running instance decides exactly for a customer, and its largest possible error."""
     from larklb.settings import load_operator
     question = {"do": "quota.state", "customer": customer}
     rows, silent = [], False
@@ -133,8 +133,8 @@
           apart: Annotated[float, typer.Option(help="Seconds for which two sides hear nothing.")] = 15.0,
           restarts: Annotated[int, typer.Option(help="Limiters restarted meanwhile.")] = 0,
           as_json: AsJson = False) -> None:
-    """Print, by plan, the most units that may be let in too many, or refused wrongly, stated in advance."""
-    from larklb.quota.shares import error_bound as computed
+    """Print, by plan, the stated bound on units admitted in excess and on units wrongly refused."""
+    from larklb.quota.shares import error_bound
     from larklb.settings import load_operator
     with exit_on_config_error():
         loaded = load_operator(operator)
@@ -142,8 +142,8 @@
     reserve = loaded.quota.reserve()
     rows = []
     for plan in settings.plans:
-        b = computed(plan.rate, plan.burst, spread, loss=loss, apart_s=apart, reserve=reserve,
-                     restarts=restarts)
-        rows.append({"plan": plan.name, "rate": plan.rate, "burst": plan.burst, "over": round(b.over, 1),
-                     "under": round(b.under, 1)})
+        error = error_bound(plan.rate, plan.burst, spread, loss=loss, apart_s=apart, reserve=reserve,
+                            restarts=restarts)
+        rows.append({"plan": plan.name, "rate": plan.rate, "burst": plan.burst, "over": round(error.over, 1),
+                     "under": round(error.under, 1)})
     print_rows(rows, ("plan", "rate", "burst", "over", "under"), as_json)
--- a/larklb/cli/plans.py
+++ b/larklb/cli/plans.py
@@ -1,4 +1,4 @@
-"""Commands on plans: check, show, diff, apply."""
+"""Commands on plan versions: check, show, diff, apply."""
 
 from __future__ import annotations
 
@@ -29,13 +29,15 @@
 
 
 def _read(file: Path, operator: Path) -> Catalogue:
+    """Read a catalogue and check it against the plans of the first instance's settings."""
     from larklb.operator_services import read_catalogue
     from larklb.settings import load_operator
     entry = load_operator(operator).instance[0]
     return read_catalogue(file, load_instance_config(operator, entry).settings.plans)
 
 
-def _file(operator: Path) -> Path:
+def _plans_file(operator: Path) -> Path:
+    """The catalogue that the operator's file names. Raises ConfigError if it names none."""
     from larklb.settings import ConfigError, load_operator
     entry = load_operator(operator).plans
     if entry is None:
@@ -45,7 +47,7 @@
 
 @plans.command()
 def check(file: NewFile, operator: OperatorFile) -> None:
-    """Check a catalogue against the plans of the settings; nothing needs to run."""
+    """Check a catalogue against the plans of the settings; no instance needs to run."""
     with exit_on_config_error():
         found = _read(file, operator)
     print(f"{file}: usable, {len(found.versions) - 1} versions, the newest is {found.newest.number}")
@@ -54,7 +56,7 @@
 @plans.command("show")
 def show_versions(operator: OperatorFile, as_json: AsJson = False, live: Annotated[bool, typer.Option(
         help="Ask the running instances instead of reading the file.")] = False) -> None:
-    """Show the versions of the operator's file, or by which version each running instance judges."""
+    """Show the plan versions of the operator's file, or the version that each running instance applies."""
     import time
 
     from larklb.operator_services import version_row
@@ -70,7 +72,7 @@
                              "note": answer.get("silent") or answer.get("error") or ""})
             print_rows(rows, ("name", "counts", "newest", "heard", "note"), as_json)
             raise typer.Exit(EXIT_FAILED if silent or len({r["newest"] for r in rows}) > 1 else 0)
-        found = _read(_file(operator), operator)
+        found = _read(_plans_file(operator), operator)
     now = found.index_at(time.time() * 1000.0)
     rows = []
     for i, version in enumerate(found.versions):
@@ -85,7 +87,7 @@
     """Compare a catalogue with the operator's file; 1 if they differ."""
     from larklb.quota.catalogue import differences
     with exit_on_config_error():
-        lines = differences(_read(_file(operator), operator), _read(file, operator))
+        lines = differences(_read(_plans_file(operator), operator), _read(file, operator))
     for line in lines:
         print(line)
     raise typer.Exit(EXIT_FAILED if lines else 0)
@@ -93,10 +95,10 @@
 
 @plans.command()
 def apply(file: NewFile, operator: OperatorFile, as_json: AsJson = False) -> None:
-    """Put a catalogue into service: it is checked by every running instance first, and 3 changes nothing.
+    """Put a catalogue into service after every running instance has checked it; 3: refused, nothing changed.
 
-    Then it takes the place of the operator's file, so that instances that start later have it too, and each
-    running instance takes it over.  1: some instance is silent and will read it when it starts.
+    It replaces the catalogue that the operator's file names, so that instances that start later read it too,
+    and each running instance loads it.  1: an instance is silent and will read it when it starts.
     """
     import time
 
@@ -104,7 +106,7 @@
     from larklb.settings import load_operator
     from larklb.state.folder import write_file_atomically
     with exit_on_config_error():
-        loaded, target = load_operator(operator), _file(operator)
+        loaded, target = load_operator(operator), _plans_file(operator)
         new = _read(file, operator)
         if target.exists():
             try:
--- a/larklb/cli/reserve.py
+++ b/larklb/cli/reserve.py
@@ -31,25 +31,27 @@
 
 
 def _instant(text: str) -> float:
-    """Unix milliseconds of ``2026-12-01T06:00:00Z``, ``now`` or ``+90`` (seconds from now)."""
+    """Parse ``2026-12-01T06:00:00Z``, ``now`` or ``+90`` (seconds from now) to Unix milliseconds."""
     import time
     from datetime import datetime
     try:
         if text == "now" or text.startswith("+"):
             return (time.time() + float(text[1:] if text != "now" else 0)) * 1000.0
-        at = datetime.fromisoformat(text)
+        instant = datetime.fromisoformat(text)
     except ValueError as error:
         raise exit_error(f"{text!r} is no instant: 2026-12-01T06:00:00Z, now, or +SECONDS") from error
-    if at.tzinfo is None:
+    if instant.tzinfo is None:
         raise exit_error(f"{text!r} has no time zone: end it with Z or an offset")
-    return at.timestamp() * 1000.0
+    return instant.timestamp() * 1000.0
 
 
 def _by_number(operator: Path, loaded: Operator) -> dict[int, InstanceEntry]:
+    """The instances by the number that their settings give them."""
     return {load_instance_config(operator, e).settings.number: e for e in loaded.instance}
 
 
-def _one(operator: Path, entry: InstanceEntry, do: str, **more: Any) -> dict[str, Any]:
+def _ask_owner(operator: Path, entry: InstanceEntry, do: str, **more: Any) -> dict[str, Any]:
+    """Ask the customer's owner; exits with 1 if it is silent and with 3 if it refuses."""
     from larklb.admin import AdminError, UnreachableError, ask
     try:
         return ask(operator.parent / entry.admin, do, **more)
@@ -68,9 +70,9 @@
         end: Annotated[str, typer.Option("--until", help="Instant, or +SECONDS.")],
         limiters: Annotated[str, typer.Option("--set", help="The customer's limiters: spread=3,first=1")],
         as_json: AsJson = False) -> None:
-    """Reserve units: the customer's owner decides; 3 and its reason if it turns them down.
+    """Reserve units: the customer's owner decides; 3 and its reason if it refuses.
 
-    The other limiters of the customer's set get copies, for the time when the owner cannot be asked.
+    The other limiters of the customer's set get copies, to be used while the owner cannot be reached.
     """
     from larklb.fields import MalformedError, parse_account, parse_quota_info
     from larklb.quota.ring import digest, members, ring_owner
@@ -90,9 +92,9 @@
             raise exit_error(f"the operator's file has no limiter {owner}, which owns this customer")
         wanted = {"name": name, "customer": customer, "plan": plan, "units": units, "begin": _instant(begin),
                   "end": _instant(end), "first": first, "spread": spread}
-        row = _one(operator, entries[owner], "reserve.add", wanted=wanted)
+        row = _ask_owner(operator, entries[owner], "reserve.add", wanted=wanted)
         copies = [n for n in numbers if n != owner and n in entries]
-        row["copies"] = sum("error" not in a and "silent" not in a for a in _copied(
+        row["copies"] = sum("error" not in a and "silent" not in a for a in _send_copies(
             operator, [entries[n] for n in copies], wanted))
     print_rows([row], COLUMNS, as_json)
     if row["copies"] < len(copies):
@@ -100,7 +102,9 @@
               "they cannot ask")
 
 
-def _copied(operator: Path, entries: list[InstanceEntry], wanted: dict[str, Any]) -> Iterator[dict[str, Any]]:
+def _send_copies(operator: Path, entries: list[InstanceEntry],
+                 wanted: dict[str, Any]) -> Iterator[dict[str, Any]]:
+    """Send a copy of a reservation to each instance; yields each answer, or `error` with the reason."""
     from larklb.admin import AdminError, ask
     for entry in entries:
         try:
@@ -110,7 +114,7 @@
 
 
 def _all(operator: Path, name: str = "") -> tuple[list[dict[str, Any]], list[str]]:
-    """Each reservation as its owner tells it, else as a copy does; and which instances are silent."""
+    """Return each reservation, from its owner or else from a copy, and a line for each silent instance."""
     from larklb.settings import load_operator
     rows: dict[str, dict[str, Any]] = {}
     silent = []
@@ -129,7 +133,7 @@
 
 @reserve.command("list")
 def list_all(operator: OperatorFile, as_json: AsJson = False) -> None:
-    """All reservations of all limiters; 1 if an instance does not answer."""
+    """List the reservations of all limiters; 1 if an instance does not answer."""
     with exit_on_config_error():
         rows, silent = _all(operator)
     print_rows(rows, COLUMNS, as_json)
@@ -140,7 +144,7 @@
 
 @reserve.command("show")
 def show_one(operator: OperatorFile, name: Name, as_json: AsJson = False) -> None:
-    """One reservation, and what was drawn on it; 3 if there is none."""
+    """Show one reservation and the units drawn on it; 3 if it does not exist."""
     with exit_on_config_error():
         rows, _ = _all(operator, name)
     if not rows:
@@ -154,7 +158,7 @@
 
 @reserve.command()
 def cancel(operator: OperatorFile, name: Name, as_json: AsJson = False) -> None:
-    """Take a reservation back; what was drawn on it stays drawn."""
+    """Cancel a reservation; units already drawn on it stay drawn."""
     from larklb.settings import load_operator
     with exit_on_config_error():
         rows, _ = _all(operator, name)
@@ -162,7 +166,8 @@
         owner = next((r for r in rows if r["owner"]), None)
         if owner is None:
             raise exit_error(f"there is no reservation {name!r} at an owner that answers", EXIT_REFUSED)
-        row = _one(operator, loaded.instance_entry(owner["limiter"]), "reserve.cancel", id=name)
+        row = _ask_owner(operator, loaded.instance_entry(owner["limiter"]), "reserve.cancel", id=name)
         for entry, _ in ask_instances(operator, loaded, lambda e: {"do": "reserve.cancel", "id": name}):
-            del entry                       # copies go too, as far as there are any
+            # The loop only drives the calls: copies are cancelled too, where there are any.
+            del entry
     print_rows([row], COLUMNS, as_json)
--- a/larklb/cli/usage.py
+++ b/larklb/cli/usage.py
@@ -1,4 +1,4 @@
-"""Commands on use: show, export, verify."""
+"""Commands on counted use: show, export, verify."""
 
 from __future__ import annotations
 
@@ -27,6 +27,7 @@
 
 
 def use_folder(operator: Path, loaded: Operator, entry: InstanceEntry) -> Path:
+    """The folder of an instance's usage ledger. Raises ConfigError if the operator's file has no ledger."""
     from larklb.settings import ConfigError
     if loaded.state is None or loaded.ledger is None:
         raise ConfigError(f"{operator}: it has no ledger")
@@ -38,8 +39,8 @@
         "--rows", help="Also what is counted and not yet sealed, row by row.")] = False,
         in_doubt: Annotated[bool, typer.Option("--in-doubt", help="Also tries in flight at a kill.")] = False,
         ) -> None:
-    """What each instance has counted, as its files say: it need not run."""
-    from larklb.export.audit import read
+    """Show the use that each instance has counted, read from its files; it need not run."""
+    from larklb.export.audit import usage as usage_row
     from larklb.operator_services import usage_report
     from larklb.settings import load_operator
     from larklb.state.log import LogError
@@ -48,7 +49,7 @@
         found = []
         for entry in loaded.instance:
             try:
-                found.append(usage_report(entry.name, read(use_folder(operator, loaded, entry))))
+                found.append(usage_row(entry.name, read(use_folder(operator, loaded, entry))))
             except LogError as error:
                 raise exit_error(error, EXIT_FAILED) from error
     if as_json:
@@ -72,7 +73,7 @@
 
 @usage.command()
 def export(operator: OperatorFile, as_json: AsJson = False) -> None:
-    """Seal what is counted and deliver it now; also for instances that do not run.  1 if some of it waits."""
+    """Seal the counted use and deliver it now, also for stopped instances; 1 if some of it is undelivered."""
     from larklb.settings import load_operator
     with exit_on_config_error():
         loaded = load_operator(operator)
@@ -93,7 +94,10 @@
 
 
 async def offline(operator: Path, loaded: Operator, entry: InstanceEntry) -> dict[str, Any]:
-    """This process takes the instance's place: its folder's lock keeps a second exporter out."""
+    """Seal and deliver the use of a stopped instance from this process.
+
+    The lock on the instance's folder prevents a second exporter. Returns the numbers of sealed and of waiting
+    batches, and the error or the delivery failure if there was one."""
     from larklb.counters import Counters
     from larklb.export.exporter import DeliveryError, Exporter
     from larklb.operator_services import fault_injector, open_ledger, parse_receiver
@@ -105,21 +109,21 @@
                              fault_injector())
     except LogError as error:
         return {"error": str(error), "waiting": "?"}
-    word = ""
+    failure = ""
     try:
         sealed = await ledger.seal()
         await Exporter(ledger, counters, parse_receiver(loaded.export, operator.parent)).all()
     except DeliveryError as error:
-        word = str(error)
+        failure = str(error)
     finally:
         ledger.close()
-    return {"sealed": sealed, "waiting": len(ledger.tally.batches), "word": word}
+    return {"sealed": sealed, "waiting": len(ledger.tally.batches), "word": failure}
 
 
 @usage.command()
 def verify(operator: OperatorFile, as_json: AsJson = False, received: Annotated[Path | None, typer.Option(
         help="A folder of batches as the receiver keeps them, or as they were exported.")] = None) -> None:
-    """Lay counted, sealed and acknowledged use side by side; 3 and a line for each difference."""
+    """Compare counted, sealed and acknowledged use; 3 and a line for each difference."""
     from larklb.export.audit import audit
     from larklb.settings import load_operator
     from larklb.state.log import LogError
--- a/larklb/cli/zones.py
+++ b/larklb/cli/zones.py
@@ -1,4 +1,4 @@
-"""Commands on zones: what running instances hold of each, a rehearsal, and an operator's own word."""
+"""Commands on zones: their state at running instances, a rehearsal of leaving one, and operator overrides."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from larklb.cli.fleet import fleet
 
 UNITS = {"": 1.0, "s": 1.0, "m": 60.0, "h": 3600.0}
-MAX_OVERRIDE_S = 86400.0           # an operator's word ends by then
+MAX_OVERRIDE_S = 86400.0
 
 zones = typer.Typer(no_args_is_help=True, add_completion=False,
                     help="Zones that the fleet has left, and its return to them.")
@@ -30,16 +30,18 @@
 
 
 def parse_duration(text: str) -> float:
-    """Of ``90``, ``90s``, ``15m`` or ``2h``; ValueError where it is none of these, or not within a day."""
-    found = re.fullmatch(r"(\d+(?:\.\d+)?)([smh]?)", text)
-    value = float(found[1]) * UNITS[found[2]] if found else 0.0
+    """Parse a duration such as ``90``, ``90s``, ``15m`` or ``2h`` to seconds.
+
+    Raises ValueError if it is malformed, zero, or longer than MAX_OVERRIDE_S."""
+    match = re.fullmatch(r"(\d+(?:\.\d+)?)([smh]?)", text)
+    value = float(match[1]) * UNITS[match[2]] if match else 0.0
     if not 0.0 < value <= MAX_OVERRIDE_S:
         raise ValueError(f"{text!r} is no time within a day: 90s, 15m, 2h")
     return value
 
 
 def find_disagreements(rows: list[dict[str, Any]]) -> list[str]:
-    """Zones of which instances hold different things, a line each."""
+    """Describe the zones on whose state instances disagree, a line each."""
     states: dict[str, dict[str, list[str]]] = {}
     for r in rows:
         kind = "away" if r["state"] == "away" else "in use"
@@ -50,12 +52,12 @@
 
 @zones.command("show")
 def show_zones(operator: OperatorFile, as_json: AsJson = False) -> None:
-    """Show each zone as each running instance has it: state, part in use, evidence by observer, and who
-    disagrees."""
-    _told(operator, {"do": "fleet.zones"}, as_json)
+    """Show each zone's state at each running instance: part in use, evidence by observer, disagreements."""
+    _print_zones(operator, {"do": "fleet.zones"}, as_json)
 
 
-def _told(operator: OperatorFile, question: dict[str, Any], as_json: bool) -> None:
+def _print_zones(operator: OperatorFile, question: dict[str, Any], as_json: bool) -> None:
+    """Ask all instances and print the zones in their answers; exits with 1 if they disagree or are silent."""
     from larklb.settings import load_operator
     with exit_on_config_error():
         rows, silent = gather_rows(operator, load_operator(operator), question, "zones")
@@ -67,19 +69,19 @@
                           for kind in ("lost", "well")}} for r in rows]
         print_rows(named, ("zone", "name", "state", "part", "nodes", "left", "own", "verdict", "lost", "well",
                            "override"), False)
-    differ = find_disagreements(rows)
-    for line in silent + differ:
+    differences = find_disagreements(rows)
+    for line in silent + differences:
         print(line)
-    raise typer.Exit(EXIT_FAILED if silent or differ else 0)
+    raise typer.Exit(EXIT_FAILED if silent or differences else 0)
 
 
 @zones.command()
 def rehearse(operator: OperatorFile,
              without: Annotated[str, typer.Option(help="The zone that would be left.")],
              as_json: AsJson = False) -> None:
-    """Show whether the rest would bear it, by class and plan, from what is under way in the next second.
+    """Show whether the other zones could carry the load, by class and plan, from the next second's traffic.
 
-    Nothing is changed; 1 where something would not be served whole."""
+    Nothing is changed; 1 if some of the load would not be served."""
     from larklb.settings import load_operator
     with exit_on_config_error():
         loaded = load_operator(operator)
@@ -98,22 +100,23 @@
         raise exit_error(error) from error
     if for_s and not why.strip():
         raise exit_error("--why is needed: whoever looks later wants to know")
-    _told(operator, {"do": "zones.override", "zone": zone, "away": away, "for_s": for_s, "why": why}, as_json)
+    _print_zones(operator, {"do": "zones.override", "zone": zone, "away": away, "for_s": for_s, "why": why},
+                 as_json)
 
 
 @zones.command()
 def leave(operator: OperatorFile, zone: ZoneName, for_: For, why: Why, as_json: AsJson = False) -> None:
-    """Leave a zone at every instance until the time is over, whatever they find of it."""
+    """Take a zone out of use at every instance for the given time, regardless of their own findings."""
     _override(operator, zone, for_, why, True, as_json)
 
 
 @zones.command("return")
 def come_back(operator: OperatorFile, zone: ZoneName, for_: For, why: Why, as_json: AsJson = False) -> None:
-    """Use a zone at every instance until the time is over, whatever they find of it; it returns by steps."""
+    """Use a zone at every instance for the given time, regardless of their findings; it returns stepwise."""
     _override(operator, zone, for_, why, False, as_json)
 
 
 @zones.command()
 def auto(operator: OperatorFile, zone: ZoneName, as_json: AsJson = False) -> None:
-    """Take an operator's word back: what the instances find counts again."""
+    """Remove an operator's override: the findings of the instances apply again."""
     _override(operator, zone, "", "", False, as_json)
