--- a/tests/test_system_cli.py
+++ b/tests/test_system_cli.py
@@ -1,4 +1,4 @@
-"""The operators' kit of the system: each command's word and exit status, what limiters answer, the trial."""
+"""The `larklb system` commands: their output and exit statuses, the limiters' answers, the demonstration."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 from larklb.consensus.interface import Call
 from larklb.consensus.replica import Replica
 from larklb.gateway import messages, status
-from larklb.gateway import settings as told
+from larklb.gateway import settings as gateway_settings
 from larklb.gateway.main import Limiter
 from larklb.gateway.messages import CallAnswer, CallResult, OperatorCall
 from larklb.gateway.transport import Transport
@@ -46,7 +46,7 @@
 
 
 class Answerer:
-    """A stand-in control address: says what `reply` does, and keeps what it was asked."""
+    """A fake control address: answers with `reply(path)` and records the requests in `asked`."""
 
     def __init__(self, reply: Callable[[str], Reply]) -> None:
         asked = self.asked = list[tuple[str, dict[str, str], bytes]]()
@@ -97,17 +97,17 @@
 
 
 def dead(make: Make) -> str:
-    """An address where nobody listens any more."""
-    gone = make(lambda path: (200, {}))
-    gone.server.shutdown()
-    gone.server.server_close()
-    return gone.address
+    """An address at which nothing listens any more."""
+    stopped = make(lambda path: (200, {}))
+    stopped.server.shutdown()
+    stopped.server.server_close()
+    return stopped.address
 
 
 # Calls --------------------------------------------------------------------------------------
 
 
-def test_a_call_goes_on_until_an_answer_is_clear(answerer: Make) -> None:
+def test_a_call_is_retried_until_an_answer_is_conclusive(answerer: Make) -> None:
     last = answerer(lambda path: (200, {"here": path}))
     second = answerer(lambda path: (307, f"http://{last.address}/moved?x=1"))
     first = answerer(lambda path: (307, f"http://{second.address}/on"))
@@ -116,7 +116,7 @@
     answer = caller.call("GET", "/a")
     assert answer.document() == {"here": "/moved?x=1"} and answer.address == last.address
     assert "refused" in caller.outcomes[caller.addresses[0]] and caller.outcomes[busy.address] == "status 503"
-    ring = answerer(lambda path: (307, f"http://{busy.address}{path}"))
+    redirecting = answerer(lambda path: (307, f"http://{busy.address}{path}"))
     for code, times in ((412, 1), (400, 1), (404, 3)):
         odd = answerer(lambda path, code=code: (code, {"text": "no"}))      # type: ignore[misc]
         assert Caller([odd.address], sleep=lambda s: None).call("GET", "/").status == code
@@ -124,7 +124,7 @@
     now = iter(range(1000))
     pauses: list[float] = []
     with pytest.raises(NoAnswerError, match="503"):
-        Caller([ring.address], clock=lambda: float(next(now)), sleep=pauses.append).call("GET", "/")
+        Caller([redirecting.address], clock=lambda: float(next(now)), sleep=pauses.append).call("GET", "/")
     assert pauses == sorted(pauses) and pauses[0] < pauses[-1] <= system_calls.MAX_BACKOFF_S
 
 
@@ -218,24 +218,24 @@
 # Limiters -----------------------------------------------------------------------------------
 
 
-def fleet(make: Make, told: list[dict[str, Any]], states: list[str]) -> list[Answerer]:
-    """Limiters that know each other; each with its own word in all status calls."""
+def fleet(make: Make, answers: list[dict[str, Any]], states: list[str]) -> list[Answerer]:
+    """Fake limiters that list each other as members; each adds its own fields to all status answers."""
     made: list[Answerer] = []
 
     def reply(i: int) -> Callable[[str], Reply]:
-        def say(path: str) -> Reply:
+        def respond(path: str) -> Reply:
             if path.startswith(calls.MEMBERS):
                 return 200, {"node": f"n{i}", "more": 0, "members": [
                     {"node": f"n{k}", "ip": "127.0.0.1", "control": one.address, "zone": "z", "life": 1,
                      "number": k, "state": states[k], "disk": f"d{k}"} for k, one in enumerate(made)]}
-            return 200, {"node": f"n{i}", "version": 7, "digest": "x", "ready": True, "upMs": 1, **told[i]}
-        return say
+            return 200, {"node": f"n{i}", "version": 7, "digest": "x", "ready": True, "upMs": 1, **answers[i]}
+        return respond
 
-    made.extend(make(reply(i)) for i in range(len(told)))
+    made.extend(make(reply(i)) for i in range(len(answers)))
     return made
 
 
-def test_where_versions_differ(answerer: Make, capsys: pytest.CaptureFixture[str]) -> None:
+def test_versions_reports_nodes_that_differ(answerer: Make, capsys: pytest.CaptureFixture[str]) -> None:
     same = fleet(answerer, [{}, {"digest": ""}, {}], ["up", "up", "down"])
     assert system.main(["versions", same[0].address]) == 0
     assert system.main(["members", same[0].address]) == 1, "one is down"
@@ -261,7 +261,7 @@
     assert system.main(["core", well[0].address]) == 0
     assert [line.split()[1] for line in capsys.readouterr().out.splitlines()[1:]] == [
         "voter", "leader", "newcomer"]
-    # An old leader that was cut off still thinks that it leads: its term tells.
+    # A partitioned former leader still considers itself leader, in an older term.
     old = fleet(answerer, [part("d0", 2, True), part("d1", 3, False)], ["up"] * 2)
     assert system.main(["core", old[0].address]) == 1
     assert "nobody leads" in capsys.readouterr().err
@@ -276,8 +276,8 @@
     assert quota[1].asked[-1][0] == f"{calls.QUOTAS}?tenant=a%20b"
 
 
-def test_metrics_as_the_librarys_own_parser_reads_them(answerer: Make,
-                                                       capsys: pytest.CaptureFixture[str]) -> None:
+def test_metrics_are_parsed_by_the_prometheus_library(answerer: Make,
+                                                      capsys: pytest.CaptureFixture[str]) -> None:
     tenant = 'a "b"\\'
     row = {"tenant": tenant, "tokens": 1.5, "rate": 4, "burst": 4}
     server = {"id": "s", "service": "orders", "state": "steady", "silent": True}
@@ -291,7 +291,7 @@
 
     made = fleet(answerer, [
         one(core=part, quotas=[{**row, "role": "owner", "apart": 1, "askers": 1}]),
-        # It was cut off, and still thinks that it leads.
+        # A partitioned former leader that still considers itself leader.
         one(core={**part, "disk": "d1", "term": 1}, quotas=[{**row, "role": "asker", "untold": 6}]), {}],
         ["up"] * 3)
     made[2].server.shutdown()
@@ -318,7 +318,7 @@
 
 
 def schema_of(api: Any, name: str) -> tuple[set[str], set[str]]:
-    """Fields that an answer must have, and those that it may have."""
+    """The required fields and all allowed fields of an answer."""
     schema = api["components"]["schemas"][name]
     must, may = set(schema["required"]), set(schema["properties"])
     for other in schema.get("allOf", ()):
@@ -327,14 +327,14 @@
     return must, may
 
 
-def test_what_a_limiter_tells_is_what_the_openapi_file_says(
+def test_status_answers_match_the_openapi_file(
         tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     api = yaml.safe_load(resources.files("larklb.schema").joinpath("openapi.yaml").read_text("utf-8"))
     assert [path for path in api["paths"] if path.startswith("/larklb/status/")] == list(calls.STATUS_PATHS)
     file = put(tmp_path, "s.toml", settings(Net("127.1.2", 18000), 0, tmp_path, True))
 
     async def answers() -> dict[str, Any]:
-        limiter = Limiter(told.read(file))
+        limiter = Limiter(gateway_settings.read(file))
         limiter._apply_configuration(CONFIGURATION)
         me = limiter.subscriber.local_member
         for i in range(calls.MAX_STATUS_ROWS + 2):
@@ -377,7 +377,7 @@
     assert not any(key in json.dumps(found) for key in KEYS)
 
 
-def test_a_refusal_tells_each_problem(tmp_path: Path) -> None:
+def test_a_refusal_lists_each_problem(tmp_path: Path) -> None:
     file = put(tmp_path, "s.toml", settings(Net("127.1.2", 18000), 0, tmp_path, True))
     bad = {**CONFIGURATION, "hosts": [{"host": "h", "paths": [{"name": "r", "prefix": "x; y"}]}],
            "tenants": [{"name": "t", "ratePerS": -1}]}
@@ -388,7 +388,7 @@
     base = (calls.BASE_VERSION_HEADER, "0")
 
     async def refused() -> list[Any]:
-        limiter = Limiter(evolve(told.read(file), tolerance=0))
+        limiter = Limiter(evolve(gateway_settings.read(file), tolerance=0))
         core, me, found = limiter.core, limiter.subscriber.local_member, []
         assert core is not None
         now = limiter.wheel.now()
@@ -420,15 +420,15 @@
     assert passed_on.result == CallResult(400, "a; b", problems=("a; b", "c"))
 
 
-def test_words_after_the_end_go_nowhere() -> None:
+def test_messages_sent_after_the_transport_stopped_are_dropped() -> None:
     async def posted() -> int:
-        culvert = Transport("n", "127.0.0.1", 0, lambda word: None)
-        await culvert.start()
-        await culvert.stop()
+        transport = Transport("n", "127.0.0.1", 0, lambda message: None)
+        await transport.start()
+        await transport.stop()
         await asyncio.sleep(0)             # the transport is closed in the loop's next turn
         late = CallAnswer(number=1, session="s", result=CallResult(200))     # to a call that was passed on
-        culvert.send("127.0.0.2", late)
-        return culvert.counts["sent"]
+        transport.send("127.0.0.2", late)
+        return transport.counts["sent"]
 
     assert asyncio.run(posted()) == 1
 
@@ -437,7 +437,7 @@
 
 
 def grown(folder: Path, versions: int) -> Store:
-    """A disk as a group of one leaves it after so many configurations."""
+    """The disk of a single-voter group after committing configurations 1 to `versions`."""
     store = Store(folder)
     disk = store.identity()
     replica = Replica(disk, "n0", None, 0.0, 1, tolerance=0, apply=lambda document, call: call.body)
@@ -490,7 +490,7 @@
     assert json.loads(capsys.readouterr().out)["version"] == before < 3
     assert system.main(["disk", "dump", str(folder), "--generation", str(newest)]) == 0, "it stays beside"
     assert json.loads(capsys.readouterr().out)["version"] == 3
-    # A log of another group would be thrown away at the start, and the disk would come back empty.
+    # A limiter discards a log of another group at its start, and the disk would come back empty.
     store.save({"log": stranger.load()["log"]})                                   # type: ignore[index]
     foreign = max(g.number for g in store.list_generations() if g.key == "log")
     store.save({"log": after["log"]})
@@ -499,7 +499,7 @@
     (folder / f"log-{foreign + 1}.dat").write_bytes(b"torn")
     assert system.main(["disk", "check", str(folder)]) == 1
     assert f"log-{foreign + 1}" in capsys.readouterr().err
-    # Whole, and yet no log: a limiter ends with one line, and an earlier log can take its place.
+    # An intact file that is no log: a limiter exits with one line, and an earlier log can be restored.
     store.save({"log": after["log"]})
     store.save({"log": b"{}"})
     assert system.main(["disk", "check", str(folder)]) == 2
@@ -512,7 +512,7 @@
     whole = min(g.number for g in store.list_generations() if g.key == "log" and g.intact)
     assert system.main(["disk", "restore", str(folder), str(whole), "--yes"]) == 0
     assert system.main(["disk", "check", str(folder)]) == 0
-    # Without votes a log is not loaded, but the disk's id would come back under the voter's.
+    # Without a ballot the log is not loaded, but the disk would rejoin under the id of a voter.
     for path in folder.glob("ballot-*"):
         path.unlink()
     capsys.readouterr()
@@ -531,7 +531,7 @@
     assert "while a limiter runs on it" in capsys.readouterr().out
 
 
-def test_the_serving_process_pays_nothing_for_the_commands() -> None:
+def test_the_serving_process_does_not_import_the_commands() -> None:
     code = ("import larklb.gateway.main, sys; "
             "print({'defopt', 'docutils', 'typer', 'click', 'larklb.cli', 'prometheus_client'} "
             "& set(sys.modules))")
@@ -539,7 +539,7 @@
     assert done.stdout.strip() == "set()"
 
 
-def test_the_trial_under_its_other_name(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_try_system_runs_the_demonstration(monkeypatch: pytest.MonkeyPatch) -> None:
     def run(seconds: float, as_json: bool) -> int:
         assert (seconds, as_json) == (12.0, False)
         return 1
@@ -548,7 +548,7 @@
     assert CliRunner().invoke(app, ["try", "--system"], catch_exceptions=False).exit_code == 1
 
 
-def test_the_trial_of_the_whole_system() -> None:
+def test_the_demonstration_of_the_whole_system() -> None:
     done = subprocess.run([sys.executable, "-m", "larklb", "system", "try", "--seconds", "6"], cwd=ROOT,
                           capture_output=True, text=True, timeout=90)
     assert done.returncode == 0, done.stdout + done.stderr
