--- a/benchmarks/ledger_cost.py
+++ b/benchmarks/ledger_cost.py
@@ -83,7 +83,7 @@
                 await ledger.seal()
                 if sealing:
                     for batch in ledger.ready():
-                        await ledger.acknowledged(batch)
+                        await ledger.mark_acknowledged(batch)
             most = max(most, memory_mb(os.getpid()) - before)
         results.append(most)
         counted = ledger.tally.counted.tries
--- a/benchmarks/usage_export.py
+++ b/benchmarks/usage_export.py
@@ -113,7 +113,7 @@
     if in_doubt > len(doubts):
         print(f"{in_doubt - len(doubts)} tries in doubt are no longer listed: run fewer kills at once")
     counted, exported = len(seen) + unseen, receiver.tries()
-    units = round(receiver.units() * t.MICRO) - counted * t.MICRO
+    units = round(receiver.units() * t.MICROUNITS_PER_UNIT) - counted * t.MICROUNITS_PER_UNIT
     print(f"kills {sum(kills.values())} counted {counted} exported {exported} "
           f"difference {exported - counted}")
     return 0 if exported == counted and not units and not differences and not receiver.differing else 1
--- a/larklb/export/__init__.py
+++ b/larklb/export/__init__.py
@@ -1,6 +1,6 @@
-"""Use to the outside: counted in a log, sealed into batches, brought to a billing receiver once and only
-once.
+"""Metering of use: it is counted in a log, sealed into batches and delivered to a billing receiver.
 
-What is counted is decided in ``tally.py`` (no input or output); ``ledger.py`` keeps it on the disk and
-``exporter.py`` brings it out.  Nothing here may hold up a request longer than one turn of the loop.
+Each use is billed exactly once.  ``tally.py`` decides what is counted (without input or output),
+``ledger.py`` stores it and ``exporter.py`` delivers it.  Nothing here may delay a request
+for longer than one turn of the event loop.
 """
--- a/larklb/export/adopt.py
+++ b/larklb/export/adopt.py
@@ -1,14 +1,15 @@
-"""Use that an instance counted and cannot export, as it does not come back, is exported by another one, once.
-
-The lost one's folder is the claim: its lock dies with its process, so whoever has it is the only one to write
-there (``state/folder.py``).  The heir continues that very ledger under its own name: batches keep their
-names and ids, a batch of which the acknowledgement was lost goes out again as it was, and what the former
-process had in flight counts as it does at any start.  The former instance, coming back, finds a later start
-in its ledger than its own, and everything acknowledged; while the heir is at work its start is turned down,
-and its agent tries again.
-
-An instance is taken to be lost once its lock has been free for ``adopt_s`` without a break.  The others look
-in turns, so that as a rule one of them comes to it, and what it finds done leaves nothing to the next.
+"""Adoption of ledgers: another instance exports, once, what a lost instance counted and did not export.
+
+The lock on the ledger's folder is the claim: it is released with its process, so whoever has locked the
+folder is its only writer (``state/folder.py``).  The adopter opens the ledger under the name of the lost
+instance: batches keep their names and ids, a batch whose acknowledgement was lost is sent again unchanged,
+and tries that were in flight count as after any restart.  If the lost instance returns, it finds a later
+incarnation than its own in the ledger, and everything acknowledged.  During an adoption its start fails, and
+its agent retries.
+
+An instance is considered lost once its lock has been free for ``adopt_s`` without interruption.  The other
+instances check at staggered times, so that usually only one of them adopts the ledger; the next one finds
+nothing left to do.
 """
 
 from __future__ import annotations
@@ -28,31 +29,39 @@
 
 log = logging.getLogger(__name__)
 
-LOOKS = 4.0                # in ``adopt_s``, between which a lost one may have been back unseen
-TURN_PART = 0.5            # of ``adopt_s`` later, each next instance looks
+# Checks of the locks within ``adopt_s``.  A lock that was taken and released between two checks is missed.
+CHECKS_PER_PERIOD = 4.0
+# Each further instance waits longer than the one before it by this fraction of ``adopt_s``.
+STAGGER_FRACTION = 0.5
 
 
 def due_adoptions(now: float, free_since: Mapping[str, float], after_s: float,
                   turns: Mapping[str, int]) -> list[str]:
-    """The lost ones that are to be adopted here now; ``turns``: how many others come to each before this
-    one."""
+    """Returns the names of the lost instances that this instance has to adopt now.
+
+    ``free_since`` holds when each lock became free, in seconds; ``turns`` holds for each instance how many
+    others adopt it before this one.
+    """
     return [name for name, since in free_since.items()
-            if now - since >= after_s * (1.0 + TURN_PART * turns.get(name, 0))]
+            if now - since >= after_s * (1.0 + STAGGER_FRACTION * turns.get(name, 0))]
 
 
 def has_unexported_use(folder: Path) -> bool:
-    """Whether something in a ledger still has to be exported; nothing is changed to find out."""
+    """Returns whether a ledger has use to export, without changing it; raises LogError."""
     tally = read(folder)
     return bool(tally.rows or tally.begun or tally.batches)
 
 
 class Adopter:
-    """Of one instance."""
+    """Adopts the ledgers of lost instances on behalf of one instance."""
 
     def __init__(self, name: str, folders: Mapping[str, Path], after_s: float, counters: Counters,
                  ledger_of: Callable[[str, Path], Ledger], exporter_of: Callable[[Ledger], Exporter]) -> None:
-        """``folders`` of all instances by name, in the order of the operator's file; ``ledger_of`` takes the
-        place of one whose folder is free."""
+        """``folders`` maps the names of all instances, in the order of the operator's file, to their ledgers.
+
+        ``ledger_of`` opens a ledger whose folder is free, and raises LogError if it cannot; ``exporter_of``
+        makes an exporter for it.  ``after_s`` is the time in seconds for which a lock must be free.
+        """
         self.name, self.after_s, self.counters = name, after_s, counters
         self.folders = {n: f for n, f in folders.items() if n != name}
         order = list(folders)
@@ -61,9 +70,9 @@
         self.free_since: dict[str, float] = {}
 
     async def run(self) -> None:
-        """Until it is cancelled."""
+        """Checks and adopts until it is cancelled."""
         while True:
-            await asyncio.sleep(self.after_s / LOOKS)
+            await asyncio.sleep(self.after_s / CHECKS_PER_PERIOD)
             now = time.monotonic()
             for name, folder in self.folders.items():
                 if not folder.exists() or is_locked(folder):
@@ -71,12 +80,15 @@
                 else:
                     self.free_since.setdefault(name, now)
             for name in due_adoptions(now, self.free_since, self.after_s, self.turns):
-                self.free_since[name] = now                    # whatever comes of it, the next look is later
+                # Whatever the result, the next attempt is made after a full period.
+                self.free_since[name] = now
                 await self.adopt(name)
 
     async def adopt(self, name: str) -> bool:
-        """Exports what is left of a lost instance, as far as the receiver takes it; whether all of it is
-        done."""
+        """Exports the remaining use of a lost instance as far as the receiver accepts it.
+
+        Returns whether nothing is left to export.
+        """
         folder = self.folders[name]
         try:
             if not has_unexported_use(folder):
@@ -86,15 +98,15 @@
             # A locked folder means that the instance is back, or that another one adopts its ledger.
             if not isinstance(error, FolderLockedError):
                 self.counters.add("errors.adopted")
-                log.error("what %s counted cannot be adopted: %s", name, error)
+                log.error("cannot adopt the ledger of %s: %s", name, error)
             return False
         try:
             sealed = await ledger.seal()
             await self.exporter_of(ledger).all()
             self.counters.add("adopted.ledgers")
-            log.info("what %s counted is exported here, %d batches of it sealed now", name, sealed)
+            log.info("exported the adopted ledger of %s, after sealing %d batches", name, sealed)
         except DeliveryError as error:
-            log.warning("what %s counted stays there for now: %s", name, error)
+            log.warning("the adopted ledger of %s could not be exported completely: %s", name, error)
         finally:
             done = not ledger.tally.batches
             ledger.close()
--- a/larklb/export/audit.py
+++ b/larklb/export/audit.py
@@ -1,4 +1,4 @@
-"""Reads a ledger from outside, changes nothing, and lays its sums side by side."""
+"""Audit of a ledger: reads it without changing it and compares its sums."""
 
 from __future__ import annotations
 
@@ -11,11 +11,12 @@
 from larklb.export import tally as t
 from larklb.state.log import LogError, replay
 
-PATIENCE = 3               # readings of a log that is being written anew meanwhile
+# Attempts at a consistent read of a ledger that is in use.
+MAX_READS = 3
 
 
 def read(folder: Path) -> t.Tally:
-    """What the log adds up to; LogError where it is broken or makes no sense."""
+    """Returns the tally of a ledger's log; raises LogError if the log is corrupt or inconsistent."""
     path = folder / "ledger.log"
     try:
         return t.replay_records(replay(path).records)
@@ -25,7 +26,7 @@
 
 @dataclass
 class Audit:
-    """Of one instance; ``received`` is None where nothing was laid beside it."""
+    """The audit of one instance; ``received`` is None if there was no receiver's folder to compare with."""
 
     name: str
     tally: t.Tally
@@ -35,26 +36,32 @@
     differences: list[str] = field(default_factory=list)
 
     def row(self) -> dict[str, Any]:
-        return {"name": self.name, "counted": _told(self.tally.counted), "uncut": _told(self.uncut),
-                "sealed": _told(self.tally.cut), "waiting": _told(self.waiting),
-                "acknowledged": _told(self.tally.acked),
-                "received": "-" if self.received is None else _told(self.received),
+        """Returns the sums for the output of a command."""
+        return {"name": self.name, "counted": _sum_text(self.tally.counted), "uncut": _sum_text(self.uncut),
+                "sealed": _sum_text(self.tally.cut), "waiting": _sum_text(self.waiting),
+                "acknowledged": _sum_text(self.tally.acked),
+                "received": "-" if self.received is None else _sum_text(self.received),
                 "differences": len(self.differences)}
 
 
-def _told(s: t.Sum) -> str:
-    return f"{t.units_text(s.units)} in {s.tries}"
+def _sum_text(s: t.Sum) -> str:
+    return f"{t.format_units(s.units)} in {s.tries}"
 
 
 def audit(folder: Path, name: str, received: Path | None = None) -> Audit:
-    """Every unit counted is uncut or sealed; every one sealed waits, as its file says, or is acknowledged;
-    and what is acknowledged was received, each event once."""
-    for _ in range(PATIENCE):
+    """Audits a ledger; raises LogError if its log is corrupt.
+
+    Every counted unit must be either uncut or sealed.  Every sealed unit must either wait in a batch, with
+    the same sum as its file, or be acknowledged.  If ``received`` names a folder of received
+    batches, the acknowledged units must be among them, each event once.
+    """
+    for _ in range(MAX_READS):
         tally = read(folder)
-        files = {b.seq: _file(folder, name, b) for b in tally.batches.values() if b.sealed}
+        files = {b.seq: _read_batch(folder, name, b) for b in tally.batches.values() if b.sealed}
         again = read(folder)
         if again.acked == tally.acked and again.cut == tally.cut:
-            break                          # nothing moved between the log and the files
+            # No batch was sealed or acknowledged between reading the log and the files.
+            break
     uncut, waiting = t.Sum(), t.Sum()
     for units, tries in tally.rows.values():
         uncut.add(units, tries)
@@ -62,22 +69,22 @@
     for batch in tally.batches.values():
         waiting.add(batch.total.units, batch.total.tries)
         if batch.sealed:
-            _compare(found, batch, files[batch.seq])
-    _equal(found, "counted", tally.counted, "uncut and sealed", uncut, tally.cut)
-    _equal(found, "sealed", tally.cut, "waiting and acknowledged", waiting, tally.acked)
+            _compare_batch(found, batch, files[batch.seq])
+    _check_equal(found, "counted", tally.counted, "uncut and sealed", uncut, tally.cut)
+    _check_equal(found, "sealed", tally.cut, "waiting and acknowledged", waiting, tally.acked)
     if received is not None:
-        _received(found, received)
+        _compare_received(found, received)
     return found
 
 
-def _file(folder: Path, name: str, batch: t.Batch) -> bytes | None:
+def _read_batch(folder: Path, name: str, batch: t.Batch) -> bytes | None:
     try:
         return (folder / "outbox" / f"{t.batch_id(name, batch)}.json").read_bytes()
     except OSError:
         return None
 
 
-def _compare(found: Audit, batch: t.Batch, data: bytes | None) -> None:
+def _compare_batch(found: Audit, batch: t.Batch, data: bytes | None) -> None:
     name = t.batch_id(found.name, batch)
     if data is None:
         found.differences.append(f"batch {name} is sealed, and its file is missing")
@@ -88,24 +95,25 @@
         found.differences.append(f"batch {name}: its file cannot be read: {error}")
         return
     if total != batch.total:
-        found.differences.append(f"batch {name}: sealed {_told(batch.total)}, its file says {_told(total)}")
+        found.differences.append(
+            f"batch {name}: sealed {_sum_text(batch.total)}, its file says {_sum_text(total)}")
 
 
-def _equal(found: Audit, name: str, whole: t.Sum, parts: str, a: t.Sum, b: t.Sum) -> None:
+def _check_equal(found: Audit, name: str, whole: t.Sum, parts: str, a: t.Sum, b: t.Sum) -> None:
     total = t.Sum(a.units + b.units, a.tries + b.tries)
     if whole != total:
-        found.differences.append(f"{name}: {_told(whole)}, but {parts} are {_told(total)}")
+        found.differences.append(f"{name}: {_sum_text(whole)}, but {parts} are {_sum_text(total)}")
 
 
-def _received(found: Audit, folder: Path) -> None:
-    """Against batches as a receiver keeps them: each event counts once, by its id."""
+def _compare_received(found: Audit, folder: Path) -> None:
+    """Compares with the batches that a receiver stored; each event counts once, by its id."""
     events: dict[str, tuple[int, int]] = {}
     for path in sorted(folder.glob(f"{found.name}-*.json")) if folder.is_dir() else ():
         try:
             _, batch = t.batch_sum(path.read_bytes())
             for e in batch:
-                said = t.units_of(e["data"]["units"]), int(e["data"]["tries"])
-                if events.setdefault(e["id"], said) != said:
+                content = t.parse_units(e["data"]["units"]), int(e["data"]["tries"])
+                if events.setdefault(e["id"], content) != content:
                     found.differences.append(f"event {e['id']} was received with two contents")
         except (msgspec.DecodeError, KeyError, ValueError, TypeError) as error:
             found.differences.append(f"{path}: it cannot be read: {error}")
@@ -113,9 +121,10 @@
     for units, tries in events.values():
         total.add(units, tries)
     found.received = total
-    at_most = t.Sum(found.tally.acked.units + found.waiting.units,
-                    found.tally.acked.tries + found.waiting.tries)
+    sealed_total = t.Sum(found.tally.acked.units + found.waiting.units,
+                         found.tally.acked.tries + found.waiting.tries)
     if total.units < found.tally.acked.units or total.tries < found.tally.acked.tries:
-        found.differences.append(f"acknowledged {_told(found.tally.acked)}, received {_told(total)}")
-    elif total.units > at_most.units or total.tries > at_most.tries:
-        found.differences.append(f"received {_told(total)}, more than was sealed: {_told(at_most)}")
+        found.differences.append(f"acknowledged {_sum_text(found.tally.acked)}, received {_sum_text(total)}")
+    elif total.units > sealed_total.units or total.tries > sealed_total.tries:
+        found.differences.append(
+            f"received {_sum_text(total)}, more than was sealed: {_sum_text(sealed_total)}")
--- a/larklb/export/exporter.py
+++ b/larklb/export/exporter.py
@@ -1,9 +1,9 @@
-"""Brings sealed batches to where use is billed: a receiver over HTTP, or a folder.
+"""Delivery of sealed batches to the billing receiver: an HTTP server or a folder.
 
-A batch goes out, byte for byte the same and under the same ids, until it is acknowledged; a receiver that
-counts by event id so counts each once.  An acknowledgement is a 2xx answer, whole, to this very batch:
-each batch has a connection of its own, and an answer that names another batch in ``Larklb-Batch`` is not
-its answer.
+A batch is sent, byte for byte the same and with the same event ids, until it is acknowledged, so a receiver
+that deduplicates by event id counts each event once.  An acknowledgement is a complete 2xx response to this
+batch: each batch uses a connection of its own, and a response that names another batch in ``Larklb-Batch`` is
+rejected.
 """
 
 from __future__ import annotations
@@ -27,18 +27,21 @@
 
 log = logging.getLogger(__name__)
 
-PATIENCE_S = 10.0          # for one delivery, from the dial to the last byte of its answer
-RETRY_FIRST_S = 0.5        # before the second try; doubled with each more, up to the operator's bound ...
-SPREAD = 0.5               # ... and shortened by up to this part at random: exporters do not come together
+# For one delivery, from connecting to the last byte of the response.
+DELIVERY_TIMEOUT_S = 10.0
+# Pause before the first retry; it doubles with each further one, up to the configured maximum.
+INITIAL_BACKOFF_S = 0.5
+# Each pause is shortened at random by up to this fraction, so that exporters don't retry in step.
+JITTER_FRACTION = 0.5
 BATCH_HEADER = b"larklb-batch"
 
 
 class DeliveryError(Exception):
-    """The batch was not acknowledged; the text says why."""
+    """The batch was not acknowledged; the message says why."""
 
 
 class Receiver(NamedTuple):
-    """Where batches are posted."""
+    """The HTTP endpoint to which batches are posted."""
 
     host: str
     port: int
@@ -47,7 +50,10 @@
 
 
 def receiver(url: str, ca: str = "") -> Receiver:
-    """Of an http or https URL; ``ca`` is a file of certificates to trust instead of the system's."""
+    """Parses an http or https URL; raises ValueError if it is invalid, and OSError if ``ca`` is unreadable.
+
+    ``ca`` is a file of certificates to trust instead of the system's.
+    """
     parts = urlsplit(url)
     if parts.scheme not in ("http", "https") or not parts.hostname or parts.username or parts.fragment:
         raise ValueError(f"{url!r} is no http or https address")
@@ -57,10 +63,10 @@
 
 
 async def post(to: Receiver, name: str, data: bytes, step: Callable[[str], object] = bool) -> None:
-    """One delivery; DeliveryError unless it was acknowledged."""
+    """Posts one batch; raises DeliveryError unless it is acknowledged."""
     link = None
     try:
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(DELIVERY_TIMEOUT_S):
             link = await dial(to.host, to.port, to.tls)
             link.write(h11.Request(method="POST", target=to.target, headers=[
                 (b"Host", f"{to.host}:{to.port}".encode()), (b"Content-Type", t.CONTENT_TYPE),
@@ -69,32 +75,32 @@
             step("sending")
             await link.writer.drain()
             step("sent")
-            got = await link.read()
+            answer = await link.read()
     except TimeoutError as error:
-        raise DeliveryError(f"no answer within {PATIENCE_S:g} s") from error
+        raise DeliveryError(f"no answer within {DELIVERY_TIMEOUT_S:g} s") from error
     except (OSError, h11.RemoteProtocolError, TooLongError) as error:
         raise DeliveryError(str(error) or type(error).__name__) from error
     finally:
         if link is not None:
             link.abort()
-    if got is None:
+    if answer is None:
         raise DeliveryError("the connection ended before the answer")
-    head = got[0]
+    head = answer[0]
     if not 200 <= head.status_code < 300:
         raise DeliveryError(f"answered with {head.status_code}")
-    named = dict(head.headers).get(BATCH_HEADER, name.encode())
-    if named != name.encode():
-        raise DeliveryError(f"the answer is that of batch {named.decode('ascii', 'replace')}")
+    answered_batch = dict(head.headers).get(BATCH_HEADER, name.encode())
+    if answered_batch != name.encode():
+        raise DeliveryError(f"the answer is that of batch {answered_batch.decode('ascii', 'replace')}")
 
 
-def into_folder(folder: Path, name: str, data: bytes, step: Callable[[str], object] = bool) -> None:
-    """The same events as a file; written again it is the same file."""
+def write_to_folder(folder: Path, name: str, data: bytes, step: Callable[[str], object] = bool) -> None:
+    """Writes a batch as a file; repeating it gives the same file.  Raises OSError."""
     folder.mkdir(parents=True, exist_ok=True)
     write_file_atomically(folder / f"{name}.json", data, step, 0o644)
 
 
 class Exporter:
-    """One for a ledger: the folder's lock sees to it that there are no two."""
+    """Delivers the batches of one ledger; the lock on the ledger's folder prevents a second exporter."""
 
     def __init__(self, ledger: Ledger, counters: Counters, to: Receiver | Path, max_wait_s: float = 60.0,
                  seed: int = 0) -> None:
@@ -103,21 +109,21 @@
         self.failures, self.last_error = 0, ""
 
     async def one(self, batch: t.Batch) -> None:
-        """Delivers a batch and drops it; DeliveryError leaves it as it is."""
+        """Delivers a batch and removes it; the batch is unchanged if this raises DeliveryError."""
         name = t.batch_id(self.ledger.instance, batch)
         try:
             data = await asyncio.to_thread(self.ledger.file(batch).read_bytes)
             if isinstance(self.to, Path):
-                await asyncio.to_thread(into_folder, self.to, name, data, self.ledger.step)
+                await asyncio.to_thread(write_to_folder, self.to, name, data, self.ledger.step)
             else:
                 await post(self.to, name, data, self.ledger.step)
         except OSError as error:
             raise DeliveryError(f"{error.filename}: {error.strerror}") from error
-        await self.ledger.acknowledged(batch)
+        await self.ledger.mark_acknowledged(batch)
         self.counters.add("exported.batches")
 
     async def all(self) -> int:
-        """All that is ready now, the oldest first; stops with DeliveryError at the first that does not go."""
+        """Delivers all sealed batches, oldest first, and returns how many; DeliveryError ends it early."""
         done = 0
         for batch in self.ledger.ready():
             await self.one(batch)
@@ -125,26 +131,26 @@
         return done
 
     def pause(self) -> float:
-        """Seconds before the next try."""
-        most = min(self.max_wait_s, RETRY_FIRST_S * 2.0 ** min(self.failures - 1, 20))
-        return most * (1.0 - SPREAD * self.random.random())
+        """Returns the seconds to wait before the next attempt."""
+        max_pause_s = min(self.max_wait_s, INITIAL_BACKOFF_S * 2.0 ** min(self.failures - 1, 20))
+        return max_pause_s * (1.0 - JITTER_FRACTION * self.random.random())
 
     async def run(self, sleep: Callable[[float], Awaitable[None]] = asyncio.sleep) -> None:
-        """Until it is cancelled."""
+        """Delivers batches as they are sealed, until it is cancelled."""
         while True:
-            self.ledger.changed.clear()
+            self.ledger.batch_sealed.clear()
             try:
                 await self.all()
                 if self.failures:
-                    log.info("use is taken again after %d tries in vain", self.failures)
+                    log.info("the receiver accepts batches again after %d failed attempts", self.failures)
                 self.failures, self.last_error = 0, ""
-                await self.ledger.changed.wait()
+                await self.ledger.batch_sealed.wait()
             except Exception as error:
-                # Whatever it is, the batch is still there and goes out again.
+                # Whatever the error, the batch is still stored and is sent again.
                 if not isinstance(error, DeliveryError):
                     log.exception("the export failed")
                 self.counters.add("errors.export")
                 if not self.failures:
-                    log.warning("use could not be delivered, and is kept: %s", error)
+                    log.warning("a batch of use could not be delivered and is kept: %s", error)
                 self.failures, self.last_error = self.failures + 1, str(error)
                 await sleep(self.pause())
--- a/larklb/operator_services.py
+++ b/larklb/operator_services.py
@@ -446,7 +446,7 @@
 
     async def usage_show(self, q: dict[str, Any]) -> dict[str, Any]:
         ledger = self._ledger()
-        ledger.write()
+        ledger.flush()
         return usage_report(self.config.name, ledger.tally,
                             self.exporter.last_error if self.exporter is not None else "")
 
@@ -472,15 +472,15 @@
 def usage_report(name: str, tally: t.Tally, word: str = "") -> dict[str, Any]:
     """The sums of a ledger and its uncut rows, for a command."""
     def told(s: t.Sum) -> dict[str, Any]:
-        return {"units": t.units_text(s.units), "tries": s.tries}
+        return {"units": t.format_units(s.units), "tries": s.tries}
 
-    rows = [{"period": t.instant(k.period), "account": k.account, "plan": k.plan, "version": k.version,
+    rows = [{"period": t.format_instant(k.period), "account": k.account, "plan": k.plan, "version": k.version,
              "class": k.service, "reservation": f"{k.reservation:08x}" if k.reservation else "",
-             "beyond": k.beyond, "units": t.units_text(units), "tries": tries}
+             "beyond": k.beyond, "units": t.format_units(units), "tries": tries}
             for k, (units, tries) in list(tally.rows.items())[:SHOWN]]
     return {"name": name, "incarnation": tally.incarnation, "counted": told(tally.counted),
             "sealed": told(tally.cut), "acknowledged": told(tally.acked), "open": len(tally.begun),
             "waiting": len(tally.batches), "in_doubt": tally.in_doubt, "word": word,
-            "doubts": [{"job": d.job, "account": d.key.account, "units": t.units_text(d.units),
+            "doubts": [{"job": d.job, "account": d.key.account, "units": t.format_units(d.units),
                         "incarnation": d.incarnation} for d in tally.doubts],
-            "periods": {t.instant(p): told(s) for p, s in sorted(tally.periods.items())}, "rows": rows}
+            "periods": {t.format_instant(p): told(s) for p, s in sorted(tally.periods.items())}, "rows": rows}
--- a/tests/test_running_out.py
+++ b/tests/test_running_out.py
@@ -91,7 +91,7 @@
         keeping = asyncio.create_task(x.run_maintenance(10.0, 1e6))
         await mended(x)
         await served(x, "after")
-        x.write()
+        x.flush()
         keeping.cancel()
         assert read(tmp_path).counted == t.Sum(3_000_000, 3) and not x.failing
         x.close()
@@ -110,11 +110,11 @@
             Disk(patch, "pwrite")
             for _ in range(2):
                 with pytest.raises(LogError):
-                    await x.acknowledged(batch)
-        x.held.close()                                     # killed here
+                    await x.mark_acknowledged(batch)
+        x.folder_lock.close()                                     # killed here
         y = ledger(tmp_path)
         assert [b.seq for b in y.ready()] == [batch.seq] and y.file(batch).exists()
-        await y.acknowledged(y.ready()[0])
+        await y.mark_acknowledged(y.ready()[0])
         assert y.tally.acked == t.Sum(1_000_000, 1) and not y.outbox_bytes
         y.close()
     asyncio.run(go())
@@ -134,7 +134,7 @@
             ticket.fully_sent = True
             x.end(ticket)
         await asyncio.wait_for(served(x, "again"), 1)
-        x.write()
+        x.flush()
         lost = x.counters["errors.ledger_lost"]
         x.close()
         y = ledger(tmp_path)
@@ -154,7 +154,7 @@
             for batch in x.ready():
                 name = f"{batch.incarnation}-{batch.seq}"
                 assert billed.setdefault(name, x.file(batch).read_bytes()) == x.file(batch).read_bytes()
-                await x.acknowledged(batch)
+                await x.mark_acknowledged(batch)
 
         x = Ledger(folder, "n0", counters, clock=lambda: 1e6)
         with monkeypatch.context() as patch:
@@ -173,9 +173,9 @@
         await asyncio.wait_for(served(x, "last"), 5)
         await mended(x)
         keeping.cancel()
-        x.write()
+        x.flush()
         assert not x.failing and not x.log.broken
-        x.held.close()                                     # killed here
+        x.folder_lock.close()                                     # killed here
         x.log.close()
         y = Ledger(folder, "n0", counters, clock=lambda: 1e6)
         await y.seal()
@@ -207,7 +207,7 @@
         monkeypatch.setattr(x.log, "append", append)
         await asyncio.wait_for(served(x, "j"), 1)
         await asyncio.wait_for(served(x, "k"), 1)
-        x.write()
+        x.flush()
         assert read(tmp_path).counted == t.Sum(2_000_000, 2)
         x.close()
     asyncio.run(go())
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -75,9 +75,9 @@
                 b = tally.begun[chance.choice(list(tally.begun))]
                 sent = chance.random() < 0.8
                 expected += b.units if sent else 0
-                note(t.Ended([b.n] if sent else [], [] if sent else [b.n]))
+                note(t.Ended([b.number] if sent else [], [] if sent else [b.number]))
             case "u":
-                units = chance.randrange(1, 9) * t.MICRO
+                units = chance.randrange(1, 9) * t.MICROUNITS_PER_UNIT
                 expected += units
                 note(t.Used(key, units))
             case "c" if tally.rows:
@@ -145,7 +145,7 @@
         x = ledger(tmp_path)
         await served(x, "done")
         await x.begin("in flight", KEY, 2.0)
-        x.held.close()                      # as at a kill: nothing is closed in order
+        x.folder_lock.close()                      # as at a kill: nothing is closed in order
         again = ledger(tmp_path)
         assert again.tally.counted == t.Sum(3_000_000, 2) and again.tally.incarnation == 2
         assert [(d.job, d.incarnation) for d in again.tally.doubts] == [("in flight", 1)]
@@ -241,7 +241,7 @@
         await served(x, "before")
         clock.now -= 3 * 3600
         await served(x, "set back")
-        x.held.close()
+        x.folder_lock.close()
         clock.now += 10 * 3600
         y = ledger(tmp_path, clock=clock)
         await served(y, "later")
@@ -270,7 +270,7 @@
         assert sum("memory alone" in r.message for r in caplog.records) == 1
         monkeypatch.setattr(os, "pwrite", real)
         await served(x, "again")
-        x.write()
+        x.flush()
         assert read(tmp_path).counted == t.Sum(4_000_000, 4) and x.counters["errors.ledger_lost"] == 0
         x.close()
     asyncio.run(go())
@@ -364,7 +364,7 @@
                 break
             await asyncio.sleep(0.02)
         assert not list(outbox.iterdir()), "what is acknowledged goes"
-        assert round(receiver.units() * t.MICRO) == found.tally.counted.units
+        assert round(receiver.units() * t.MICROUNITS_PER_UNIT) == found.tally.counted.units
         # The nodes' own record: what the ledger counted beyond it was in flight at a kill, and is listed.
         seen, doubts = set(yard.seen()), {d.job for d in found.tally.doubts}
         assert found.tally.counted.tries == len(seen) + len(doubts - seen)
