--- a/larklb/operator_services.py
+++ b/larklb/operator_services.py
@@ -1,5 +1,7 @@
-"""What an instance keeps beside its jobs, as an operator's file says: plans, reservations, use, and its own
-administrative address.  The platform has no operator's file, and none of this."""
+"""Services of an instance that an operator's file configures: plans, reservations, metering, administration.
+
+An instance that is run without an operator's file has none of them.
+"""
 
 from __future__ import annotations
 
@@ -46,30 +48,36 @@
 
 log = logging.getLogger(__name__)
 
-TIDY_S = 60.0              # between looks for reservations that are long over
-CALLS, CALL_S = 3, 0.45    # words to each other limiter, and seconds for its answer: some get lost
-SHOWN = 1000               # rows of use in one answer
-MOST_OVERRIDE_S = 86400.0  # for which an operator's word on a zone may stand
-SAMPLES = 10               # looks at what is out, in a second
-PATIENCE_S = 0.5           # at a start, for a folder that others look at or are about to let go
+# Between compactions of the log of reservations.
+COMPACTION_PERIOD_S = 60.0
+# Messages to each other limiter, repeated as some get lost, and the wait for the replies to each.
+PEER_PINGS, PEER_PING_WAIT_S = 3, 0.45
+# Rows in one answer.
+MAX_ROWS_SHOWN = 1000
+# Longest validity of an operator's override of a zone.
+MAX_OVERRIDE_S = 86400.0
+# Samples of the requests in flight, taken within one second.
+DEMAND_SAMPLES = 10
+# Wait at a start for a folder that others are checking or about to release.
+LOCK_PATIENCE_S = 0.5
 
 
 def fault_injector() -> Step:
-    """For tests: LARKLB_FAULT=step:n ends this process at once, as SIGKILL does, the n-th time at a step."""
+    """For tests: with LARKLB_FAULT=step:n the process sends itself SIGKILL at the n-th pass of a step."""
     name, _, number = os.environ.get("LARKLB_FAULT", "").partition(":")
     if not name:
         return bool
-    passed: Counter[str] = Counter()
+    step_counts: Counter[str] = Counter()
 
-    def step(at: str) -> None:
-        passed[at] += 1
-        if at == name and passed[at] == int(number or 1):
+    def step(name_reached: str) -> None:
+        step_counts[name_reached] += 1
+        if name_reached == name and step_counts[name_reached] == int(number or 1):
             os.kill(os.getpid(), signal.SIGKILL)
     return step
 
 
 def read_catalogue(path: Path, plans: tuple[io.Plan, ...]) -> cat.Catalogue:
-    """From a file; ConfigError with one line that says where it is wrong."""
+    """Reads a catalogue of plans; raises ConfigError with one line that names the fault."""
     try:
         return cat.parse(path.read_bytes(), plans, str(path))
     except OSError as error:
@@ -79,7 +87,7 @@
 
 
 def parse_receiver(entry: ExportEntry, base: Path) -> ex.Receiver | Path:
-    """Where an operator's file sends use; ConfigError where that makes no sense."""
+    """Returns the receiver or folder to which use is exported; raises ConfigError if it is invalid."""
     try:
         return ex.receiver(entry.url, str(base / entry.ca) if entry.ca else "") if entry.url else (
             base / entry.folder)
@@ -89,29 +97,31 @@
 
 def open_ledger(entry: LedgerEntry, folder: Path, name: str, counters: Counters, step: Step,
               patience_s: float = 0.0) -> Ledger:
-    """An instance's ledger as the operator's file wants it; LogError where it cannot be had."""
+    """Opens an instance's ledger as configured in the operator's file; raises LogError."""
     return Ledger(folder, name, counters, period_s=entry.period_s, max_mb=entry.most_mb,
                   rewrite_mb=entry.rewrite_mb, step=step, patience_s=patience_s)
 
 
 class OperatorServices:
-    """Of one instance."""
+    """The operator's services of one instance."""
 
     def __init__(self, config: Config, base: Path, operator: Operator, entry: InstanceEntry,
                  counters: Counters, now: float) -> None:
-        """``base`` is the folder of the operator's file; ConfigError or LogError where something is
-        unusable."""
+        """``base`` is the folder of the operator's file, ``now`` the time of the wheel in milliseconds.
+
+        Raises ConfigError or LogError if the configuration or stored state is unusable.
+        """
         self.config, self.operator, self.entry, self.counters = config, operator, entry, counters
         self.offset = time.time() * 1000.0 - now
         self.step = fault_injector()
         self.plans_file = base / operator.plans.file if operator.plans is not None else None
-        self.held: LockedFolder | None = None
+        self.folder_lock: LockedFolder | None = None
         self.ledger: Ledger | None = None
         self.exporter: ex.Exporter | None = None
         self.reserved: ReservationLog | None = None
         self.tasks: list[asyncio.Task[None]] = []
         self.admin = Admin(base / entry.admin, self.handlers()) if entry.admin else None
-        self.began = time.time()
+        self.started_at = time.time()
         plans = config.settings.plans
         catalogue = read_catalogue(self.plans_file, plans) if self.plans_file is not None else None
         reservations = None
@@ -119,9 +129,9 @@
             folder = base / operator.state.folder / config.name
             if operator.ledger is not None:
                 self.ledger = open_ledger(operator.ledger, folder / "use", config.name, counters, self.step,
-                                        PATIENCE_S)
+                                        LOCK_PATIENCE_S)
             if operator.reservations is not None:
-                self.held = LockedFolder(folder / "reservations")
+                self.folder_lock = LockedFolder(folder / "reservations")
                 r = operator.reservations
                 reservations = Reservations(
                     ReservationLimits(r.fleet_share * r.fleet_rate if r.fleet_rate else float("inf"),
@@ -136,12 +146,12 @@
         if self.ledger is not None and operator.export is not None:
             self.exporter = ex.Exporter(self.ledger, counters, parse_receiver(operator.export, base),
                                         operator.export.most_wait_s, config.seed)
-        self.adopter = self._adopter(base) if self.exporter is not None else None
+        self.adopter = self._make_adopter(base) if self.exporter is not None else None
         self.core: Core | None = None
         self.keeper: CustodyKeeper | None = None
 
-    def _adopter(self, base: Path) -> Adopter | None:
-        """Takes up what others leave, where the operator's file has it so."""
+    def _make_adopter(self, base: Path) -> Adopter | None:
+        """Returns the adopter of lost instances' ledgers, if it is configured."""
         o = self.operator
         if o.ledger is None or o.export is None or o.state is None or not o.ledger.adopt_s:
             return None
@@ -152,43 +162,47 @@
                        lambda ledger: ex.Exporter(ledger, self.counters, to))
 
     def wall(self) -> float:
-        """Unix milliseconds as this process counts them."""
+        """Returns the time in Unix milliseconds."""
         return time.time() * 1000.0
 
     async def start(self, core: Core) -> None:
+        """Starts the administrative address and the background tasks; raises OSError."""
         self.core = core
-        core.record_draw = self.keep
+        core.record_draw = self.record_draw
         if self.admin is not None:
             await self.admin.start()
         loop = asyncio.get_running_loop()
         if self.ledger is not None and self.operator.ledger is not None and self.operator.state is not None:
             e = self.operator.ledger
-            upkeep = functools.partial(self.ledger.run_maintenance, self.operator.state.sync_ms, e.seal_s)
-            self.tasks.append(loop.create_task(run_forever("ledger", upkeep, self.counters)))
+            maintenance = functools.partial(self.ledger.run_maintenance, self.operator.state.sync_ms,
+                                            e.seal_s)
+            self.tasks.append(loop.create_task(run_forever("ledger", maintenance, self.counters)))
         if self.exporter is not None:
             self.tasks.append(loop.create_task(self.exporter.run()))
         if self.adopter is not None:
             self.tasks.append(loop.create_task(run_forever("adopter", self.adopter.run, self.counters)))
         if self.reserved is not None:
-            tidy = functools.partial(self._tidy, self.reserved)
-            self.tasks.append(loop.create_task(run_forever("reserved", tidy, self.counters)))
+            compact = functools.partial(self._compact_reservations, self.reserved)
+            self.tasks.append(loop.create_task(run_forever("reserved", compact, self.counters)))
 
-    async def _tidy(self, reserved: ReservationLog) -> None:
-        await asyncio.sleep(TIDY_S)
+    async def _compact_reservations(self, reserved: ReservationLog) -> None:
+        await asyncio.sleep(COMPACTION_PERIOD_S)
         reserved.compact(self.wall())
 
-    def keep(self, drawn: io.RecordDraw) -> None:
-        """A draw is on the disk before the answer that tells of it."""
+    def record_draw(self, drawn: io.RecordDraw) -> None:
+        """Records a draw on a reservation before the answer that depends on it is sent."""
         if self.reserved is None:
             return
         try:
             self.reserved.record_draw(drawn, self.config.settings.number)
         except LogError as error:
-            # Served all the same, and written once the disk takes it: a kill before that draws it twice.
+            # The request is served and the draw written later.  If the process is killed before that, the
+            # same units can be drawn twice.
             self.counters.add("errors.reserved")
-            log.error("a draw is kept in memory alone: %s", error)
+            log.error("a draw on a reservation is kept in memory only: %s", error)
 
     async def stop(self) -> None:
+        """Stops the tasks and the administrative address and closes the logs."""
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
@@ -202,33 +216,37 @@
             except LogError as error:
                 self.counters.add("errors.reserved")
                 log.error("%s", error)
-        if self.held is not None:
-            self.held.close()
+        if self.folder_lock is not None:
+            self.folder_lock.close()
 
     def reload(self) -> None:
-        """SIGHUP: the catalogue's file anew; one that cannot be used changes nothing."""
+        """Reads the file of the catalogue again, upon SIGHUP; an invalid file changes nothing."""
         if self.plans_file is None:
             return
         try:
-            self.take(read_catalogue(self.plans_file, self.config.settings.plans))
+            self.apply_catalogue(read_catalogue(self.plans_file, self.config.settings.plans))
         except (ConfigError, cat.CatalogueError) as error:
             self.counters.add("errors.plans")
-            log.error("the plans stay at version %d: %s", self.entitlements.catalogue.newest.number, error)
+            log.error("the catalogue was not reloaded and stays at version %d: %s",
+                      self.entitlements.catalogue.newest.number, error)
 
-    def take(self, new: cat.Catalogue) -> None:
+    def apply_catalogue(self, new: cat.Catalogue) -> None:
+        """Replaces the catalogue; raises CatalogueError if ``new`` is no valid successor."""
         taken = cat.successor(self.entitlements.catalogue, new, self.wall())
         assert self.core is not None
         self.entitlements.replace_catalogue(self.core.wheel.now(), taken)
         self.counters.add("plans.taken")
-        log.info("plans: version %d is the newest, %d counts now", taken.newest.number, self._counts())
+        log.info("applied the catalogue: newest version %d, version in force %d",
+                 taken.newest.number, self._version_in_force())
 
-    def _counts(self) -> int:
+    def _version_in_force(self) -> int:
         c = self.entitlements.catalogue
         return c.versions[c.index_at(self.wall())].number
 
-    # What the administrative address answers ------------------------------------------------
+    # Requests to the administrative address ------------------------------------------------
 
     def handlers(self) -> dict[str, Any]:
+        """Returns the handlers of administrative requests by name."""
         return {"status": self.status, "plans.show": self.plans_show, "plans.check": self.plans_check,
                 "plans.apply": self.plans_apply, "reserve.add": self.reserve_add,
                 "reserve.list": self.reserve_list, "reserve.cancel": self.reserve_cancel,
@@ -238,21 +256,23 @@
                 "usage.show": self.usage_show, "usage.export": self.usage_export}
 
     async def status(self, q: dict[str, Any]) -> dict[str, Any]:
+        """The identity, uptime and catalogue versions of the instance."""
         c = self.entitlements.catalogue
         return {"name": self.config.name, "number": self.config.settings.number, "pid": os.getpid(),
-                "program": __version__, "serving_s": round(time.time() - self.began, 1),
-                "plans": {"counts": self._counts(), "newest": c.newest.number,
+                "program": __version__, "serving_s": round(time.time() - self.started_at, 1),
+                "plans": {"counts": self._version_in_force(), "newest": c.newest.number,
                           "heard": self.entitlements.newest_peer_version},
                 "reservations": len(self.reservations.by_name) if self.reservations is not None else 0,
                 "jobs": len(self.core.jobs) if self.core is not None else 0}
 
     async def plans_show(self, q: dict[str, Any]) -> dict[str, Any]:
+        """The versions of the catalogue."""
         c = self.entitlements.catalogue
-        return {"name": self.config.name, "counts": self._counts(), "newest": c.newest.number,
+        return {"name": self.config.name, "counts": self._version_in_force(), "newest": c.newest.number,
                 "heard": self.entitlements.newest_peer_version,
                 "versions": [version_row(v) for v in c.versions]}
 
-    def _told(self, q: dict[str, Any]) -> cat.Catalogue:
+    def _parse_submitted(self, q: dict[str, Any]) -> cat.Catalogue:
         if self.plans_file is None:
             raise AdminError("the operator's file names no plans for this instance")
         try:
@@ -261,7 +281,8 @@
             raise AdminError(str(error)) from error
 
     async def plans_check(self, q: dict[str, Any]) -> dict[str, Any]:
-        new = self._told(q)
+        """The changes that a submitted catalogue would make; AdminError if it is invalid."""
+        new = self._parse_submitted(q)
         try:
             taken = cat.successor(self.entitlements.catalogue, new, self.wall())
         except cat.CatalogueError as error:
@@ -269,8 +290,9 @@
         return {"name": self.config.name, "changes": cat.differences(self.entitlements.catalogue, taken)}
 
     async def plans_apply(self, q: dict[str, Any]) -> dict[str, Any]:
+        """Applies a submitted catalogue; AdminError if it is invalid."""
         try:
-            self.take(self._told(q))
+            self.apply_catalogue(self._parse_submitted(q))
         except cat.CatalogueError as error:
             raise AdminError(str(error)) from error
         return await self.plans_show(q)
@@ -281,12 +303,13 @@
         return self.reservations, self.reserved
 
     async def reserve_add(self, q: dict[str, Any]) -> dict[str, Any]:
+        """Adds a reservation, durably; AdminError if it is refused."""
         reservations, reserved = self._reservations()
         try:
             wanted = msgspec.convert(q.get("wanted"), Wanted)
             wanted = replace(wanted, customer=parse_account(wanted.customer))
         except (msgspec.ValidationError, MalformedError) as error:
-            raise AdminError(f"the reservation makes no sense: {error}") from error
+            raise AdminError(f"the reservation is invalid: {error}") from error
         s = self.config.settings
         number = next((i for i, p in enumerate(s.plans) if p.name == wanted.plan), None)
         if number is None:
@@ -301,19 +324,19 @@
         c = self.entitlements.catalogue
         index = c.index_at(wanted.begin)
         plan = c.versions[index].plans[c.plan_of(key, index, number)]
-        known = wanted.name in reservations.by_name
+        already_present = wanted.name in reservations.by_name
         try:
             r = reservations.add(wanted, owned, self.wall(), plan.rate)
-            if not known:
+            if not already_present:
                 reserved.record_added(r)
         except RefusedError as error:
             raise AdminError(str(error)) from error
         except LogError as error:
             reservations.remove(r)
             raise AdminError(f"it could not be kept: {error}") from error
-        return self._shown(r)
+        return self._reservation_row(r)
 
-    def _shown(self, r: Reservation) -> dict[str, Any]:
+    def _reservation_row(self, r: Reservation) -> dict[str, Any]:
         w = r.wanted
         return {"id": w.name, "state": r.advance(self.wall()).value, "owner": r.owned, "tag": f"{r.tag:08x}",
                 "limiter": self.config.name, "customer": w.customer, "plan": w.plan, "units": w.units,
@@ -322,21 +345,23 @@
                 "set": f"spread={w.spread},first={w.first}"}
 
     async def reserve_list(self, q: dict[str, Any]) -> dict[str, Any]:
+        """All reservations, or one by its id."""
         reservations, _ = self._reservations()
-        return {"reservations": [self._shown(r) for r in reservations.by_name.values()
+        return {"reservations": [self._reservation_row(r) for r in reservations.by_name.values()
                                  if not q.get("id") or q["id"] == r.wanted.name]}
 
     async def reserve_cancel(self, q: dict[str, Any]) -> dict[str, Any]:
+        """Cancels a reservation, durably; AdminError if it is refused."""
         reservations, reserved = self._reservations()
         try:
             r = reservations.cancel(str(q.get("id")), self.wall())
             reserved.record_cancelled(r)
         except (RefusedError, LogError) as error:
             raise AdminError(str(error)) from error
-        return self._shown(r)
+        return self._reservation_row(r)
 
     async def quota_state(self, q: dict[str, Any]) -> dict[str, Any]:
-        """Whether a customer is judged surely here, and how many units the count may be off at most."""
+        """Whether this instance decides on a customer with certainty, and its largest error in units."""
         if self.core is None:
             raise AdminError("the instance is starting")
         try:
@@ -348,12 +373,12 @@
         return {"name": self.config.name, **found}
 
     async def fleet_state(self, q: dict[str, Any]) -> dict[str, Any]:
-        """What is held here of the other limiters and of the nodes, after a word to each of the others."""
+        """The state of the other limiters and the nodes as seen here, after messages to the limiters."""
         if self.core is None:
             raise AdminError("the instance is starting")
-        for _ in range(CALLS):
+        for _ in range(PEER_PINGS):
             self.core.ping_peers()
-            await asyncio.sleep(CALL_S)
+            await asyncio.sleep(PEER_PING_WAIT_S)
         g, now = self.core.gateway, self.core.wheel.now()
         topics = {number: name for name, number in g.topics.items()}
         topics |= {LIMITER: "limiter", ZONE: "zone", ALL_WORK: "all work"}
@@ -385,7 +410,7 @@
         return self.core.gateway.zones
 
     async def fleet_zones(self, q: dict[str, Any]) -> dict[str, Any]:
-        """What is held here of each zone."""
+        """The state of each zone as seen here."""
         zones, now = self._zones(), self._wheel().now()
         return {"name": self.config.name, "on": zones.active, "zones": zones.rows(now)}
 
@@ -394,48 +419,51 @@
         return self.core.wheel
 
     async def zones_override(self, q: dict[str, Any]) -> dict[str, Any]:
-        """An operator's word on a zone, with an end; with ``for_s`` 0 it is taken back."""
+        """Overrides the state of a zone for ``for_s`` seconds; 0 removes the override."""
         zones, now = self._zones(), self._wheel().now()
-        name, for_s, why = str(q.get("zone", "")), float(q.get("for_s", 0.0)), str(q.get("why", ""))
-        if not 0.0 <= for_s <= MOST_OVERRIDE_S or for_s and not why:
-            raise AdminError(f"it needs a reason, and an end within {MOST_OVERRIDE_S / 3600:g} h")
-        word = Override(bool(q.get("away")), now + for_s * 1000.0, why[:200]) if for_s else None
-        if not zones.override(now, name, word):
+        name, for_s, reason = str(q.get("zone", "")), float(q.get("for_s", 0.0)), str(q.get("why", ""))
+        if not 0.0 <= for_s <= MAX_OVERRIDE_S or for_s and not reason:
+            raise AdminError(f"it needs a reason, and an end within {MAX_OVERRIDE_S / 3600:g} h")
+        override = Override(bool(q.get("away")), now + for_s * 1000.0, reason[:200]) if for_s else None
+        if not zones.override(now, name, override):
             raise AdminError(f"no node of a zone {name!r} was ever listed")
         assert self.core is not None
         self.core.zones_changed()
-        log.info("an operator's word on zone %s: %s", name, "taken back" if word is None else
-                 f"{'away' if word.away else 'home'} for {for_s:g} s, as {word.reason!r}")
+        log.info("override of zone %s: %s", name, "removed" if override is None else
+                 f"{'away' if override.away else 'home'} for {for_s:g} s, as {override.reason!r}")
         return await self.fleet_zones(q)
 
     async def zones_rehearse(self, q: dict[str, Any]) -> dict[str, Any]:
-        """Whether the rest would bear it, were a zone left now, from what is out in the next second."""
+        """Simulates the loss of a zone under the demand of the next second."""
         zones, g = self._zones(), self.core.gateway if self.core is not None else None
         name = str(q.get("without", ""))
         if g is None or name not in zones.by_name:
             raise AdminError(f"no node of a zone {name!r} was ever listed")
-        out: Counter[tuple[str, str]] = Counter()
-        for _ in range(SAMPLES):
-            for held in g.pending.values():
-                out[held.service_class.name, held.plan.name] += 1
-            await asyncio.sleep(1.0 / SAMPLES)
-        asked = [Demand(c, p, n / SAMPLES, g.classes[c].worth * g.plans[p][1].price / g.usual_latency[c])
-                 for (c, p), n in out.items() if c in g.classes and p in g.plans]
-        whole = (
+        in_flight: Counter[tuple[str, str]] = Counter()
+        for _ in range(DEMAND_SAMPLES):
+            for pending in g.pending.values():
+                in_flight[pending.service_class.name, pending.plan.name] += 1
+            await asyncio.sleep(1.0 / DEMAND_SAMPLES)
+        demands = [Demand(c, p, n / DEMAND_SAMPLES,
+                          g.classes[c].worth * g.plans[p][1].price / g.usual_latency[c])
+                   for (c, p), n in in_flight.items() if c in g.classes and p in g.plans]
+        total_capacity = (
             g.server_limit * len(g.server_pool.available) * g.server_pool.visible_share(self._wheel().now())
         )
-        rest = sum(z.weight for z in zones.by_name.values() if z.name != name and z.state != "away")
+        remaining_weight = sum(z.weight for z in zones.by_name.values()
+                               if z.name != name and z.state != "away")
         weight = sum(z.weight for z in zones.by_name.values() if z.state != "away") or 1.0
-        return {"name": self.config.name, "room": round(whole, 1), "rest": round(whole * rest / weight, 1),
-                "rows": simulate_capacity(asked, whole * rest / weight)}
+        return {"name": self.config.name, "room": round(total_capacity, 1),
+                "rest": round(total_capacity * remaining_weight / weight, 1),
+                "rows": simulate_capacity(demands, total_capacity * remaining_weight / weight)}
 
     async def fleet_jobs(self, q: dict[str, Any]) -> dict[str, Any]:
-        """What this instance keeps of jobs that must not run twice, all or one by its key."""
+        """The jobs that must not run twice, as stored by this instance; all of them or one by its key."""
         if self.keeper is None:
             raise AdminError("the operator's file turns no custody on")
         key = q.get("key")
         rows = self.keeper.rows(int(str(key), 16) if key else None)
-        return {"name": self.config.name, "jobs": rows[:SHOWN],
+        return {"name": self.config.name, "jobs": rows[:MAX_ROWS_SHOWN],
                 "bytes": self.keeper.custodian.size, "most_bytes": self.keeper.custodian.max_bytes,
                 "turned_down": self.keeper.custodian.refused}
 
@@ -445,42 +473,45 @@
         return self.ledger
 
     async def usage_show(self, q: dict[str, Any]) -> dict[str, Any]:
+        """The sums of the ledger and its uncut rows."""
         ledger = self._ledger()
         ledger.flush()
         return usage_report(self.config.name, ledger.tally,
                             self.exporter.last_error if self.exporter is not None else "")
 
     async def usage_export(self, q: dict[str, Any]) -> dict[str, Any]:
+        """Seals all counted use and waits up to ``within`` seconds for its delivery."""
         ledger = self._ledger()
         if self.exporter is None:
             raise AdminError("the operator's file names no receiver for use")
         sealed = await ledger.seal()
-        until = time.monotonic() + float(q.get("within", 15.0))
-        while ledger.tally.batches and time.monotonic() < until:
+        deadline = time.monotonic() + float(q.get("within", 15.0))
+        while ledger.tally.batches and time.monotonic() < deadline:
             await asyncio.sleep(0.02)
         return {"name": self.config.name, "sealed": sealed, "waiting": len(ledger.tally.batches),
                 "word": self.exporter.last_error}
 
 
 def version_row(v: cat.Version) -> dict[str, Any]:
-    """A version for a command."""
+    """Returns a version of the catalogue for the output of a command."""
     return {"number": v.number, "from": cat.format_instant(v.effective_at), "note": v.note,
             "says": cat.summary(v),
             "plans": {p.name: {"rate": p.rate, "burst": p.burst, "most_open": p.most_open} for p in v.plans}}
 
 
-def usage_report(name: str, tally: t.Tally, word: str = "") -> dict[str, Any]:
-    """The sums of a ledger and its uncut rows, for a command."""
-    def told(s: t.Sum) -> dict[str, Any]:
+def usage_report(name: str, tally: t.Tally, last_error: str = "") -> dict[str, Any]:
+    """Returns the sums of a ledger and its uncut rows for the output of a command."""
+    def sum_row(s: t.Sum) -> dict[str, Any]:
         return {"units": t.format_units(s.units), "tries": s.tries}
 
     rows = [{"period": t.format_instant(k.period), "account": k.account, "plan": k.plan, "version": k.version,
              "class": k.service, "reservation": f"{k.reservation:08x}" if k.reservation else "",
              "beyond": k.beyond, "units": t.format_units(units), "tries": tries}
-            for k, (units, tries) in list(tally.rows.items())[:SHOWN]]
-    return {"name": name, "incarnation": tally.incarnation, "counted": told(tally.counted),
-            "sealed": told(tally.cut), "acknowledged": told(tally.acked), "open": len(tally.begun),
-            "waiting": len(tally.batches), "in_doubt": tally.in_doubt, "word": word,
+            for k, (units, tries) in list(tally.rows.items())[:MAX_ROWS_SHOWN]]
+    return {"name": name, "incarnation": tally.incarnation, "counted": sum_row(tally.counted),
+            "sealed": sum_row(tally.cut), "acknowledged": sum_row(tally.acked), "open": len(tally.begun),
+            "waiting": len(tally.batches), "in_doubt": tally.in_doubt, "word": last_error,
             "doubts": [{"job": d.job, "account": d.key.account, "units": t.format_units(d.units),
                         "incarnation": d.incarnation} for d in tally.doubts],
-            "periods": {t.format_instant(p): told(s) for p, s in sorted(tally.periods.items())}, "rows": rows}
+            "periods": {t.format_instant(p): sum_row(s) for p, s in sorted(tally.periods.items())},
+            "rows": rows}
--- a/tests/test_hardening.py
+++ b/tests/test_hardening.py
@@ -488,11 +488,11 @@
         desk = OperatorServices(
             config, tmp_path, operator, operator.instance_entry("n0"), core.counters, core.wheel.now())
         await desk.start(core)
-        assert desk.reserved is not None and desk.held is not None
+        assert desk.reserved is not None and desk.folder_lock is not None
         kept = desk.reserved.log
         monkeypatch.setattr(kept, "sync", Once(kept.sync, error=LogError("no disk")))
         await desk.stop()
-        assert desk.held.fd == -1 and core.counters["errors.reserved"] == 1
+        assert desk.folder_lock.fd == -1 and core.counters["errors.reserved"] == 1
     asyncio.run(go())
     assert replay(tmp_path / "var" / "n0" / "reservations" / "reservations.log").torn == 0
 
@@ -519,10 +519,11 @@
 
     async def go() -> None:
         monkeypatch.setattr(asyncio, "create_subprocess_exec", start)
-        monkeypatch.setattr(agent_module, "BACKOFF_FIRST", 0.01)
+        monkeypatch.setattr(agent_module, "INITIAL_BACKOFF_S", 0.01)
         entry = InstanceEntry("n0", "n0.json")
         agent = Agent(tmp_path / "operator.toml", Operator([entry]))
-        assert await asyncio.wait_for(agent._keep(entry), 5) == agent_module.BAD_CONFIG and len(started) == 3
+        assert await asyncio.wait_for(agent._supervise(entry), 5) == agent_module.BAD_CONFIG and (
+            len(started) == 3)
     asyncio.run(go())
 
 
@@ -532,10 +533,10 @@
     yard, entry = Yard(tmp_path, limiters=1), InstanceEntry("n0", "n0.json")
     agent = Agent(tmp_path / "operator.toml", Operator([entry]))
     yard.limiters[0].config()
-    assert agent._patience(entry) == agent_module.DRAIN
+    assert agent._drain_timeout(entry) == agent_module.MIN_DRAIN_S
     monkeypatch.setattr(lab_yard, "CLASSES", [{**c, "deadline": 60000.0} for c in lab_yard.CLASSES])
     yard.limiters[0].config()
-    assert agent._patience(entry) > 60.0
+    assert agent._drain_timeout(entry) > 60.0
 
 
 def test_a_renewal_that_fails_is_told_and_the_next_one_goes_on(tmp_path: Path) -> None:
