--- a/larklb/lab/control_breaks.py
+++ b/larklb/lab/control_breaks.py
@@ -34,43 +34,43 @@
 
 
 def _refused_from_memory() -> list[Change]:
-    confirm, judge = Replica._confirm_round, Replica._process_changes
+    confirm_round, original = Replica._confirm_round, Replica._process_changes
 
-    def judged(self: Replica) -> None:
-        judge(self)
+    def process_changes(self: Replica) -> None:
+        original(self)
         for waiting in self._calls.decided:
             if waiting.answer is not None:
                 self._answers.append((waiting.ticket, waiting.answer))
         self._calls.decided.clear()
 
-    return [(Replica, "_process_changes", judged), (Replica, "_confirm_round", confirm)]
+    return [(Replica, "_process_changes", process_changes), (Replica, "_confirm_round", confirm_round)]
 
 
 def _read_from_memory() -> list[Change]:
-    confirmed, call = PendingCalls.take_confirmed, Replica.call
+    take_confirmed, call = PendingCalls.take_confirmed, Replica.call
 
-    def at_once(self: Replica, now: float, ticket: str, what: Call) -> None:
-        call(self, now, ticket, what)
+    def call_without_quorum(self: Replica, now: float, ticket: str, request: Call) -> None:
+        call(self, now, ticket, request)
         if self.has_committed_in_term:
             self._confirm_round(0)
 
     return [
-        (PendingCalls, "take_confirmed", lambda self, round_: confirmed(self, 1 << 60)),
-        (Replica, "call", at_once),
+        (PendingCalls, "take_confirmed", lambda self, round_: take_confirmed(self, 1 << 60)),
+        (Replica, "call", call_without_quorum),
     ]
 
 
 def _history_of_few() -> list[Change]:
-    judge = History.outcome_of
+    original = History.outcome_of
 
-    def few(self: History, base: int, identity: str, current: int) -> ChangeOutcome:
-        return judge(History(self.changes[-8:], 0), base, identity, current)
+    def outcome_of_recent(self: History, base: int, identity: str, current: int) -> ChangeOutcome:
+        return original(History(self.changes[-8:], 0), base, identity, current)
 
-    return [(History, "outcome_of", few)]
+    return [(History, "outcome_of", outcome_of_recent)]
 
 
 def _group_stays_as_founded() -> list[Change]:
-    return [(group, "target_voter_count", lambda known, tolerance: 2)]
+    return [(group, "target_voter_count", lambda core_size, tolerance: 2)]
 
 
 def _answers_by_number_alone() -> list[Change]:
@@ -87,42 +87,45 @@
 def _sent_before_the_save() -> list[Change]:
     ready = Replica.ready
 
-    def early(self: Any) -> Ready | None:
-        late: Ready | None = getattr(self, "_late", None)
-        if late is not None:
+    def send_before_save(self: Any) -> Ready | None:
+        delayed: Ready | None = getattr(self, "_late", None)
+        if delayed is not None:
             self._late = None
-            return late
-        made = ready(self)
-        if made is not None and made.save:
-            self._late = Ready(made.save)
-            return Ready(None, made.messages, made.answers)
-        return made
+            return delayed
+        current = ready(self)
+        if current is not None and current.save:
+            self._late = Ready(current.save)
+            return Ready(None, current.messages, current.answers)
+        return current
 
-    return [(Replica, "ready", early)]
+    return [(Replica, "ready", send_before_save)]
 
 
 def _votes_forgotten() -> list[Change]:
     init = Replica.__init__
 
-    def forgetful(self: Replica, *arguments: Any, **named: Any) -> None:
-        init(self, *arguments, **named)
-        kept = self._hard_state
-        self._hard_state = evolve(kept, term=0, vote="")
+    def init_without_vote(self: Replica, *arguments: Any, **keywords: Any) -> None:
+        init(self, *arguments, **keywords)
+        saved = self._hard_state
+        self._hard_state = evolve(saved, term=0, vote="")
 
-    return [(Replica, "__init__", forgetful)]
+    return [(Replica, "__init__", init_without_vote)]
 
 
 def _older_logs_get_votes() -> list[Change]:
-    request = Replica._on_vote_request
-    pre = Replica._on_pre_vote
+    vote_request = Replica._on_vote_request
+    pre_vote = Replica._on_pre_vote
 
-    def lenient(handler: Any) -> Any:
+    def with_maximal_log(handler: Any) -> Any:
         def handle(self: Replica, sender: str, message: PreVote | VoteRequest) -> None:
             handler(self, sender, msgspec.structs.replace(message, last=(1 << 40, 1 << 40)))
 
         return handle
 
-    return [(Replica, "_on_vote_request", lenient(request)), (Replica, "_on_pre_vote", lenient(pre))]
+    return [
+        (Replica, "_on_vote_request", with_maximal_log(vote_request)),
+        (Replica, "_on_pre_vote", with_maximal_log(pre_vote)),
+    ]
 
 
 def _blank_disks_vote() -> list[Change]:
@@ -130,14 +133,14 @@
 
 
 def _base_not_compared() -> list[Change]:
-    verdict = Replica._evaluate
+    evaluate = Replica._evaluate
 
-    def deaf(self: Replica, call: Call) -> Any:
-        known = self._log.state.history.outcome_of(call.base, call.identity, self.version)
-        base = call.base if known is ChangeOutcome.APPLIED else self.version
-        return verdict(self, Call(call.kind, base, call.body, call.identity))
+    def evaluate_without_base(self: Replica, call: Call) -> Any:
+        outcome = self._log.state.history.outcome_of(call.base, call.identity, self.version)
+        base = call.base if outcome is ChangeOutcome.APPLIED else self.version
+        return evaluate(self, Call(call.kind, base, call.body, call.identity))
 
-    return [(Replica, "_evaluate", deaf)]
+    return [(Replica, "_evaluate", evaluate_without_base)]
 
 
 def _repeats_not_known() -> list[Change]:
@@ -153,10 +156,12 @@
 
 
 def _drains_known_to_one() -> list[Change]:
-    def alone(self: RegistryReplica, now: float, server: Any, done: Callable[[bool], object]) -> None:
+    def acknowledge_at_once(
+        self: RegistryReplica, now: float, server: Any, done: Callable[[bool], object]
+    ) -> None:
         done(True)
 
-    return [(RegistryReplica, "_acknowledge_on_quorum", alone)]
+    return [(RegistryReplica, "_acknowledge_on_quorum", acknowledge_at_once)]
 
 
 def _snapshots_go_back() -> list[Change]:
@@ -177,13 +182,13 @@
 
 
 def _no_quorum_for_leading() -> list[Change]:
-    def forever(self: Replica) -> None:
+    def leader_tick(self: Replica) -> None:
         self._update_peers()
         self._change_voters()
         self._advance_commit()
         self._broadcast_due = True
 
-    return [(Replica, "_leader_tick", forever)]
+    return [(Replica, "_leader_tick", leader_tick)]
 
 
 BREAKS: dict[str, Break] = {
@@ -212,13 +217,13 @@
 def without(name: str) -> Iterator[None]:
     """Disables a guard within the context."""
     changes = BREAKS[name].changes()
-    kept = [(owner, attribute, vars(owner).get(attribute)) for owner, attribute, _ in changes]
+    saved = [(owner, attribute, vars(owner).get(attribute)) for owner, attribute, _ in changes]
     try:
         for owner, attribute, value in changes:
             setattr(owner, attribute, value)
         yield
     finally:
-        for owner, attribute, value in kept:
+        for owner, attribute, value in saved:
             if value is None:  # inherited
                 delattr(owner, attribute)
             else:
--- a/tests/test_control_faults.py
+++ b/tests/test_control_faults.py
@@ -1,4 +1,4 @@
-"""Short days of the control side under faults, guards taken out, and the checker by itself."""
+"""Short simulated days of the control side under faults, disabled guards, and the linearizability checker."""
 
 from __future__ import annotations
 
@@ -26,19 +26,19 @@
 
 
 @pytest.mark.parametrize("part", range(12))
-def test_short_days_break_nothing(part: int) -> None:
+def test_short_days_violate_no_invariant(part: int) -> None:
     for task in generate_tasks(9, 10_000 + 9 * part):
         result, day = play_day(evolve(task, length=SHORT_MS))
         assert not result.reason, (task, day.world.log)
 
 
 @pytest.mark.parametrize("guard", QUICKLY_FOUND)
-def test_a_guard_that_is_out_is_found(guard: str) -> None:
+def test_a_disabled_guard_is_detected(guard: str) -> None:
     scenario, cores = BREAKS[guard].scenario, BREAKS[guard].cores or 3
     assert any(play_day(Task(scenario, seed, cores, guard))[0].reason for seed in range(12))
 
 
-def test_the_same_seed_is_the_same_day() -> None:
+def test_the_same_seed_gives_the_same_day() -> None:
     one, other = (play_day(Task("mixed", 7, 3, length=SHORT_MS))[1] for _ in range(2))
     assert one.world.log == other.world.log and one.operators.sent == other.operators.sent
 
@@ -110,7 +110,7 @@
         (history(order(1, 0, 1, 0, 5), order(2, 1, 2, 6, 8)), Read(2, "order 2", 9, 10), ""),
     ],
 )
-def test_what_no_register_answers_is_told(told: History, last: Read, why: str) -> None:
+def test_histories_that_are_not_linearizable_are_rejected(told: History, last: Read, why: str) -> None:
     if not why:
         told.check(last)
         told.reads.append(Read(1, "order 1", 8.5, 8.9))
@@ -119,7 +119,7 @@
         told.check(last)
 
 
-def test_two_on_one_version_and_changed_answers_are_told_at_once() -> None:
+def test_conflicting_answers_are_rejected_at_once() -> None:
     one, other = order(1, 0, 1, 0), order(2, 0, 2, 0)
     told = history(one, other)
     told.acknowledge(one, 1.0)
@@ -132,16 +132,16 @@
 @pytest.mark.parametrize(
     ("contact", "convergence"), [(1_200.0, 2_000.0), (2_000.0, 3_000.0), (8_000.0, 10_000.0)]
 )
-def test_other_terms_are_kept_too(contact: float, convergence: float) -> None:
-    """Times follow from the terms: an order is acknowledged within ackMs of a core that settles sooner."""
+def test_other_time_bounds_are_respected(contact: float, convergence: float) -> None:
+    """Timings follow from the bounds: orders are acknowledged within ackMs of the core being undisturbed."""
     for seed in range(3):
         day = Day("mixed", seed, 3, 1, length=SHORT_MS)
         day.world.override_bounds(contact_ms=contact, convergence_ms=convergence, ack_ms=contact + 2_000.0)
         day.play()
 
 
-def test_whoever_finds_one_core_machine_learns_of_all(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Also of one that nobody's seeds name, and that is not ready: its table brings nobody anything."""
+def test_one_core_machine_as_seed_reveals_all_others(monkeypatch: pytest.MonkeyPatch) -> None:
+    """This also holds if the machine isn't in any other seeds, and isn't ready, so its table isn't served."""
     world = World(1, cores=5, tolerance=2)
     for machine in world.machines.values():
         world.start(machine)
@@ -154,14 +154,14 @@
         world.restart(world.machines[name])
     core, plane = world.machines["c4"].core, world.machines["l0"].plane
     assert core is not None and plane is not None
-    core.home.ready_cores["c0"] = math.inf  # another one is said to know more
+    core.home.ready_cores["c0"] = math.inf  # claims that another core machine is ready
     world.run(3_000.0)
     assert not core.home.ready
     assert set(plane.subscriber.cores) == {"c0", "c1", "c2", "c3", "c4"}
 
 
-def test_a_machine_that_no_majority_hears_lets_no_call_wait() -> None:
-    """It hears a leader, to which nothing that it passes on would come."""
+def test_a_machine_that_reaches_no_majority_rejects_calls_at_once() -> None:
+    """It receives the leader's messages, but nothing that it forwards would reach the leader."""
     world = World(1)
     for machine in world.machines.values():
         world.start(machine)
@@ -175,7 +175,7 @@
 
 
 @pytest.mark.parametrize("scale", [0.5, 1.0])
-def test_leases_of_limiters_follow_from_the_terms(scale: float) -> None:
+def test_leases_of_limiters_scale_with_the_time_scale(scale: float) -> None:
     home = RegistryReplica(Member("a", "a", "z", 1, "da"), 1500.0, 0.0, time_scale=scale)
     home.update_member(0.0, Member("n", "n", "z", 1), True)
     for now, state in ((0.95 * LEASE_MS * scale, UP), (1.05 * LEASE_MS * scale, DOWN)):
@@ -183,6 +183,6 @@
         assert home.members.by_node["n"].member.state == state
 
 
-def test_no_order_is_sent_while_a_day_reads_its_end() -> None:
-    """In this day one was, for a machine that had stood still: it came into force after the last read."""
+def test_no_order_is_sent_after_the_end_of_a_day() -> None:
+    """In this day an order reached a machine that had been frozen, and took effect after the last read."""
     assert play_day(Task("races", 400_429, 4))[0].reason == ""
