--- a/larklb/cli/usage.py
+++ b/larklb/cli/usage.py
@@ -40,7 +40,7 @@
         in_doubt: Annotated[bool, typer.Option("--in-doubt", help="Also tries in flight at a kill.")] = False,
         ) -> None:
     """Show the use that each instance has counted, read from its files; it need not run."""
-    from larklb.export.audit import usage as usage_row
+    from larklb.export.audit import read
     from larklb.operator_services import usage_report
     from larklb.settings import load_operator
     from larklb.state.log import LogError
@@ -49,7 +49,7 @@
         found = []
         for entry in loaded.instance:
             try:
-                found.append(usage_row(entry.name, read(use_folder(operator, loaded, entry))))
+                found.append(usage_report(entry.name, read(use_folder(operator, loaded, entry))))
             except LogError as error:
                 raise exit_error(error, EXIT_FAILED) from error
     if as_json:
