--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -156,7 +156,7 @@
 @pytest.mark.parametrize("mood", ["break", "500", "late", "reset", "old", "refuse"])
 def test_a_batch_goes_out_again_unchanged_until_it_is_acknowledged(
         tmp_path: Path, mood: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(ex, "PATIENCE_S", 0.3)
+    monkeypatch.setattr(ex, "DELIVERY_TIMEOUT_S", 0.3)
 
     async def go() -> None:
         receiver = Receiver(["ok", mood, mood])
