--- a/larklb/lab/consensus_machines.py
+++ b/larklb/lab/consensus_machines.py
@@ -234,7 +234,7 @@
     replica, stored = machine.replica, machine.stored.get("log", b"")
     durable = frozenset(name for name in CALLS if f'"call-{name}"'.encode() in stored)
     entries = Log.from_bytes(stored).entries if stored else []
-    kept = frozenset((entry.index, entry.term) for entry in entries)
+    durable_entries = frozenset((entry.index, entry.term) for entry in entries)
     keys = None if machine.saving is None else tuple(sorted(machine.saving))
     if replica is None:
         return MachineView(
@@ -249,11 +249,11 @@
             "",
             durable,
             frozenset(),
-            kept,
+            durable_entries,
             (0, 0),
         )
     document, log = replica.current or {"base": -1, "identity": ""}, replica._log
-    known = {
+    known_identities = {
         *(identity for _, identity in log.state.history.changes),
         *(entry.identity for entry in log.entries),
     }
@@ -269,8 +269,8 @@
         document["base"],
         document["identity"],
         durable,
-        frozenset(name for name in CALLS if f"call-{name}" in known),
-        kept,
+        frozenset(name for name in CALLS if f"call-{name}" in known_identities),
+        durable_entries,
         (log.commit_index, log.state.term) if lead else (0, 0),
     )
 
@@ -409,7 +409,7 @@
     ) -> None:
         for _, message in messages:
             if message["kind"] in ("vote_reply", "pre_vote_reply") and message["yes"]:
-                kept = machine.stored.get("log")
-                if kept is None or Log.from_bytes(kept).last_index < 0:
+                stored_log = machine.stored.get("log")
+                if stored_log is None or Log.from_bytes(stored_log).last_index < 0:
                     raise InvariantViolationError(f"the blank disk of {machine.node} votes")
         sent += messages
--- a/larklb/lab/control_callers.py
+++ b/larklb/lab/control_callers.py
@@ -300,8 +300,8 @@
                 or not self.world.is_healthy(machine)
             ):
                 continue
-            known = machine.plane.subscriber.servers.get(server.row.id)
-            if known is not None and known.state == STEADY:
+            listed_server = machine.plane.subscriber.servers.get(server.row.id)
+            if listed_server is not None and listed_server.state == STEADY:
                 raise InvariantViolationError(f"{machine.node} doesn't know that {server.row.id} drains")
 
     def _stop(self, server: SimulatedServer) -> None:
--- a/larklb/lab/soak.py
+++ b/larklb/lab/soak.py
@@ -74,7 +74,7 @@
 
     def __init__(self, folder: Path, seconds: float, seed: int) -> None:
         super().__init__(folder, seconds, True)
-        self.seed, self.chance = seed, random.Random(seed)
+        self.seed, self.rng = seed, random.Random(seed)
         self.soak_servers = [
             SoakServer(s.id, s.service, s.zone, s.ip, s.port, s.controls, random.Random(seed + k))
             for k, s in enumerate(self.servers)
@@ -93,7 +93,7 @@
 
     def _target(self) -> int:
         ready = self.clients.ready() or list(range(LIMITERS))
-        return self.chance.choice(ready)
+        return self.rng.choice(ready)
 
     async def play(self) -> Result:
         """Runs the soak, from the first start to the final checks.
@@ -130,28 +130,28 @@
                 yield asyncio.ensure_future(self._repeat(step, until))
 
     async def _repeat(self, step: Step, until: float) -> None:
-        clock, chance = asyncio.get_running_loop().time, random.Random(self.chance.random())
-        await asyncio.sleep(chance.uniform(0.2, 1.5))
-        gap = chance.uniform(0.2, 1.6)
+        clock, rng = asyncio.get_running_loop().time, random.Random(self.rng.random())
+        await asyncio.sleep(rng.uniform(0.2, 1.5))
+        gap = rng.uniform(0.2, 1.6)
         while clock() < until - 0.5:
-            await step(chance)
-            await asyncio.sleep(gap * chance.uniform(0.3, 1.7))
+            await step(rng)
+            await asyncio.sleep(gap * rng.uniform(0.3, 1.7))
 
-    async def _restart(self, i: int, signal_number: signal.Signals, chance: random.Random) -> None:
+    async def _restart(self, i: int, signal_number: signal.Signals, rng: random.Random) -> None:
         if i in self.restarting:
             return
         self.restarting.add(i)
         try:
             if i < CORES:
                 async with self.core_lock:
-                    await self._restart_process(i, signal_number, chance)
+                    await self._restart_process(i, signal_number, rng)
                     await self._wait_until_serving(i)
             else:
-                await self._restart_process(i, signal_number, chance)
+                await self._restart_process(i, signal_number, rng)
         finally:
             self.restarting.discard(i)
 
-    async def _restart_process(self, i: int, signal_number: signal.Signals, chance: random.Random) -> None:
+    async def _restart_process(self, i: int, signal_number: signal.Signals, rng: random.Random) -> None:
         clock, process = asyncio.get_running_loop().time, self.processes[i]
         # A process that has just started may not handle the signal yet, and is then ended by it.
         expected_codes = (0,) if await self.status(i, calls.COUNTS) else (0, -signal.SIGTERM)
@@ -171,7 +171,7 @@
             self.broken.append(
                 Violation("end", f"limiter-{i} ended with {process.returncode}: {self.last(i)}")
             )
-        await asyncio.sleep(chance.uniform(*DOWN_S))
+        await asyncio.sleep(rng.uniform(*DOWN_S))
         await self.start(i, False)
 
     async def _wait_until_serving(self, i: int) -> None:
@@ -181,22 +181,22 @@
                 return
             await asyncio.sleep(0.1)
 
-    async def _term(self, chance: random.Random) -> None:
-        await self._restart(chance.randrange(LIMITERS), signal.SIGTERM, chance)
+    async def _term(self, rng: random.Random) -> None:
+        await self._restart(rng.randrange(LIMITERS), signal.SIGTERM, rng)
 
-    async def _kill(self, chance: random.Random) -> None:
-        await self._restart(chance.randrange(LIMITERS), signal.SIGKILL, chance)
+    async def _kill(self, rng: random.Random) -> None:
+        await self._restart(rng.randrange(LIMITERS), signal.SIGKILL, rng)
 
-    async def _hang_up(self, chance: random.Random) -> None:
-        i = chance.randrange(LIMITERS)
+    async def _hang_up(self, rng: random.Random) -> None:
+        i = rng.randrange(LIMITERS)
         # A process that has just started doesn't handle signals yet.
         if i not in self.restarting and (await self.status(i, calls.COUNTS)).get("ready"):
             self.counts["SIGHUP"] += 1
             self.processes[i].send_signal(signal.SIGHUP)
 
-    async def _amend(self, chance: random.Random) -> None:
-        route = {**CONFIGURATION["hosts"][0]["paths"][1], "timeoutMs": chance.randrange(3_500, 4_500)}
-        base, self.version = self.version, self.version + chance.randrange(1, 4)
+    async def _amend(self, rng: random.Random) -> None:
+        route = {**CONFIGURATION["hosts"][0]["paths"][1], "timeoutMs": rng.randrange(3_500, 4_500)}
+        base, self.version = self.version, self.version + rng.randrange(1, 4)
         await self.change(
             calls.AMEND,
             base,
--- a/larklb/lab/soak_clients.py
+++ b/larklb/lab/soak_clients.py
@@ -81,7 +81,7 @@
 
     name: str
     net: Net
-    chance: random.Random
+    rng: random.Random
     limiter: Callable[[], int]
     requests: list[ClientRequest] = field(factory=list)
     number: int = 0
@@ -99,7 +99,7 @@
                 continue
             try:
                 while clock() < until and await self._send_request(limiter, reader, writer):
-                    await asyncio.sleep(PAUSE_S * self.chance.random())
+                    await asyncio.sleep(PAUSE_S * self.rng.random())
             finally:
                 writer.transport.abort()
 
@@ -109,7 +109,7 @@
         """Sends one request; returns whether its connection can be reused."""
         clock = asyncio.get_running_loop().time
         self.number += 1
-        safe = self.chance.random() >= UNSAFE_FRACTION
+        safe = self.rng.random() >= UNSAFE_FRACTION
         path = f"{'/parts/' if safe else '/orders/'}{self.name}-{self.number}"
         request = ClientRequest(path, safe, limiter, clock())
         self.requests.append(request)
@@ -119,8 +119,8 @@
             f"X-Time-Left: {CLIENT_TIMEOUT_S * 1000:.0f}\r\nAuthorization: Bearer {KEY}\r\n{length}\r\n"
             f"{'' if safe else '{}'}".encode()
         )
-        leaves_early = self.chance.random() < LEAVE_FRACTION
-        timeout_s = self.chance.uniform(*LEAVE_S) if leaves_early else CLIENT_TIMEOUT_S + 1.0
+        leaves_early = self.rng.random() < LEAVE_FRACTION
+        timeout_s = self.rng.uniform(*LEAVE_S) if leaves_early else CLIENT_TIMEOUT_S + 1.0
         try:
             async with asyncio.timeout(timeout_s):
                 head, headers = await read_head(reader)
@@ -128,7 +128,7 @@
                 request.status = int(head.split()[1])
         except TimeoutError:
             request.closed_at = clock()
-            if leaves_early and self.chance.random() < 0.5:
+            if leaves_early and self.rng.random() < 0.5:
                 writer.close()  # sends a FIN; without it the connection is reset
                 await asyncio.sleep(0)
             return False
--- a/tests/test_control_faults.py
+++ b/tests/test_control_faults.py
@@ -98,7 +98,7 @@
 
 
 @pytest.mark.parametrize(
-    ("told", "last", "why"),
+    ("calls", "last", "why"),
     [
         (history(order(1, 0, 1, 0, 5)), Read(0, "", 9, 10), "is lost"),
         (history(order(1, 0, 1, 0, refused=5)), Read(1, "order 1", 9, 10), "was refused, and is in force"),
@@ -110,23 +110,23 @@
         (history(order(1, 0, 1, 0, 5), order(2, 1, 2, 6, 8)), Read(2, "order 2", 9, 10), ""),
     ],
 )
-def test_histories_that_are_not_linearizable_are_rejected(told: History, last: Read, why: str) -> None:
+def test_histories_that_are_not_linearizable_are_rejected(calls: History, last: Read, why: str) -> None:
     if not why:
-        told.check(last)
-        told.reads.append(Read(1, "order 1", 8.5, 8.9))
+        calls.check(last)
+        calls.reads.append(Read(1, "order 1", 8.5, 8.9))
         why = "no moment"
     with pytest.raises(InvariantViolationError, match=why):
-        told.check(last)
+        calls.check(last)
 
 
 def test_conflicting_answers_are_rejected_at_once() -> None:
     one, other = order(1, 0, 1, 0), order(2, 0, 2, 0)
-    told = history(one, other)
-    told.acknowledge(one, 1.0)
+    calls = history(one, other)
+    calls.acknowledge(one, 1.0)
     with pytest.raises(InvariantViolationError):
-        told.acknowledge(other, 2.0)
+        calls.acknowledge(other, 2.0)
     with pytest.raises(InvariantViolationError):
-        told.refuse(one, 2.0)
+        calls.refuse(one, 2.0)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -19,7 +19,7 @@
 
 def broken(request: ClientRequest, *runs: Run, kills: tuple[tuple[int, float], ...] = ()) -> list[str]:
     soak = Soak.__new__(Soak)
-    soak.kills, soak.chance = list(kills), random.Random(1)
+    soak.kills, soak.rng = list(kills), random.Random(1)
     return [found.rule for found in soak._check_request(request, list(runs))]
 
 
