--- a/tests/test_adopt.py
+++ b/tests/test_adopt.py
@@ -1,4 +1,4 @@
-"""Use counted by an instance that does not come back: exported by another one, once."""
+"""Adoption: use counted by a lost instance is exported by another instance, exactly once."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     return operator_text(f'url = "{receiver.url}"', seal_s).replace("[export]", ADOPT + "[export]")
 
 
-def test_the_others_look_in_turns_once_a_lock_was_free_for_long_enough() -> None:
+def test_adoptions_are_due_at_staggered_times_after_the_lock_is_free() -> None:
     assert due_adoptions(10.0, {"a": 9.5, "b": 8.9}, 1.0, {}) == ["b"]
     assert due_adoptions(10.0, {"a": 8.9}, 1.0, {"a": 1}) == []
     assert due_adoptions(10.0, {"a": 8.4}, 1.0, {"a": 1}) == ["a"]
@@ -38,8 +38,8 @@
 
 
 @pytest.mark.parametrize("moods", [[], ["break"], ["500", "refuse"], ["reset", "old"]])
-def test_what_a_lost_instance_counted_is_exported_by_one_other_once(tmp_path: Path, moods: list[str]) -> None:
-    """Killed with its export half acknowledged; it comes back later, and counts on."""
+def test_use_of_a_lost_instance_is_exported_once_by_one_other(tmp_path: Path, moods: list[str]) -> None:
+    """The instance is killed during its export, with some batches acknowledged, and returns later."""
     async def go() -> None:
         receiver = Receiver(moods)
         await receiver.start()
@@ -48,7 +48,7 @@
             for i in range(7):
                 assert (await ask(lost.port, job(account=i, service="place-order")))[0] == 200
             for _ in range(200 if moods else 0):
-                if receiver.deliveries:                     # the first has reached it, unanswered as yet
+                if receiver.deliveries:        # the first batch has arrived and is not acknowledged yet
                     break
                 await asyncio.sleep(0.01)
             await lost.stop(signal.SIGKILL)
@@ -66,13 +66,13 @@
                 counts.update(await limiter.counters())
             assert counts["adopted.ledgers"] == 1 and not counts["errors.adopted"]
             for _ in range(100):
-                if not is_locked(folder):        # while the heir is at work a start is turned down
+                if not is_locked(folder):        # a start fails while the adopter has the lock
                     break
                 await asyncio.sleep(0.05)
             await lost.start()
             for i in range(2):
                 assert (await ask(lost.port, job(account=i)))[0] == 200
-            assert await lost.stop() == 0                      # away again: what it counted since is adopted
+            assert await lost.stop() == 0  # lost again: its further use is adopted
             await all_received(receiver, 9)
             found = audit(folder, "n0")
             assert receiver.tries() == 9 == found.tally.counted.tries and not found.differences
@@ -81,7 +81,7 @@
     asyncio.run(go())
 
 
-def test_nothing_is_taken_from_an_instance_that_is_there(tmp_path: Path) -> None:
+def test_running_instance_is_not_adopted(tmp_path: Path) -> None:
     async def go() -> None:
         receiver = Receiver()
         await receiver.start()
@@ -95,7 +95,7 @@
     asyncio.run(go())
 
 
-def test_one_that_was_away_for_a_moment_exports_by_itself(tmp_path: Path) -> None:
+def test_briefly_absent_instance_exports_its_own_use(tmp_path: Path) -> None:
     async def go() -> None:
         receiver = Receiver()
         await receiver.start()
@@ -110,7 +110,7 @@
     asyncio.run(go())
 
 
-def test_an_operator_sees_what_a_lost_instance_left_before_it_is_taken(tmp_path: Path) -> None:
+def test_adopt_command_shows_the_use_before_exporting_it(tmp_path: Path) -> None:
     async def go() -> None:
         receiver = Receiver()
         await receiver.start()
@@ -129,7 +129,7 @@
     asyncio.run(go())
 
 
-def test_without_adoption_it_waits_for_its_own_process(tmp_path: Path) -> None:
+def test_use_waits_for_its_own_instance_if_adoption_is_off(tmp_path: Path) -> None:
     async def go() -> None:
         receiver = Receiver()
         await receiver.start()
--- a/tests/test_desk.py
+++ b/tests/test_desk.py
@@ -1,4 +1,4 @@
-"""Plans and reservations at running instances, by the commands that operators use."""
+"""Plans, reservations and the administrative address of instances, through the operators' commands."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def plans(*versions: tuple[int, float, str]) -> str:
-    """Versions that count so many seconds from now."""
+    """Returns a catalogue with versions that take effect so many seconds from now."""
     return "".join(
         f"[[version]]\nnumber = {number}\nfrom = "
         f"{(datetime.now(UTC) + timedelta(seconds=after)).isoformat(timespec='milliseconds')}\n{text}\n"
@@ -54,7 +54,7 @@
     return [yard.limiters[(owner + i) % 3] for i in range(3)]
 
 
-def test_a_change_of_plans_reaches_all_instances_and_each_try_has_one_version(tmp_path: Path) -> None:
+def test_change_of_plans_reaches_all_instances_and_each_try_has_one_version(tmp_path: Path) -> None:
     async def go() -> None:
         (tmp_path / "plans.toml").write_text(first := plans((1, -60, burst(5.0))))
         async with Yard(tmp_path, limiters=3, more=MORE) as yard:
@@ -78,7 +78,7 @@
                 name = (f"{int(r['account'], 16)} {r['plan']}", r["version"])
                 by_version[name] = by_version.get(name, 0) + r["tries"]
             assert by_version == {("1 slow", 1): 5, ("2 wide", 2): 15, ("3 slow", 2): 5}
-            # Out of order, or broken: one line says why, and nothing changes anywhere.
+            # An invalid or out-of-order catalogue is rejected with one line, and nothing changes.
             for text, words, expected in ((first, "ends with version 1", 3), ("x", "new.toml: ", 2),
                                           (first + plans((2, 0.0, burst(9.0))), "version 2 differs", 3)):
                 new.write_text(text)
@@ -89,7 +89,7 @@
     asyncio.run(go())
 
 
-def test_sighup_reads_the_plans_anew_and_a_bad_file_changes_nothing(tmp_path: Path) -> None:
+def test_sighup_reloads_the_plans_and_an_invalid_file_changes_nothing(tmp_path: Path) -> None:
     async def go() -> None:
         path = tmp_path / "plans.toml"
         path.write_text(first := plans((1, -60, burst(6.0))))
@@ -100,7 +100,7 @@
             other.process.send_signal(signal.SIGHUP)
             await asyncio.sleep(0.3)
             assert (await other.counters())["errors.plans"] == 1
-            # The change comes while the owner is down, and one limiter learns of it by SIGHUP alone.
+            # The change is made while the owner is down, and one limiter learns of it only by SIGHUP.
             await owner.stop(signal.SIGKILL)
             path.write_text(first)
             (tmp_path / "new").write_text(first + plans((2, -1, burst(4.0))))
@@ -113,14 +113,14 @@
             await asyncio.sleep(0.3)
             assert await granted(third, 2, account=9) == 2
             status, said = await larklb("plans", "show", operator, "--live", "--json")
-            told = {r["name"]: r["newest"] for r in map(json.loads, said.splitlines())}
-            assert status == 1 and told == {owner.name: 2, other.name: 2, third.name: 3}
+            newest_versions = {r["name"]: r["newest"] for r in map(json.loads, said.splitlines())}
+            assert status == 1 and newest_versions == {owner.name: 2, other.name: 2, third.name: 3}
             versions = {r["version"] for r in await rows(operator) if r["account"] == f"{1:016x}"}
             assert versions == {2}, "the owner's version, whichever limiter asked"
     asyncio.run(go())
 
 
-def test_the_platform_file_without_more_has_no_admin_address(tmp_path: Path) -> None:
+def test_instance_without_operator_settings_has_no_admin_address(tmp_path: Path) -> None:
     async def go() -> None:
         async with Yard(tmp_path, second_front=True) as yard:
             assert (await granted(yard.limiters[0], 11, spread=1)) == 10
@@ -135,7 +135,7 @@
                         "--json")
 
 
-def test_reserved_units_survive_the_death_of_all_instances_and_are_drawn_once(tmp_path: Path) -> None:
+def test_reserved_units_survive_a_kill_of_all_instances_and_are_drawn_once(tmp_path: Path) -> None:
     async def go() -> None:
         (tmp_path / "plans.toml").write_text("")
         async with Yard(tmp_path, limiters=3, more=MORE) as yard:
@@ -153,7 +153,7 @@
                 await x.stop(signal.SIGKILL)
             for x in limiters:
                 await x.start()
-            # The buckets are full again, as they are without a store; what was reserved is what was left.
+            # Without a store the buckets are full again; of the reservation only the rest is left.
             assert sum([await granted(x, 8) for x in limiters]) == 14
             _, said = await larklb("reserve", "show", operator, "refit", "--json")
             assert (row := json.loads(said))["state"] == "spent" and row["drawn"] == 9.0 and row["owner"]
@@ -172,7 +172,7 @@
     asyncio.run(go())
 
 
-def test_a_window_that_opens_while_the_owner_is_down_is_drawn_in_parts_and_settled(tmp_path: Path) -> None:
+def test_reservation_is_drawn_in_parts_while_its_owner_is_down_and_settled_later(tmp_path: Path) -> None:
     async def go() -> None:
         (tmp_path / "plans.toml").write_text("")
         async with Yard(tmp_path, limiters=3, more=MORE) as yard:
@@ -181,10 +181,10 @@
             assert (await reserve(operator, "refit", "6", begin=begin.isoformat()))[0] == 0
             await owner.stop(signal.SIGKILL)
             await asyncio.sleep(max(0.0, begin.timestamp() - time.time()) + 0.1)
-            apart = [await granted(x, 10) for x in others]
-            assert apart == [5, 5], "a slice of 3 each, and 6 / 3 reserved units"
+            remote_draws = [await granted(x, 10) for x in others]
+            assert remote_draws == [5, 5], "a slice of 3 each, and 6 / 3 reserved units"
             for x in others:
-                await x.stop(signal.SIGKILL)            # what they drew must not be forgotten either
+                await x.stop(signal.SIGKILL)            # their draws must survive as well
                 await x.start()
             await owner.start()
             for x in others:
@@ -201,7 +201,7 @@
     ('[state]\nfolder="v"\n[ledger]\n[export]\n', "either a url or a folder"),
     ('[state]\nfolder="v"\n[reservations]\nfleet_share=1.5\n', "the shares"), ('[plans]\n', "file"),
     ('[export]\nurl="x"\n', "needs a [ledger]"), ('[plans]\nfile="p"\nname="q"\n', "name")])
-def test_an_operators_file_that_makes_no_sense_is_told_in_one_line(
+def test_invalid_operator_file_is_reported_in_one_line(
         tmp_path: Path, text: str, why: str) -> None:
     path = tmp_path / "operator.toml"
     path.write_text(text + '[[instance]]\nname = "n0"\nconfig = "n0.json"\n')
@@ -210,7 +210,7 @@
     assert why in str(error.value) and "\n" not in str(error.value)
 
 
-def test_the_admin_address_is_its_owners_alone_and_bad_questions_harm_nobody(tmp_path: Path) -> None:
+def test_admin_socket_is_private_and_invalid_requests_are_answered_with_errors(tmp_path: Path) -> None:
     async def go() -> None:
         calls = []
 
--- a/tests/test_running_out.py
+++ b/tests/test_running_out.py
@@ -1,4 +1,4 @@
-"""Out of disk, descriptors or memory, and back: what was taken is answered, and what is kept stays right."""
+"""Exhaustion of disk, descriptors or memory: accepted jobs are answered and stored data stays correct."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class Disk:
-    """Fails the n-th call of one of os's functions, and each after it while ``lasting``."""
+    """Makes functions of ``os`` fail after ``after`` calls, once or, if ``lasting``, from then on."""
 
     def __init__(self, patch: pytest.MonkeyPatch, *names: str, after: int = 0, lasting: bool = True,
                  code: int = errno.ENOSPC) -> None:
@@ -43,8 +43,8 @@
         return call
 
 
-async def mended(x: Ledger) -> None:
-    """Upkeep has had its turns: however slow the machine, they end."""
+async def maintenance_done(x: Ledger) -> None:
+    """Waits until maintenance has restored the ledger, for a limited time."""
     for _ in range(500):
         if not (x.log.broken or x.failing or x.unwritten):
             break
@@ -54,9 +54,9 @@
 # The log, the ledger and the reservations ---------------------------------------------------
 
 
-def test_a_torn_end_that_cannot_be_cut_off_is_cut_before_the_next_record(
+def test_failed_truncation_is_retried_before_the_next_record(
         tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The failure of the cut itself was no LogError: whoever waited for the record waited for good."""
+    """A failed truncation raised no LogError, and whoever waited for the record was blocked forever."""
     log, real = Log(tmp_path / "log"), os.pwrite
 
     def half(fd: int, data: bytes, at: int) -> int:
@@ -75,9 +75,9 @@
     log.close()
 
 
-def test_a_log_whose_sync_failed_is_whole_again_once_it_is_written_anew(
+def test_rewrite_restores_a_log_whose_sync_failed(
         tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """It stayed closed to all records until a restart, with all that came meanwhile in memory alone."""
+    """The log rejected all records until a restart, while later ones were kept in memory only."""
     async def go() -> None:
         x = ledger(tmp_path)
         await served(x, "before")
@@ -86,10 +86,10 @@
             with pytest.raises(LogError):
                 await x.sync()
             with pytest.raises(LogError, match="could not be brought"):
-                await x.sync()                  # a second try may claim what the first one lost
+                await x.sync()                  # a second fsync may report success for lost data
         await served(x, "meanwhile")
         keeping = asyncio.create_task(x.run_maintenance(10.0, 1e6))
-        await mended(x)
+        await maintenance_done(x)
         await served(x, "after")
         x.flush()
         keeping.cancel()
@@ -98,9 +98,9 @@
     asyncio.run(go())
 
 
-def test_a_batch_whose_acknowledgement_was_not_kept_stays_in_the_outbox(
+def test_batch_stays_in_the_outbox_if_its_acknowledgement_cannot_be_written(
         tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Its file went all the same: a kill before there was room left an instance that did not start."""
+    """The file was removed all the same, and after a kill the instance could not be started."""
     async def go() -> None:
         x = ledger(tmp_path)
         await served(x, "j")
@@ -111,7 +111,7 @@
             for _ in range(2):
                 with pytest.raises(LogError):
                     await x.mark_acknowledged(batch)
-        x.folder_lock.close()                                     # killed here
+        x.folder_lock.close()              # as after a kill
         y = ledger(tmp_path)
         assert [b.seq for b in y.ready()] == [batch.seq] and y.file(batch).exists()
         await y.mark_acknowledged(y.ready()[0])
@@ -120,9 +120,9 @@
     asyncio.run(go())
 
 
-def test_after_more_than_memory_holds_the_ledger_goes_on_and_can_be_read(
+def test_ledger_stays_usable_after_dropping_records(
         tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The end of a try whose begin was dropped broke the sums, the jobs that waited, and the next start."""
+    """The end of a try whose begin was dropped broke the sums, waiting jobs and the next start."""
     async def go() -> None:
         x = ledger(tmp_path)
         monkeypatch.setattr(ledger_module, "MAX_UNWRITTEN_RECORDS", 5)
@@ -144,9 +144,9 @@
 
 
 @pytest.mark.parametrize("code", [errno.ENOSPC, errno.EIO])
-def test_use_is_billed_once_whichever_write_or_sync_fails(
+def test_use_is_billed_once_whichever_system_call_fails(
         tmp_path: Path, monkeypatch: pytest.MonkeyPatch, code: int) -> None:
-    """Each call fails, once and for a while; then there is room, a kill, and a start."""
+    """Each call fails, once or persistently; then the disk recovers and the process is restarted."""
     async def day(folder: Path, after: int, lasting: bool) -> bool:
         counters, billed = Counters("n0"), dict[str, bytes]()
 
@@ -169,13 +169,13 @@
                     except (LogError, OSError):
                         pass
             reached = disk.left < 0
-        keeping = asyncio.create_task(x.run_maintenance(1.0, 1e6))     # there is room again
+        keeping = asyncio.create_task(x.run_maintenance(1.0, 1e6))     # the disk has recovered
         await asyncio.wait_for(served(x, "last"), 5)
-        await mended(x)
+        await maintenance_done(x)
         keeping.cancel()
         x.flush()
         assert not x.failing and not x.log.broken
-        x.folder_lock.close()                                     # killed here
+        x.folder_lock.close()              # as after a kill
         x.log.close()
         y = Ledger(folder, "n0", counters, clock=lambda: 1e6)
         await y.seal()
@@ -192,9 +192,9 @@
     assert next(steps) > 30
 
 
-def test_no_memory_for_a_count_keeps_no_job_waiting(
+def test_memory_error_in_a_write_blocks_no_job(
         tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The records were gone, and the jobs that waited for them were never sent."""
+    """The records were lost, and the jobs that waited for them were never sent."""
     async def go() -> None:
         x = ledger(tmp_path)
         real, calls = x.log.append, itertools.count()
@@ -218,9 +218,9 @@
     return reservations, ReservationLog(folder / "reservations.log", reservations, 0.0)
 
 
-def test_draws_that_the_disk_did_not_take_are_written_once_it_does(
+def test_draws_that_could_not_be_written_are_written_later(
         tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """They were forgotten with the process, long after there was room again, and could be drawn twice."""
+    """The draws were never written, even after the disk had recovered, and could be drawn twice."""
     for code, names in ((errno.ENOSPC, ("pwrite",)), (errno.EIO, ("fsync",))):
         folder = tmp_path / names[0]
         folder.mkdir()
@@ -240,20 +240,20 @@
                 kept.record_draw(io.RecordDraw(a.tag, a.drawn), 0)
         b.draw(1.0)
         kept.record_draw(io.RecordDraw(b.tag, b.drawn), 0)
-        again, _ = reserved_log(folder)                    # killed, and started
+        again, _ = reserved_log(folder)                    # after a kill and restart
         assert {r.wanted.name: r.drawn for r in again.by_name.values()} == {"a": 4.0, "b": 1.0}
 
 
-def test_a_folder_that_cannot_be_synced_is_a_log_error(
+def test_failed_sync_of_a_folder_is_a_log_error(
         tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """It ended the task that tidies the reservations, for good and unheard."""
+    """The error silently ended the task that compacts the log of reservations."""
     _, kept = reserved_log(tmp_path)
     Disk(monkeypatch, "open", after=1, code=errno.EMFILE)
     with pytest.raises(LogError):
         kept.log.rewrite([])
 
 
-def test_a_half_written_file_is_never_in_place(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_partial_file_never_replaces_the_old_one(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     state_folder.write_file_atomically(tmp_path / "f", b"old")
     for after in range(3):
         with monkeypatch.context() as patch:
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -1,4 +1,4 @@
-"""The log and the folder: torn ends are cut, damage is refused, one process holds a folder."""
+"""Durable state: torn tails are truncated, corruption is an error, one process at a time locks a folder."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 RECORDS = [b"a", b"second record", bytes(range(40)), b"\0" * 9, b"last"]
 
 
-def written(path: Path) -> bytes:
+def write_log(path: Path) -> bytes:
     log = Log(path)
     log.append(RECORDS[:2])
     log.append(RECORDS[2:])
@@ -28,8 +28,8 @@
     return path.read_bytes()
 
 
-def test_a_file_cut_at_any_byte_gives_the_records_before_it(tmp_path: Path) -> None:
-    data = written(tmp_path / "log")
+def test_log_truncated_at_any_byte_yields_the_complete_records(tmp_path: Path) -> None:
+    data = write_log(tmp_path / "log")
     ends = [len(MAGIC)]
     for r in RECORDS:
         ends.append(ends[-1] + 8 + len(r))
@@ -44,9 +44,9 @@
         assert replay(path).records == [*RECORDS[:whole], b"goes on"]
 
 
-def test_any_byte_changed_is_cut_as_a_torn_end_or_refused_and_never_read(tmp_path: Path) -> None:
-    """Only the last record can be taken for torn; whatever is read is what was written."""
-    data = written(tmp_path / "log")
+def test_any_changed_byte_is_a_torn_tail_or_an_error(tmp_path: Path) -> None:
+    """Only damage to the last record may count as a torn tail; no damaged record is ever returned."""
+    data = write_log(tmp_path / "log")
     last = len(data) - 8 - len(RECORDS[-1])
     for at in range(len(data)):
         path = tmp_path / "changed"
@@ -58,17 +58,17 @@
                 replay(path)
 
 
-def test_zeros_behind_the_end_are_a_torn_end(tmp_path: Path) -> None:
-    data = written(tmp_path / "log")
+def test_trailing_zeros_are_a_torn_tail(tmp_path: Path) -> None:
+    data = write_log(tmp_path / "log")
     (tmp_path / "log").write_bytes(data + b"\0" * 4096)
     assert replay(tmp_path / "log") == (RECORDS, len(data), 4096)
     (tmp_path / "empty").write_bytes(b"\0" * 100)
     assert replay(tmp_path / "empty").records == []
 
 
-def test_a_full_disk_is_told_and_leaves_no_half_batch(
+def test_full_disk_is_reported_and_leaves_no_partial_append(
         tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    written(tmp_path / "log")
+    write_log(tmp_path / "log")
     log = Log(tmp_path / "log")
     real, room = os.pwrite, [30]
 
@@ -88,7 +88,7 @@
     assert replay(tmp_path / "log").records == [*RECORDS, b"there is room again"]
 
 
-def test_after_a_failed_sync_nothing_more_is_written(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_failed_sync_rejects_further_writes(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     log = Log(tmp_path / "log")
 
     def broken(fd: int) -> None:
@@ -102,7 +102,7 @@
 
 
 @pytest.mark.parametrize("dies_at", ["rewrite.written", "rewrite.synced", "rewrite.renamed", ""])
-def test_a_rewrite_ends_as_the_old_log_or_the_new_one_with_what_came_meanwhile(
+def test_interrupted_rewrite_leaves_the_old_or_the_new_log_with_later_records(
         tmp_path: Path, dies_at: str) -> None:
     class DiedError(Exception):
         pass
@@ -112,7 +112,7 @@
             raise DiedError
 
     path = tmp_path / "log"
-    written(path)
+    write_log(path)
     log = Log(path, step)
     log.append([b"before"])
     new = [b"sum of all"]
@@ -130,7 +130,7 @@
     assert replay(path).records == (old if dies_at in ("rewrite.written", "rewrite.synced") else new)
 
 
-def test_a_folder_is_held_by_one_process_and_freed_by_its_death(tmp_path: Path) -> None:
+def test_folder_is_locked_by_one_process_and_released_by_its_death(tmp_path: Path) -> None:
     code = ("import sys, pathlib; from larklb.state.folder import LockedFolder; "
             "f = LockedFolder(pathlib.Path(sys.argv[1])); print('held', flush=True); sys.stdin.read()")
     other = subprocess.Popen([sys.executable, "-c", code, str(tmp_path)], cwd=ROOT, stdin=subprocess.PIPE,
@@ -145,8 +145,8 @@
     LockedFolder(tmp_path).close()
 
 
-def test_a_start_waits_for_one_who_only_looks_at_its_folder(tmp_path: Path) -> None:
-    """Others look whether an instance is there: a start that came just then found its folder in use."""
+def test_start_waits_for_a_concurrent_check_of_its_folder(tmp_path: Path) -> None:
+    """A check whether an instance runs locks its folder for a moment, and a start at that time failed."""
     LockedFolder(tmp_path).close()
     code = ("import fcntl, sys, time; f = open(sys.argv[1]); fcntl.flock(f, fcntl.LOCK_SH); "
             "print('looks', flush=True); time.sleep(0.4)")
@@ -159,7 +159,7 @@
     other.communicate()
 
 
-def test_a_file_is_there_whole_or_not_at_all(tmp_path: Path) -> None:
+def test_file_is_replaced_atomically(tmp_path: Path) -> None:
     def dies_at(name: str) -> Callable[[str], None]:
         def step(at: str) -> None:
             if at == name:
@@ -175,7 +175,7 @@
     assert (tmp_path / "f").read_bytes() == b"newer"
 
 
-def test_a_record_longer_than_any_is_no_length(tmp_path: Path) -> None:
+def test_excessive_record_length_is_treated_as_corrupt(tmp_path: Path) -> None:
     path = tmp_path / "log"
     path.write_bytes(MAGIC + (state_log.MAX_RECORD_BYTES + 1).to_bytes(4, "big") + b"\0" * 40)
     assert replay(path).records == []
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -1,4 +1,4 @@
-"""Use, counted and exported once and only once: the tally, the ledger, and real instances that are killed."""
+"""Metering: use is counted and exported exactly once, also by instances that are killed."""
 
 from __future__ import annotations
 
@@ -102,7 +102,7 @@
     assert tally.cut.units == waiting + acked_events
 
 
-def test_a_batch_is_a_cloudevents_batch_and_always_the_same_bytes() -> None:
+def test_batch_is_encoded_as_deterministic_cloudevents() -> None:
     rows = [t.Row(KEY, 2_500_000, 3), t.Row(KEY._replace(reservation=255, beyond=True), 1, 1)]
     batch = t.Batch(7, 2, 1_700_000_000_000.0, rows, t.Sum(2_500_001, 4))
     data = t.batch_bytes("n0", batch)
@@ -121,7 +121,7 @@
 # The ledger and the exporter in this process --------------------------------------------
 
 
-def test_a_count_is_in_the_file_before_its_first_byte_and_one_write_serves_a_turn(tmp_path: Path) -> None:
+def test_begins_are_written_first_and_one_write_serves_a_turn_of_the_loop(tmp_path: Path) -> None:
     async def go() -> None:
         writes: list[str] = []
         x = ledger(tmp_path, step=lambda name: writes.append(name) if name == "appended" else None)
@@ -140,12 +140,12 @@
     asyncio.run(go())
 
 
-def test_what_was_in_flight_at_a_kill_counts_and_is_listed(tmp_path: Path) -> None:
+def test_tries_in_flight_at_a_kill_count_and_are_listed(tmp_path: Path) -> None:
     async def go() -> None:
         x = ledger(tmp_path)
         await served(x, "done")
         await x.begin("in flight", KEY, 2.0)
-        x.folder_lock.close()                      # as at a kill: nothing is closed in order
+        x.folder_lock.close()              # as after a kill
         again = ledger(tmp_path)
         assert again.tally.counted == t.Sum(3_000_000, 2) and again.tally.incarnation == 2
         assert [(d.job, d.incarnation) for d in again.tally.doubts] == [("in flight", 1)]
@@ -154,7 +154,7 @@
 
 
 @pytest.mark.parametrize("mood", ["break", "500", "late", "reset", "old", "refuse"])
-def test_a_batch_goes_out_again_unchanged_until_it_is_acknowledged(
+def test_batch_is_resent_unchanged_until_acknowledged(
         tmp_path: Path, mood: str, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(ex, "DELIVERY_TIMEOUT_S", 0.3)
 
@@ -162,8 +162,8 @@
         receiver = Receiver(["ok", mood, mood])
         await receiver.start()
         x = ledger(tmp_path)
-        to = ex.receiver(receiver.url)
-        exporter = ex.Exporter(x, x.counters, to, max_wait_s=0.1)
+        endpoint = ex.receiver(receiver.url)
+        exporter = ex.Exporter(x, x.counters, endpoint, max_wait_s=0.1)
         await served(x, "first")
         assert await x.seal() == 1 and await exporter.all() == 1
         for i in range(4):
@@ -181,7 +181,7 @@
     asyncio.run(go())
 
 
-def test_retries_back_off_within_their_bound_and_tell_once(
+def test_retries_back_off_within_their_maximum_and_warn_once(
         tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
     async def go() -> None:
         x = ledger(tmp_path)
@@ -198,15 +198,15 @@
         with pytest.raises(asyncio.CancelledError):
             await exporter.run(sleep)
         for i, pause in enumerate(pauses):
-            most = min(4.0, 0.5 * 2**i)
-            assert most / 2 <= pause <= most
+            longest = min(4.0, 0.5 * 2**i)
+            assert longest / 2 <= pause <= longest
         assert len(set(pauses)) == 8 and x.counters["errors.export"] == 8
         assert sum("is kept" in r.message for r in caplog.records) == 1
         x.close()
     asyncio.run(go())
 
 
-def test_a_receiver_that_stays_away_costs_bounded_disk_and_memory_and_loses_nothing(
+def test_unavailable_receiver_costs_bounded_disk_and_memory_and_loses_nothing(
         tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture) -> None:
     monkeypatch.setattr(ledger_module, "MAX_ROWS", 30)
 
@@ -234,7 +234,7 @@
     asyncio.run(go())
 
 
-def test_a_clock_set_back_opens_no_former_period_and_a_period_over_while_down_is_told(tmp_path: Path) -> None:
+def test_clock_set_back_reopens_no_period_and_a_period_ending_while_down_is_exported(tmp_path: Path) -> None:
     async def go() -> None:
         clock = Clock(7200.0 * 100)
         x = ledger(tmp_path, clock=clock)
@@ -253,7 +253,7 @@
     asyncio.run(go())
 
 
-def test_a_disk_that_takes_nothing_stops_no_job_and_is_told_and_made_up_for(
+def test_full_disk_blocks_no_job_and_the_use_is_written_later(
         tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture) -> None:
     async def go() -> None:
         x = ledger(tmp_path)
@@ -276,7 +276,7 @@
     asyncio.run(go())
 
 
-def test_damage_is_refused_and_a_missing_or_changed_batch_is_named(tmp_path: Path) -> None:
+def test_corruption_is_an_error_and_a_missing_or_changed_batch_is_named(tmp_path: Path) -> None:
     async def go() -> None:
         x = ledger(tmp_path)
         for i in range(5):
@@ -311,7 +311,7 @@
 
 
 async def larklb(*words: str, env: dict[str, str] | None = None) -> tuple[int, str]:
-    """A command, and its status and all that it prints."""
+    """Runs a command and returns its exit status and output."""
     process = await asyncio.create_subprocess_exec(
         sys.executable, "-m", "larklb", *words, env={**os.environ, "PYTHONPATH": str(ROOT), **(env or {})},
         stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.STDOUT)
@@ -321,9 +321,10 @@
 
 
 async def until_dead(limiter: Limiter, number: int) -> None:
-    """Jobs until the process has died at its step."""
-    until, i = time.monotonic() + 20.0, 0      # steps come with the clock, however many jobs that takes
-    while time.monotonic() < until:
+    """Sends jobs until the process has died at its step."""
+    # Some steps are reached by time, whatever the number of jobs.
+    deadline, i = time.monotonic() + 20.0, 0
+    while time.monotonic() < deadline:
         i += 1
         assert limiter.process is not None
         if limiter.process.returncode is not None:
@@ -335,13 +336,13 @@
     raise AssertionError(f"{limiter.environment} was not reached")
 
 
-async def killed_at(folder: Path, step: str, number: int) -> None:
+async def kill_at_step(folder: Path, step: str, number: int) -> None:
     receiver = Receiver()
     await receiver.start()
     async with Yard(folder, more=operator_text(f'url = "{receiver.url}"')) as yard:
         limiter = yard.limiters[0]
         for n in (1, 3):
-            # The limiter that is up now has no fault; the one after it dies at the step.
+            # The running limiter has no fault configured; its successor dies at the step.
             await limiter.stop(signal.SIGKILL)
             limiter.environment = {"LARKLB_FAULT": f"{step}:{n}"}
             try:
@@ -359,30 +360,31 @@
         assert not found.differences and found.waiting == t.Sum() == found.uncut
         assert receiver.tries() == found.tally.counted.tries and not receiver.differing
         outbox = folder / "var" / "n0" / "use" / "outbox"
-        for _ in range(500):                   # the command is answered ahead of the sync before a file goes
+        # The command is answered before the sync that precedes the removal of a file.
+        for _ in range(500):
             if not list(outbox.iterdir()):
                 break
             await asyncio.sleep(0.02)
         assert not list(outbox.iterdir()), "what is acknowledged goes"
         assert round(receiver.units() * t.MICROUNITS_PER_UNIT) == found.tally.counted.units
-        # The nodes' own record: what the ledger counted beyond it was in flight at a kill, and is listed.
-        seen, doubts = set(yard.seen()), {d.job for d in found.tally.doubts}
-        assert found.tally.counted.tries == len(seen) + len(doubts - seen)
+        # Tries that the ledger counted and no node recorded were in flight at a kill and are in doubt.
+        executed, doubts = set(yard.seen()), {d.job for d in found.tally.doubts}
+        assert found.tally.counted.tries == len(executed) + len(doubts - executed)
         assert await limiter.stop() == 0
     await receiver.stop()
 
 
-def test_killed_at_each_step_the_exported_use_is_the_counted_use(tmp_path: Path) -> None:
+def test_exported_use_equals_counted_use_after_kills_at_each_step(tmp_path: Path) -> None:
     async def go() -> None:
         for some in (STEPS[:8], STEPS[8:]):
             folders = [tmp_path / step for step in some]
             for folder in folders:
                 folder.mkdir()
-            await asyncio.gather(*(killed_at(f, f.name, i) for i, f in enumerate(folders)))
+            await asyncio.gather(*(kill_at_step(f, f.name, i) for i, f in enumerate(folders)))
     asyncio.run(go())
 
 
-def test_an_export_is_taken_up_by_another_process_and_two_do_not_meet(tmp_path: Path) -> None:
+def test_export_command_resumes_an_export_and_excludes_a_running_instance(tmp_path: Path) -> None:
     async def go() -> None:
         receiver = Receiver()
         await receiver.start()
@@ -406,7 +408,7 @@
     asyncio.run(go())
 
 
-def test_both_fronts_count_what_the_quota_counts_and_nothing_else(tmp_path: Path) -> None:
+def test_both_front_ends_count_exactly_what_the_quota_counts(tmp_path: Path) -> None:
     async def go() -> None:
         async with Yard(tmp_path, more=operator_text('folder = "billed"', seal_s=60.0)) as yard:
             limiter, operator = yard.limiters[0], str(yard.operator())
