--- a/larklb/export/adopt.py
+++ b/larklb/export/adoption.py
@@ -56,17 +56,18 @@
     """Adopts the ledgers of lost instances on behalf of one instance."""
 
     def __init__(self, name: str, folders: Mapping[str, Path], after_s: float, counters: Counters,
-                 ledger_of: Callable[[str, Path], Ledger], exporter_of: Callable[[Ledger], Exporter]) -> None:
+                 open_ledger: Callable[[str, Path], Ledger],
+                 make_exporter: Callable[[Ledger], Exporter]) -> None:
         """``folders`` maps the names of all instances, in the order of the operator's file, to their ledgers.
 
-        ``ledger_of`` opens a ledger whose folder is free, and raises LogError if it cannot; ``exporter_of``
-        makes an exporter for it.  ``after_s`` is the time in seconds for which a lock must be free.
+        ``open_ledger`` opens a ledger whose folder is free, and raises LogError if it cannot;
+        ``make_exporter`` makes an exporter for it.  ``after_s`` is the time in seconds for which a lock must be free.
         """
         self.name, self.after_s, self.counters = name, after_s, counters
         self.folders = {n: f for n, f in folders.items() if n != name}
         order = list(folders)
         self.turns = {n: (order.index(name) - order.index(n) - 1) % len(order) for n in self.folders}
-        self.ledger_of, self.exporter_of = ledger_of, exporter_of
+        self.open_ledger, self.make_exporter = open_ledger, make_exporter
         self.free_since: dict[str, float] = {}
 
     async def run(self) -> None:
@@ -93,7 +94,7 @@
         try:
             if not has_unexported_use(folder):
                 return True
-            ledger = self.ledger_of(name, folder)
+            ledger = self.open_ledger(name, folder)
         except LogError as error:
             # A locked folder means that the instance is back, or that another one adopts its ledger.
             if not isinstance(error, FolderLockedError):
@@ -102,7 +103,7 @@
             return False
         try:
             sealed = await ledger.seal()
-            await self.exporter_of(ledger).all()
+            await self.make_exporter(ledger).all()
             self.counters.add("adopted.ledgers")
             log.info("exported the adopted ledger of %s, after sealing %d batches", name, sealed)
         except DeliveryError as error:
--- a/larklb/export/ledger.py
+++ b/larklb/export/ledger.py
@@ -104,7 +104,7 @@
     def _recover(self) -> None:
         """Completes or undoes the steps that a crash interrupted."""
         for path in self.outbox.iterdir():
-            seq = self._seq(path)
+            seq = self._batch_number(path)
             if seq is None or seq not in self.tally.batches:
                 path.unlink()                  # incomplete, or acknowledged
         for batch in list(self.tally.batches.values()):
@@ -115,11 +115,13 @@
                 raise LogError(f"{self.file(batch)}: a sealed batch is missing: put the file back")
         self.outbox_bytes = sum(self.file(b).stat().st_size for b in self.tally.batches.values())
 
-    def _seq(self, path: Path) -> int | None:
+    def _batch_number(self, path: Path) -> int | None:
+        """Returns the batch number in a file's name, or None if it is not the name of a batch."""
         suffix = path.name.removesuffix(".json").rpartition("-")[2]
         return int(suffix) if path.suffix == ".json" and suffix.isdigit() else None
 
     def file(self, batch: t.Batch) -> Path:
+        """Returns the path of a batch's file in the outbox."""
         return self.outbox / f"{t.batch_id(self.instance, batch)}.json"
 
     # Counting -----------------------------------------------------------------------------
@@ -138,7 +140,7 @@
         return key
 
     async def begin(self, job: str, key: t.Key, units: float) -> Ticket:
-        """Records the begin of a try; returns once it is written, after which the first byte may be sent."""
+        """Records the begin of a try; the first byte may be sent once this returns."""
         self.last_ticket += 1
         ticket = Ticket(self.last_ticket)
         self.enqueue(t.Begun(ticket.number, job, key, round(units * t.MICROUNITS_PER_UNIT)))
--- a/larklb/operator_services.py
+++ b/larklb/operator_services.py
@@ -26,7 +26,7 @@
 from larklb.counters import Counters
 from larklb.export import exporter as ex
 from larklb.export import tally as t
-from larklb.export.adopt import Adopter
+from larklb.export.adoption import Adopter
 from larklb.export.ledger import Ledger
 from larklb.fields import MalformedError, parse_account
 from larklb.fleet.verdicts import LIMITER, ZONE
@@ -40,7 +40,7 @@
 from larklb.settings import Config, ConfigError, ExportEntry, InstanceEntry, LedgerEntry, Operator
 from larklb.state.folder import LockedFolder
 from larklb.state.log import LogError, Step
-from larklb.state.reserved import ReservationLog
+from larklb.state.reservation_log import ReservationLog
 from larklb.wheel import Wheel
 
 if TYPE_CHECKING:
--- a/tests/test_adopt.py
+++ b/tests/test_adopt.py
@@ -10,7 +10,7 @@
 import pytest
 
 from larklb.export import tally as t
-from larklb.export.adopt import due_adoptions, has_unexported_use
+from larklb.export.adoption import due_adoptions, has_unexported_use
 from larklb.export.audit import audit
 from larklb.state.folder import is_locked
 from tests.receiver import Receiver
--- a/tests/test_running_out.py
+++ b/tests/test_running_out.py
@@ -21,7 +21,7 @@
 from larklb.quota.reservations import ReservationLimits, Reservations, Wanted
 from larklb.state import folder as state_folder
 from larklb.state.log import Log, LogError, replay
-from larklb.state.reserved import ReservationLog
+from larklb.state.reservation_log import ReservationLog
 from tests.test_usage import ledger, served
 
 
