--- a/larklb/export/adoption.py
+++ b/larklb/export/adoption.py
@@ -61,7 +61,8 @@
         """``folders`` maps the names of all instances, in the order of the operator's file, to their ledgers.
 
         ``open_ledger`` opens a ledger whose folder is free, and raises LogError if it cannot;
-        ``make_exporter`` makes an exporter for it.  ``after_s`` is the time in seconds for which a lock must be free.
+        ``make_exporter`` makes an exporter for it.  ``after_s`` is the time in seconds for which a lock must
+        be free.
         """
         self.name, self.after_s, self.counters = name, after_s, counters
         self.folders = {n: f for n, f in folders.items() if n != name}
--- a/larklb/operator_services.py
+++ b/larklb/operator_services.py
@@ -118,7 +118,7 @@
         self.folder_lock: LockedFolder | None = None
         self.ledger: Ledger | None = None
         self.exporter: ex.Exporter | None = None
-        self.reserved: ReservationLog | None = None
+        self.reservation_log: ReservationLog | None = None
         self.tasks: list[asyncio.Task[None]] = []
         self.admin = Admin(base / entry.admin, self.handlers()) if entry.admin else None
         self.started_at = time.time()
@@ -137,8 +137,8 @@
                     ReservationLimits(r.fleet_share * r.fleet_rate if r.fleet_rate else float("inf"),
                                       r.customer_share),
                     config.settings.gateways, config.settings.number)
-                self.reserved = ReservationLog(folder / "reservations" / "reservations.log", reservations,
-                                            self.wall(), self.step)
+                self.reservation_log = ReservationLog(folder / "reservations" / "reservations.log",
+                                                      reservations, self.wall(), self.step)
         self.reservations = reservations
         self.entitlements = Entitlements(plans, catalogue, reservations, self.offset,
                                          settle=operator.quota.settle, reserve=operator.quota.reserve(),
@@ -181,20 +181,20 @@
             self.tasks.append(loop.create_task(self.exporter.run()))
         if self.adopter is not None:
             self.tasks.append(loop.create_task(run_forever("adopter", self.adopter.run, self.counters)))
-        if self.reserved is not None:
-            compact = functools.partial(self._compact_reservations, self.reserved)
+        if self.reservation_log is not None:
+            compact = functools.partial(self._compact_reservations, self.reservation_log)
             self.tasks.append(loop.create_task(run_forever("reserved", compact, self.counters)))
 
-    async def _compact_reservations(self, reserved: ReservationLog) -> None:
+    async def _compact_reservations(self, reservation_log: ReservationLog) -> None:
         await asyncio.sleep(COMPACTION_PERIOD_S)
-        reserved.compact(self.wall())
+        reservation_log.compact(self.wall())
 
     def record_draw(self, drawn: io.RecordDraw) -> None:
         """Records a draw on a reservation before the answer that depends on it is sent."""
-        if self.reserved is None:
+        if self.reservation_log is None:
             return
         try:
-            self.reserved.record_draw(drawn, self.config.settings.number)
+            self.reservation_log.record_draw(drawn, self.config.settings.number)
         except LogError as error:
             # The request is served and the draw written later.  If the process is killed before that, the
             # same units can be drawn twice.
@@ -210,9 +210,9 @@
             await self.admin.stop()
         if self.ledger is not None:
             self.ledger.close()
-        if self.reserved is not None:
+        if self.reservation_log is not None:
             try:
-                self.reserved.close()
+                self.reservation_log.close()
             except LogError as error:
                 self.counters.add("errors.reserved")
                 log.error("%s", error)
@@ -298,13 +298,13 @@
         return await self.plans_show(q)
 
     def _reservations(self) -> tuple[Reservations, ReservationLog]:
-        if self.reservations is None or self.reserved is None:
+        if self.reservations is None or self.reservation_log is None:
             raise AdminError("the operator's file allows this instance no reservations")
-        return self.reservations, self.reserved
+        return self.reservations, self.reservation_log
 
     async def reserve_add(self, q: dict[str, Any]) -> dict[str, Any]:
         """Adds a reservation, durably; AdminError if it is refused."""
-        reservations, reserved = self._reservations()
+        reservations, reservation_log = self._reservations()
         try:
             wanted = msgspec.convert(q.get("wanted"), Wanted)
             wanted = replace(wanted, customer=parse_account(wanted.customer))
@@ -328,7 +328,7 @@
         try:
             r = reservations.add(wanted, owned, self.wall(), plan.rate)
             if not already_present:
-                reserved.record_added(r)
+                reservation_log.record_added(r)
         except RefusedError as error:
             raise AdminError(str(error)) from error
         except LogError as error:
@@ -352,10 +352,10 @@
 
     async def reserve_cancel(self, q: dict[str, Any]) -> dict[str, Any]:
         """Cancels a reservation, durably; AdminError if it is refused."""
-        reservations, reserved = self._reservations()
+        reservations, reservation_log = self._reservations()
         try:
             r = reservations.cancel(str(q.get("id")), self.wall())
-            reserved.record_cancelled(r)
+            reservation_log.record_cancelled(r)
         except (RefusedError, LogError) as error:
             raise AdminError(str(error)) from error
         return self._reservation_row(r)
--- a/tests/test_hardening.py
+++ b/tests/test_hardening.py
@@ -488,8 +488,8 @@
         desk = OperatorServices(
             config, tmp_path, operator, operator.instance_entry("n0"), core.counters, core.wheel.now())
         await desk.start(core)
-        assert desk.reserved is not None and desk.folder_lock is not None
-        kept = desk.reserved.log
+        assert desk.reservation_log is not None and desk.folder_lock is not None
+        kept = desk.reservation_log.log
         monkeypatch.setattr(kept, "sync", Once(kept.sync, error=LogError("no disk")))
         await desk.stop()
         assert desk.folder_lock.fd == -1 and core.counters["errors.reserved"] == 1
