--- a/larklb/lab/consensus_breaks.py
+++ b/larklb/lab/consensus_breaks.py
@@ -78,8 +78,8 @@
 
     def __init__(self, *args: Any, **keywords: Any) -> None:
         super().__init__(*args, **keywords)
-        saved_state = self._hard_state
-        self._hard_state = evolve(saved_state, term=self._log.last_position[0], vote="")
+        hard_state = self._hard_state
+        self._hard_state = evolve(hard_state, term=self._log.last_position[0], vote="")
 
 
 class IgnoresFailedSaves(CoarseRounds):
@@ -104,8 +104,8 @@
     """Applies a change of the voters only when committed, and commits it without a quorum."""
 
     def _advance_commit(self) -> None:
-        saved_state = self._log
-        if saved_state.has_uncommitted("voters") and self.is_leader:
+        log = self._log
+        if log.has_uncommitted("voters") and self.is_leader:
             self._log.advance(self._durable_index)
         super()._advance_commit()
 
--- a/larklb/lab/consensus_explorer.py
+++ b/larklb/lab/consensus_explorer.py
@@ -310,7 +310,7 @@
     def explore(self, depth: int, faults: int, max_worlds: int, starts: tuple[str, ...] = ()) -> None:
         """Explores all worlds to a depth, or until there are ``max_worlds``.
 
-        ``worlds`` is then the number of worlds met, and ``depth`` the depth that was explored completely.
+        ``worlds`` is then the number of distinct worlds reached, and ``depth`` the depth explored completely.
 
         Raises:
             CounterexampleError: An invariant doesn't hold; it contains a shortest trace.
--- a/larklb/lab/consensus_machines.py
+++ b/larklb/lab/consensus_machines.py
@@ -26,7 +26,7 @@
 from larklb.consensus.timing import Timing
 
 TIMING = Timing()
-NODES = ("a", "b", "c", "d")  # the last one takes part only in starts that start it
+NODES = ("a", "b", "c", "d")  # the last one takes part once it has been started
 FOUNDERS = 3
 LINKS = tuple((i, j) for i in range(len(NODES)) for j in range(len(NODES)) if i != j)
 MAJORITY = 2
--- a/larklb/lab/control_breaks.py
+++ b/larklb/lab/control_breaks.py
@@ -106,8 +106,8 @@
 
     def init_without_vote(self: Replica, *arguments: Any, **keywords: Any) -> None:
         init(self, *arguments, **keywords)
-        saved = self._hard_state
-        self._hard_state = evolve(saved, term=0, vote="")
+        hard_state = self._hard_state
+        self._hard_state = evolve(hard_state, term=0, vote="")
 
     return [(Replica, "__init__", init_without_vote)]
 
