--- a/benchmarks/fleet_limits.py
+++ b/benchmarks/fleet_limits.py
@@ -109,18 +109,18 @@
 def ages(asked: tuple[int, float, int, bool]) -> Ages:
     limiters, loss, seed, before = asked
     things = 200 if limiters < 10 else 40 if limiters < 100 else 8
-    fleet = spread.play(limiters, loss, seed, things, spread.Told if before else Verdicts)
-    pairs = fleet.pairs()
+    fleet = spread.simulate(limiters, loss, seed, things, spread.UnboundedGossip if before else Verdicts)
+    pairs = fleet.convergence_ages()
     return Ages(pairs[len(pairs) // 2], pairs[min(len(pairs) - 1, int(len(pairs) * 0.999))],
                 fleet.bytes / fleet.messages)
 
 
 def condemned(limiters: int, before: bool) -> int:
     """Pairs of a limiter and a good node that it condemns on the word of one that calls eight of them bad."""
-    fleet = spread.Fleet(limiters, 0.02, 1, spread.Told if before else Verdicts)
-    fleet.liar(limiters // 2, spread.BEGIN, range(8))
-    fleet.run(spread.BEGIN + 6000.0)
-    return len(fleet.wrongly)
+    fleet = spread.Fleet(limiters, 0.02, 1, spread.UnboundedGossip if before else Verdicts)
+    fleet.add_faulty_observer(limiters // 2, spread.FIRST_FAULT_MS, range(8))
+    fleet.run(spread.FIRST_FAULT_MS + 6000.0)
+    return len(fleet.false_verdicts)
 
 
 def reaches(limiters: int, servers: int) -> tuple[int, float, int]:
--- a/larklb/lab/check.py
+++ b/larklb/lab/check.py
@@ -22,7 +22,7 @@
 Action = tuple[str, int]
 
 
-class FoundError(AssertionError):
+class InvariantViolationError(AssertionError):
     """A world in which something does not hold, and the actions that lead to it."""
 
 
@@ -44,7 +44,7 @@
         self.bucket = TokenBucket(1e-9, BURST, BURST, 0.0)
         self.bucket.set_part(0.0, 1.0 - SHARE * limiters)
         self.apart = {i: Letting(make(1), BURST * SHARE) for i in range(1, limiters + 1)}
-        self.flying: list[tuple[int, Count | Confirmed]] = []       # to whom or from whom, and what
+        self.in_flight: list[tuple[int, Count | Confirmed]] = []       # to whom or from whom, and what
         self.let = 0.0                                      # by all, ever
         self.taken: dict[tuple[int, int], float] = {}       # by this owner, from a limiter's incarnation
         self.by: dict[tuple[int, int], float] = {}          # let in, by limiter and incarnation
@@ -54,11 +54,11 @@
         for i, a in self.apart.items():
             if a.left >= 1.0:
                 found.append(("let", i))
-            if a.settling.unconfirmed_count(KEY) is not None and len(self.flying) < MOST_MESSAGES:
+            if a.settling.unconfirmed_count(KEY) is not None and len(self.in_flight) < MOST_MESSAGES:
                 found.append(("tell", i))
             if a.starts < 2:
                 found.append(("restart", i))
-        for n in range(len(self.flying)):
+        for n in range(len(self.in_flight)):
             found += [("deliver", n), ("repeat", n), ("lose", n)]
         return found + ([("owner restarts", 0)] if self.owner_starts < 2 else [])
 
@@ -78,7 +78,7 @@
             case "tell":
                 count = self.apart[n].settling.unconfirmed_count(KEY)
                 assert count is not None
-                self.flying.append((n, count))
+                self.in_flight.append((n, count))
             case "restart":
                 a = self.apart[n]
                 a.starts += 1
@@ -88,9 +88,9 @@
                 self.owner = self.make(self.owner_starts)
                 self.taken.clear()
             case "lose":
-                self.flying.pop(n)
+                self.in_flight.pop(n)
             case _:
-                who, message = self.flying[n] if name == "repeat" else self.flying.pop(n)
+                who, message = self.in_flight[n] if name == "repeat" else self.in_flight.pop(n)
                 self._arrive(who, message)
 
     def _arrive(self, who: int, message: Count | Confirmed) -> None:
@@ -102,10 +102,10 @@
         self.taken[name] = self.taken.get(name, 0.0) + news
         self.bucket.settle(0.0, news, BURST)
         word = self.owner.confirmation_for(who, KEY)
-        if word is not None and len(self.flying) < MOST_MESSAGES:
-            self.flying.append((who, word))
+        if word is not None and len(self.in_flight) < MOST_MESSAGES:
+            self.in_flight.append((who, word))
 
-    def holds(self) -> str:
+    def find_violation(self) -> str:
         """What does not hold here, if anything."""
         for name, taken in self.taken.items():
             if taken > self.by.get(name, 0.0) + 1e-9:
@@ -119,22 +119,22 @@
                 return f"limiter {i} was confirmed more than it let in"
         return ""
 
-    def spoken(self) -> str:
+    def find_divergence(self) -> str:
         """Once all have spoken: what still does not agree, if anything.  Old words arrive last of all."""
-        old = list(self.flying)
-        self.flying.clear()
+        old = list(self.in_flight)
+        self.in_flight.clear()
         for i, a in self.apart.items():
             for _ in range(2):
                 count = a.settling.unconfirmed_count(KEY)
                 if count is not None:
                     self._arrive(i, count)
-                    for who, word in self.flying:
+                    for who, word in self.in_flight:
                         self._arrive(who, word)
-                    self.flying.clear()
+                    self.in_flight.clear()
             for who, message in old:
                 if isinstance(message, Count):
                     self._arrive(who, message)
-            self.flying.clear()
+            self.in_flight.clear()
             mine = a.settling.local_counts.get(KEY)
             if mine is None:
                 continue
@@ -146,9 +146,9 @@
             if self.owner_starts == 1 and self.taken.get((i, a.settling.incarnation), 0.0) != mine.units:
                 return (f"limiter {i} let in {mine.units:g}, and "
                         f"{self.taken.get((i, a.settling.incarnation), 0.0):g} left the owner's bucket")
-        return self.holds()
+        return self.find_violation()
 
-    def looks(self) -> object:
+    def fingerprint(self) -> object:
         """Worlds that look alike go on alike."""
         def of(s: Settlement) -> object:
             return (s.incarnation,
@@ -157,13 +157,13 @@
                     tuple(sorted((k, v.incarnation, v.units) for k, v in s.peer_counts.items())))
         return (of(self.owner), self.owner_starts, self.bucket.tokens, self.bucket.escrow,
                 tuple((of(a.settling), a.left, a.starts) for a in self.apart.values()),
-                tuple(sorted(self.flying, key=repr)), tuple(sorted(self.taken.items())),
+                tuple(sorted(self.in_flight, key=repr)), tuple(sorted(self.taken.items())),
                 tuple(sorted(self.by.items())))
 
 
-def explore(depth: int, limiters: int = 1, make: Callable[[int], Settlement] = Settlement) -> int:
+def explore_settlement(depth: int, limiters: int = 1, make: Callable[[int], Settlement] = Settlement) -> int:
     """Plays every world of counts up to a depth; how many differ."""
-    return explored(depth, lambda: World(limiters, make))
+    return explore_states(depth, lambda: World(limiters, make))
 
 
 class Explorable(Protocol):
@@ -171,14 +171,14 @@
 
     def actions(self) -> list[Action]: ...
     def act(self, action: Action) -> None: ...
-    def holds(self) -> str: ...
-    def spoken(self) -> str: ...
-    def looks(self) -> object: ...
+    def find_violation(self) -> str: ...
+    def find_divergence(self) -> str: ...
+    def fingerprint(self) -> object: ...
 
 
-def explored(depth: int, new: Callable[[], Explorable]) -> int:
+def explore_states(depth: int, new: Callable[[], Explorable]) -> int:
     """Plays every world up to a depth; how many differ.  FoundError tells the shortest way to a fault."""
-    seen = {repr(new().looks())}
+    seen = {repr(new().fingerprint())}
     frontier: list[tuple[Action, ...]] = [()]
     for _ in range(depth):
         reached = []
@@ -186,15 +186,15 @@
             for action in _played(path, new).actions():
                 world = _played(path, new)
                 world.act(action)
-                looks = repr(world.looks())
-                if looks in seen:
+                fingerprint = repr(world.fingerprint())
+                if fingerprint in seen:
                     continue
-                seen.add(looks)
+                seen.add(fingerprint)
                 longer = (*path, action)
-                why = world.holds() or world.spoken()
+                why = world.find_violation() or world.find_divergence()
                 if why:
                     steps = " -> ".join(f"{name} {n}" for name, n in longer)
-                    raise FoundError(f"{why}: {steps}")
+                    raise InvariantViolationError(f"{why}: {steps}")
                 reached.append(longer)
         frontier = reached
     return len(seen)
--- a/larklb/lab/check_custody.py
+++ b/larklb/lab/check_custody.py
@@ -224,7 +224,7 @@
 
     # What holds ---------------------------------------------------------------------------
 
-    def holds(self) -> str:
+    def find_violation(self) -> str:
         """What does not hold here, if anything."""
         if self.fault:
             return self.fault
@@ -235,7 +235,7 @@
             return "one try was served, and another was told that the job failed"
         return ""
 
-    def spoken(self) -> str:
+    def find_divergence(self) -> str:
         """With all custodians there, a third try comes to an end."""
         for t in self.tries:
             t.end = t.end or "killed"
@@ -255,9 +255,9 @@
                 self._step(t, REACHED[0], True)
             if t.at == "claim":
                 break
-        return self.holds()
+        return self.find_violation()
 
-    def looks(self) -> object:
+    def fingerprint(self) -> object:
         """Worlds that look alike go on alike; times count in parts of a step."""
         def age(at: float) -> int:
             return round(min(99.0, max(-99.0, (self.now - at) / STEP * 2)))
--- a/larklb/lab/check_leases.py
+++ b/larklb/lab/check_leases.py
@@ -56,7 +56,7 @@
         self.now = 1000.0
         self.of = [One(make(i, self.now)) for i in range(LIMITERS)]
         self.lender = self.of[0].limits.lender_of(SUBJECT)
-        self.flying: list[tuple[int, int, LeaseRequest | LeaseReply]] = []
+        self.in_flight: list[tuple[int, int, LeaseRequest | LeaseReply]] = []
         self.now += 2 * LEASE_MS + LONGEST               # the start is over: the lender lends
         others = [i for i in range(LIMITERS) if i != self.lender]
         who = {"l": self.lender, "a": others[0], "b": others[1], "": 0}
@@ -67,10 +67,10 @@
         found: list[Action] = [("wait", 0)]
         for i, one in enumerate(self.of):
             found += [("renew", i), ("fill", i)]
-            found += [("ask", i)] if i != self.lender and len(self.flying) < MOST_MESSAGES else []
+            found += [("ask", i)] if i != self.lender and len(self.in_flight) < MOST_MESSAGES else []
             found += [("restart", i)] if one.starts < 2 else []
             found += [("greet", i)] if i != self.lender and self.of[self.lender].starts > 1 else []
-        for n in range(len(self.flying)):
+        for n in range(len(self.in_flight)):
             found += [("deliver", n), ("repeat", n), ("lose", n)]
         return found
 
@@ -83,7 +83,7 @@
                 for one in self.of:
                     one.out = [at for at in one.out if self.now - at < LONGEST]
             case "ask":
-                self.flying += self._asks(n)
+                self.in_flight += self._asks(n)
             case "renew":
                 for sender, to, message in self._asks(n):
                     for answer in self._arrive(sender, to, message):
@@ -103,11 +103,11 @@
                 self.of[self.lender].limits.lender.reported |= {
                     i for i, one in enumerate(self.of) if one.starts > 1} - {self.lender}
             case "lose":
-                self.flying.pop(n)
+                self.in_flight.pop(n)
             case _:
-                sender, to, message = self.flying[n] if name == "repeat" else self.flying.pop(n)
+                sender, to, message = self.in_flight[n] if name == "repeat" else self.in_flight.pop(n)
                 answers = self._arrive(sender, to, message)
-                self.flying += answers[:MOST_MESSAGES - len(self.flying)]
+                self.in_flight += answers[:MOST_MESSAGES - len(self.in_flight)]
 
     def _asks(self, i: int) -> list[tuple[int, int, LeaseRequest | LeaseReply]]:
         one = self.of[i]
@@ -127,14 +127,14 @@
         share = limits.lender.handle_request(self.now, sender, message, limits.pool())
         return [(to, sender, share)] if share is not None else []
 
-    def holds(self) -> str:
+    def find_violation(self) -> str:
         """What does not hold here, if anything."""
         out = [len(one.out) for one in self.of]
         return f"{out} attempts are out, and the limit is {MOST}" if sum(out) > MOST else ""
 
-    def spoken(self) -> str:
+    def find_divergence(self) -> str:
         """Once all is over and words arrive: who wants slots gets them, and the limit holds."""
-        old, self.flying = self.flying, []
+        old, self.in_flight = self.in_flight, []
         for _ in range(5):
             self.act(("wait", 0))
         for one in self.of:
@@ -149,14 +149,14 @@
             self.act(("fill", i))
         if sum(len(one.out) for one in self.of) < MOST - 1:
             return f"{[len(one.out) for one in self.of]} attempts are out, and {MOST} are wanted"
-        return self.holds()
+        return self.find_violation()
 
-    def looks(self) -> object:
+    def fingerprint(self) -> object:
         """Worlds that look alike go on alike; times count in steps, numbers by their order."""
         def age(at: float) -> int:
             return round((self.now - at) / STEP) if at > 0 else -99
 
-        numbers = {m.number for _, _, m in self.flying}
+        numbers = {m.number for _, _, m in self.in_flight}
         for one in self.of:
             for held in one.limits.held.values():
                 numbers |= {held.adopted}
@@ -188,8 +188,8 @@
                     ),
                 )
             )
-        flying = tuple(
+        in_flight = tuple(
             (s, t, rank[m.number], m[2:] if isinstance(m, LeaseReply) else (rank.get(m.adopted), m[3:]))
-            for s, t, m in self.flying
+            for s, t, m in self.in_flight
         )
-        return tuple(seen), flying
+        return tuple(seen), in_flight
--- a/larklb/lab/check_verdicts.py
+++ b/larklb/lab/check_verdicts.py
@@ -34,7 +34,7 @@
         self.of = [make(i) for i in range(LIMITERS)]
         self.starts = [1] * LIMITERS
         self.found: set[int] = set()                    # limiters that ever found it bad
-        self.flying: list[tuple[int, int, Finding]] = []
+        self.in_flight: list[tuple[int, int, Finding]] = []
         self.cut: int | None = None
 
     def actions(self) -> list[Action]:
@@ -43,9 +43,9 @@
             found += [("bad", i), ("good", i)]
             if self.starts[i] < 2:
                 found.append(("restart", i))
-            if len(self.flying) < MOST_MESSAGES and v.unsent:
+            if len(self.in_flight) < MOST_MESSAGES and v.unsent:
                 found += [("tell", i * LIMITERS + j) for j in range(LIMITERS) if j != i]
-        for n in range(len(self.flying)):
+        for n in range(len(self.in_flight)):
             found += [("deliver", n), ("repeat", n), ("lose", n)]
         return found + ([("cut", 0)] if self.cut is None else [("heal", 0)])
 
@@ -64,17 +64,17 @@
             case "cut" | "heal":
                 self.cut = 0 if name == "cut" else None
             case "lose":
-                self.flying.pop(n)
+                self.in_flight.pop(n)
             case _:
-                sender, to, finding = self.flying[n] if name == "repeat" else self.flying.pop(n)
+                sender, to, finding = self.in_flight[n] if name == "repeat" else self.in_flight.pop(n)
                 self.of[to].receive(self.now, sender, finding)
 
     def _tell(self, sender: int, to: int) -> None:
         for finding in self.of[sender].findings_for(self.now, to, 1):
             if self.cut is None or self.cut not in (sender, to):
-                self.flying.append((sender, to, finding))
+                self.in_flight.append((sender, to, finding))
 
-    def holds(self) -> str:
+    def find_violation(self) -> str:
         """What does not hold here, if anything."""
         for i, v in enumerate(self.of):
             bad = {o for o, k in v.findings.get(NAME, {}).items() if k.slowness >= BAD_SLOWNESS and o != i}
@@ -86,9 +86,9 @@
                 return f"limiter {i} took its own former word for news"
         return ""
 
-    def spoken(self) -> str:
+    def find_divergence(self) -> str:
         """Once all have spoken: what does not agree, if anything.  Old words come in between, and last."""
-        old, self.cut = list(self.flying), None
+        old, self.cut = list(self.in_flight), None
         for _ in range(3):
             for sender in range(LIMITERS):
                 for to in range(LIMITERS):
@@ -105,16 +105,16 @@
                 mine, its = (self._known(n, third) for n in (i, j))
                 if mine != its:
                     return f"limiters {j} and {i} differ on what {third} found: {its} and {mine}"
-        return self.holds()
+        return self.find_violation()
 
     def _known(self, limiter: int, observer: int) -> tuple[float, int] | None:
         known = self.of[limiter].findings.get(NAME, {}).get(observer)
         return (known.slowness, known.stamp) if known is not None else None
 
-    def looks(self) -> object:
+    def fingerprint(self) -> object:
         """Worlds that look alike go on alike; stamps are told apart by their order alone."""
         stamps = sorted({k.stamp for v in self.of for k in v.findings.get(NAME, {}).values()}
-                        | {f.stamp for _, _, f in self.flying})
+                        | {f.stamp for _, _, f in self.in_flight})
         rank = {stamp: n for n, stamp in enumerate(stamps)}
         known = tuple(
             (
@@ -129,5 +129,5 @@
             )
             for v in self.of
         )
-        flying = tuple((s, t, f.observer, f.slowness, rank[f.stamp]) for s, t, f in self.flying)
-        return known, tuple(self.starts), flying, self.cut, tuple(self.found)
+        in_flight = tuple((s, t, f.observer, f.slowness, rank[f.stamp]) for s, t, f in self.in_flight)
+        return known, tuple(self.starts), in_flight, self.cut, tuple(self.found)
--- a/larklb/lab/spread.py
+++ b/larklb/lab/spread.py
@@ -1,7 +1,8 @@
-"""How findings go round in fleets of any size: the words of many limiters alone, in simulated time.
+"""Simulates how findings spread through fleets of any size by the messages between limiters alone.
 
-Each limiter asks its neighbours as in service, so that inboxes are used; what rides along is the program's
-own (``fleet/outbox.py``).  The network loses and delays, and an inbox takes so many messages a second.
+Each limiter asks its neighbours as in service, so that inbox capacity is used; the findings that are
+piggybacked on these messages come from the program's own ``fleet/outbox.py``.  The simulated network loses
+and delays messages, and an inbox accepts a limited number of messages per second.
 """
 
 from __future__ import annotations
@@ -20,30 +21,40 @@
 from larklb.quota.entitlements import Entitlements
 from larklb.quota.fallback import Fallback
 
-AIM, TICK, INBOX, HALF = 1500.0, 4.0, 60.0, 4000.0
-DELAY = (1.0, 39.0)        # ms of a message, from the operators' brief
-NEIGHBOURS = 7             # limiters to either side that one asks, and that ask it
-ASKS = 8.0                 # asks a second of each limiter
-BEGIN = 3000.0             # ms until the first finding: all know by then what the others speak
-EVERY = 400.0              # ms between the beginnings of two things that go wrong
-STANDS = 6000.0            # ms for which a thing stays wrong
+AIM_MS, TICK_MS, INBOX_PER_S, HALF_LIFE_MS = 1500.0, 4.0, 60.0, 4000.0
+# Bounds of the delay of a message, as the operators state them.
+MESSAGE_DELAY_MS = (1.0, 39.0)
+# Number of limiters on either side that a limiter asks, and that ask it.
+NEIGHBOURS = 7
+# Rate at which each limiter asks its neighbours.
+ASKS_PER_S = 8.0
+# Time of the first finding.  By then every limiter knows which messages the others can read.
+FIRST_FAULT_MS = 3000.0
+# Time between the beginnings of two consecutive faults.
+FAULT_INTERVAL_MS = 400.0
+FAULT_DURATION_MS = 6000.0
 TOPIC = 1
-Make = Callable[[int, int, float], Verdicts]
+VerdictsFactory = Callable[[int, int, float], Verdicts]
 
 
 @dataclass
 class Limiter:
+    """A simulated limiter with the parts of the program that exchange findings."""
+
     number: int
     pace: PeerPacer
     verdicts: Verdicts
     outbox: Outbox
-    heard: dict[int, float] = field(default_factory=dict)
+    last_heard_at: dict[int, float] = field(default_factory=dict)
     inbox: deque[float] = field(default_factory=deque)
 
 
-class Told(Verdicts):
-    """As findings went round before: the newest six ride on each message, each time anew, nothing goes by
-    itself, and one observer's word counts."""
+class UnboundedGossip(Verdicts):
+    """The former way of spreading findings, for comparison.
+
+    Each message carries the newest six findings, however often they were sent before; no message is sent for
+    the sake of a finding, and a single observer suffices for a verdict.
+    """
 
     def __init__(self, number: int, gateways: int, half_life: float) -> None:
         super().__init__(number, gateways, half_life)
@@ -54,84 +65,93 @@
 
     def findings_for(self, now: float, peer: int, most: int) -> Iterator[Finding]:
         for name, observer in list(reversed(self.unsent))[:most]:
-            k = self.findings[name][observer]
-            yield Finding(*name, k.slowness, now - k.at, observer, k.stamp)
+            stored = self.findings[name][observer]
+            yield Finding(*name, stored.slowness, now - stored.at, observer, stored.stamp)
 
 
 class Fleet:
-    """So many limiters; ``ages`` holds ms from a thing's second observer to its verdict, for each limiter."""
+    """A fleet of limiters in simulated time.
 
-    def __init__(self, limiters: int, loss: float, seed: int, make: Make = Verdicts,
+    ``ages`` holds, for each subject and limiter, the milliseconds from the second observer's finding to the
+    limiter's verdict.
+    """
+
+    def __init__(self, limiters: int, loss: float, seed: int, make: VerdictsFactory = Verdicts,
                  cut: Callable[[float, int, int], bool] = lambda now, a, b: False) -> None:
         self.count, self.loss, self.cut = limiters, loss, cut
-        self.chance = random.Random(seed)
+        self.random = random.Random(seed)
         self.now, self.order = 0.0, 0
         self.queue: list[tuple[float, int, Callable[[], object]]] = []
-        self.messages = self.bytes = self.asks = self.overflown = 0
-        self.since: dict[int, float] = {}               # things wrong, and when the second observer found it
+        self.messages = self.bytes = self.asks = self.inbox_overflows = 0
+        # Time of the second observer's first finding, by faulty subject.
+        self.confirmed_at: dict[int, float] = {}
         self.ages: dict[int, dict[int, float]] = {}
-        self.wrongly: set[tuple[int, int]] = set()     # (limiter, subject) condemned, and nothing was wrong
-        self.of = [self._limiter(i, make) for i in range(limiters)]
-        for x in self.of:
-            self.at(self.chance.uniform(0.0, GOSSIP_INTERVAL_MS), lambda x=x: self._spread(x))       # type: ignore[misc]
-            self.at(self.chance.uniform(0.0, 1000.0 / ASKS), lambda x=x: self._ask(x))      # type: ignore[misc]
-
-    def _limiter(self, number: int, make: Make) -> Limiter:
-        settings = io.Settings(number=number, gateways=self.count, inbox_per_s=INBOX, tick=TICK,
-                               classes=(io.ServiceClass("c", AIM, 4000.0),), plans=(io.Plan("p"),))
-        pace, verdicts = PeerPacer(INBOX, TICK, AIM), make(number, self.count, HALF)
-        alone = Fallback(settings, Entitlements(settings.plans), -1e6)
-        return Limiter(number, pace, verdicts, Outbox(number, AIM, pace, alone, verdicts))
+        # Pairs of a limiter and a healthy subject that it condemned.
+        self.false_verdicts: set[tuple[int, int]] = set()
+        self.limiters = [self._limiter(i, make) for i in range(limiters)]
+        for x in self.limiters:
+            self.at(self.random.uniform(0.0, GOSSIP_INTERVAL_MS), lambda x=x: self._gossip(x))       # type: ignore[misc]
+            self.at(self.random.uniform(0.0, 1000.0 / ASKS_PER_S), lambda x=x: self._ask(x))      # type: ignore[misc]
+
+    def _limiter(self, number: int, make: VerdictsFactory) -> Limiter:
+        settings = io.Settings(number=number, gateways=self.count, inbox_per_s=INBOX_PER_S, tick=TICK_MS,
+                               classes=(io.ServiceClass("c", AIM_MS, 4000.0),), plans=(io.Plan("p"),))
+        pace, verdicts = PeerPacer(INBOX_PER_S, TICK_MS, AIM_MS), make(number, self.count, HALF_LIFE_MS)
+        fallback = Fallback(settings, Entitlements(settings.plans), -1e6)
+        return Limiter(number, pace, verdicts, Outbox(number, AIM_MS, pace, fallback, verdicts))
 
     def at(self, when: float, act: Callable[[], object]) -> None:
+        """Schedules ``act`` at the simulated time ``when`` (ms)."""
         self.order += 1
         heapq.heappush(self.queue, (when, self.order, act))
 
     def run(self, until: float) -> None:
+        """Runs all events up to and including the simulated time ``until`` (ms)."""
         while self.queue and self.queue[0][0] <= until:
             self.now, _, act = heapq.heappop(self.queue)
             act()
         self.now = until
 
-    # What goes wrong ----------------------------------------------------------------------
-
-    def wrong(self, subject: int, at: float) -> None:
-        """From some time on two limiters find it bad, the second up to 200 ms later, as long as it stands."""
-        first, second = self.chance.sample(range(self.count), 2)
-        late = self.chance.uniform(0.0, 200.0)
-        self.since[subject], self.ages[subject] = at + late, {}
-        step = HALF / 8
-        for n in range(int(STANDS / step)):
-            self.at(at + n * step, lambda: self._finds(first, subject))
-            self.at(at + late + n * step, lambda: self._finds(second, subject))
-
-    def liar(self, number: int, at: float, subjects: range) -> None:
-        """A limiter that finds everything bad, and does not doubt itself."""
-        for n in range(int(STANDS / 500.0)):
+    # Faults -------------------------------------------------------------------------------
+
+    def add_fault(self, subject: int, at: float) -> None:
+        """Lets two limiters find ``subject`` bad from ``at`` on, the second of them up to 200 ms later."""
+        first, second = self.random.sample(range(self.count), 2)
+        lag = self.random.uniform(0.0, 200.0)
+        self.confirmed_at[subject], self.ages[subject] = at + lag, {}
+        step = HALF_LIFE_MS / 8
+        for n in range(int(FAULT_DURATION_MS / step)):
+            self.at(at + n * step, lambda: self._record_bad(first, subject))
+            self.at(at + lag + n * step, lambda: self._record_bad(second, subject))
+
+    def add_faulty_observer(self, number: int, at: float, subjects: range) -> None:
+        """Lets one limiter find all of ``subjects`` bad without suspecting itself."""
+        for n in range(int(FAULT_DURATION_MS / 500.0)):
             for subject in subjects:
-                self.at(at + n * 500.0, lambda s=subject: self._finds(number, s))       # type: ignore[misc]
+                self.at(at + n * 500.0, lambda s=subject: self._record_bad(number, s))       # type: ignore[misc]
 
-    def _finds(self, number: int, subject: int) -> None:
-        x = self.of[number]
-        x.verdicts.own_evidence.clear()          # many other things are in order: it does not doubt itself
+    def _record_bad(self, number: int, subject: int) -> None:
+        x = self.limiters[number]
+        # As if many other subjects were healthy; otherwise the limiter would suspect itself.
+        x.verdicts.own_evidence.clear()
         x.verdicts.record_evidence(self.now, subject, TOPIC, 12.0)
 
-    # Words --------------------------------------------------------------------------------
+    # Messages -----------------------------------------------------------------------------
 
-    def _spread(self, x: Limiter) -> None:
-        self.at(self.now + GOSSIP_INTERVAL_MS, lambda: self._spread(x))
+    def _gossip(self, x: Limiter) -> None:
+        self.at(self.now + GOSSIP_INTERVAL_MS, lambda: self._gossip(x))
         if x.verdicts.has_severe_unsent(self.now):
-            peer = self.chance.randrange(self.count)
+            peer = self.random.randrange(self.count)
             if peer != x.number:
                 x.outbox.request_message(peer)
                 self._flush(x, peer)
 
     def _ask(self, x: Limiter) -> None:
-        self.at(self.now + self.chance.expovariate(ASKS) * 1000.0, lambda: self._ask(x))
-        near = [(x.number + n) % self.count for n in range(-NEIGHBOURS, NEIGHBOURS + 1)]
-        peers = sorted({p for p in near if p != x.number})
+        self.at(self.now + self.random.expovariate(ASKS_PER_S) * 1000.0, lambda: self._ask(x))
+        nearby = [(x.number + n) % self.count for n in range(-NEIGHBOURS, NEIGHBOURS + 1)]
+        peers = sorted({p for p in nearby if p != x.number})
         if peers:
-            peer = self.chance.choice(peers)
+            peer = self.random.choice(peers)
             self.asks += 1
             x.outbox.send(peer, pw.Ask(1, x.number, 0, 1.0, 4000.0, 1.0))
             self._flush(x, peer)
@@ -139,28 +159,29 @@
     def _flush(self, x: Limiter, peer: int) -> None:
         if peer not in x.outbox.send_at:
             return
-        heard = sum(self.now - at <= 1000.0 for at in x.heard.values())
-        for found in x.outbox.flush(self.now, peer, heard, lambda: ()):
-            if isinstance(found, bytes):
-                self._tell(x.number, peer, found)
+        recent_peers = sum(self.now - at <= 1000.0 for at in x.last_heard_at.values())
+        for result in x.outbox.flush(self.now, peer, recent_peers, lambda: ()):
+            if isinstance(result, bytes):
+                self._send(x.number, peer, result)
             else:
-                self.at(self.now + found, lambda: self._flush(x, peer))
+                self.at(self.now + result, lambda: self._flush(x, peer))
 
-    def _tell(self, sender: int, to: int, data: bytes) -> None:
+    def _send(self, sender: int, to: int, data: bytes) -> None:
         self.messages += 1
         self.bytes += len(data)
-        if self.chance.random() >= self.loss and not self.cut(self.now, sender, to):
-            self.at(self.now + self.chance.uniform(*DELAY), lambda: self._arrive(sender, to, data))
+        if self.random.random() >= self.loss and not self.cut(self.now, sender, to):
+            self.at(self.now + self.random.uniform(*MESSAGE_DELAY_MS),
+                    lambda: self._receive(sender, to, data))
 
-    def _arrive(self, sender: int, to: int, data: bytes) -> None:
-        x = self.of[to]
+    def _receive(self, sender: int, to: int, data: bytes) -> None:
+        x = self.limiters[to]
         while x.inbox and x.inbox[0] <= self.now - 1000.0:
             x.inbox.popleft()
-        if len(x.inbox) >= INBOX:
-            self.overflown += 1
+        if len(x.inbox) >= INBOX_PER_S:
+            self.inbox_overflows += 1
             return
         x.inbox.append(self.now)
-        x.heard[sender] = self.now
+        x.last_heard_at[sender] = self.now
         x.pace.record_arrival(self.now, sender)
         for item in pw.unpack(data):
             match item:
@@ -171,28 +192,32 @@
                     self._flush(x, sender)
                 case Finding():
                     x.verdicts.receive(self.now, sender, item)
-                    self._look(x, item.subject)
+                    self._record_verdict(x, item.subject)
 
-    def _look(self, x: Limiter, subject: int) -> None:
+    def _record_verdict(self, x: Limiter, subject: int) -> None:
         if x.verdicts.verdict(self.now, subject, TOPIC) >= BAD_SLOWNESS:
-            if subject not in self.since:
-                self.wrongly.add((x.number, subject))
+            if subject not in self.confirmed_at:
+                self.false_verdicts.add((x.number, subject))
             elif x.number not in self.ages[subject]:
-                self.ages[subject][x.number] = max(0.0, self.now - self.since[subject])
+                self.ages[subject][x.number] = max(0.0, self.now - self.confirmed_at[subject])
+
+    def convergence_ages(self) -> list[float]:
+        """Returns the sorted ages (ms) of all pairs of a subject and a limiter other than its observers.
 
-    def pairs(self) -> list[float]:
-        """Ages of all pairs of a thing and a limiter other than its observers; infinite: it never came."""
-        found: list[float] = []
+        The age is infinite for a limiter that never reached a verdict.
+        """
+        result: list[float] = []
         for ages in self.ages.values():
-            mine = sorted(ages.values())[:self.count - 2]
-            found += mine + [float("inf")] * (self.count - 2 - len(mine))
-        return sorted(found)
+            reached = sorted(ages.values())[:self.count - 2]
+            result += reached + [float("inf")] * (self.count - 2 - len(reached))
+        return sorted(result)
 
 
-def play(limiters: int, loss: float, seed: int = 1, things: int = 6, make: Make = Verdicts) -> Fleet:
-    """Things that go wrong one after the other, each found by two."""
+def simulate(limiters: int, loss: float, seed: int = 1, subjects: int = 6,
+             make: VerdictsFactory = Verdicts) -> Fleet:
+    """Runs a fleet in which ``subjects`` fail one after the other, each observed by two limiters."""
     fleet = Fleet(limiters, loss, seed, make)
-    for n in range(things):
-        fleet.wrong(1000 + n, BEGIN + n * EVERY)
-    fleet.run(BEGIN + things * EVERY + STANDS)
+    for n in range(subjects):
+        fleet.add_fault(1000 + n, FIRST_FAULT_MS + n * FAULT_INTERVAL_MS)
+    fleet.run(FIRST_FAULT_MS + subjects * FAULT_INTERVAL_MS + FAULT_DURATION_MS)
     return fleet
--- a/tests/test_custody.py
+++ b/tests/test_custody.py
@@ -28,7 +28,7 @@
     SentAttempt,
 )
 from larklb.lab import script
-from larklb.lab.check import FoundError, explored
+from larklb.lab.check import InvariantViolationError, explore_states
 from larklb.lab.check_custody import KEEP_MS, STARTS, World
 from larklb.lab.fleet import Rig
 from larklb.lab.yard import Yard, ask, http, job
@@ -44,7 +44,7 @@
 
 @pytest.mark.parametrize("start", STARTS)
 def test_no_order_of_loss_kills_and_pauses_runs_a_job_twice(start: str) -> None:
-    assert explored(3, lambda: World(start)) > 300
+    assert explore_states(3, lambda: World(start)) > 300
 
 
 class IgnoresLease(HolderSession):
@@ -96,8 +96,8 @@
     ("answered", {"careless": "passes on"}),
     ("sent and away", {"careless": "forgets"})])
 def test_the_exploration_finds_each_seeded_fault(start: str, fault: dict[str, Any]) -> None:
-    with pytest.raises(FoundError, match="ran 2 times|two holders|another was told"):
-        explored(4, lambda: World(start, **fault))
+    with pytest.raises(InvariantViolationError, match="ran 2 times|two holders|another was told"):
+        explore_states(4, lambda: World(start, **fault))
 
 
 # A custodian ------------------------------------------------------------------------------
--- a/tests/test_lab_fleet.py
+++ b/tests/test_lab_fleet.py
@@ -15,7 +15,7 @@
 from larklb.fleet.bound import age
 from larklb.fleet.verdicts import BAD_SLOWNESS, DecayingSlowness, Finding, SubjectTopic, Verdicts
 from larklb.lab import script, spread
-from larklb.lab.check import FoundError, explored
+from larklb.lab.check import InvariantViolationError, explore_states
 from larklb.lab.check_verdicts import HALF, World
 from larklb.lab.fleet import Audit, Rig
 from tests.test_usage import larklb
@@ -171,7 +171,7 @@
     assert age(200, 0.05).tail < 5000.0 and age(200, 0.05).median < 2600.0
     assert age(500, 0.3).tail > age(200, 0.05).tail > age(4, 0.0).tail > 0.0 == age(1, 0.0).tail
     for limiters, loss in ((3, 0.3), (9, 0.02), (60, 0.2)):
-        pairs = spread.play(limiters, loss, 3, things=40 if limiters < 10 else 8).pairs()
+        pairs = spread.simulate(limiters, loss, 3, subjects=40 if limiters < 10 else 8).convergence_ages()
         stated = age(limiters, loss)
         assert pairs[len(pairs) // 2] <= stated.median and pairs[int(len(pairs) * 0.999)] <= stated.tail
 
@@ -179,7 +179,7 @@
 def test_an_older_program_is_told_what_it_reads(tmp_path: Path) -> None:
     """It drops a message that holds an item it does not know: only who shows an allowance gets findings."""
     fleet = spread.Fleet(9, 0.0, 1)
-    x = fleet.of[0]
+    x = fleet.limiters[0]
     x.verdicts.record_evidence(10.0, 7, 1, 12.0)
     x.verdicts.receive(10.0, 3, Finding(8, 1, 9.0, 0.0, 3, 0))
 
@@ -200,7 +200,7 @@
 
 
 def test_every_way_of_findings_to_a_depth_of_five() -> None:
-    assert explored(5, World) > 4000
+    assert explore_states(5, World) > 4000
 
 
 class OneSuffices(Verdicts):
@@ -246,5 +246,5 @@
 
 @pytest.mark.parametrize("fault", [OneSuffices, LastComes, Anonymous, OwnWord, FormerSelf])
 def test_seeded_faults_are_found(fault: Callable[[int, int, float], Verdicts]) -> None:
-    with pytest.raises(FoundError):
-        explored(5, lambda: World(lambda number: fault(number, 8, HALF)))
+    with pytest.raises(InvariantViolationError):
+        explore_states(5, lambda: World(lambda number: fault(number, 8, HALF)))
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -14,7 +14,7 @@
 from larklb.fleet import leases as le
 from larklb.fleet.leases import LEASE_MS, FleetLimits, LeaseReply, LeaseRequest, Lender
 from larklb.lab import script
-from larklb.lab.check import FoundError, explored
+from larklb.lab.check import InvariantViolationError, explore_states
 from larklb.lab.check_leases import LIMITERS, LONGEST, MOST, STARTS, World, plain
 from larklb.lab.fleet import Audit, Rig
 from larklb.lab.yard import Yard
@@ -29,7 +29,7 @@
 
 @pytest.mark.parametrize("start", STARTS)
 def test_no_order_of_messages_and_restarts_exceeds_the_limit(start: str) -> None:
-    assert explored(3, lambda: World(start)) > 500
+    assert explore_states(3, lambda: World(start)) > 500
 
 
 class LendsAfterRestart(Lender):
@@ -105,8 +105,8 @@
     ("lent a while ago", lending(IgnoresRunningAttempts)), ("lent long ago", holding(NeverExpires)),
     ("told long ago", holding(CountsFromReply)), ("told twice", holding(AdoptsAnyReply))])
 def test_the_exploration_finds_each_seeded_fault(start: str, make: Make) -> None:
-    with pytest.raises(FoundError, match="attempts are out"):
-        explored(4, lambda: World(start, make))
+    with pytest.raises(InvariantViolationError, match="attempts are out"):
+        explore_states(4, lambda: World(start, make))
 
 
 @pytest.mark.parametrize(("limiters", "most"), [(1, 1), (3, 7), (9, 40), (200, 64), (200, 500)])
--- a/tests/test_settling.py
+++ b/tests/test_settling.py
@@ -15,7 +15,7 @@
 
 from larklb import peerwire as pw
 from larklb.lab import net
-from larklb.lab.check import FoundError, World, explore
+from larklb.lab.check import InvariantViolationError, World, explore_settlement
 from larklb.lab.relay import Relay
 from larklb.quota.bucket import TokenBucket
 from larklb.quota.demand import SLOW_DECAY_MS, Demand
@@ -134,8 +134,8 @@
 
 
 def test_checker_passes_all_orders_of_delivery_loss_and_restart_up_to_a_depth() -> None:
-    assert explore(7) > 1500
-    assert explore(5, limiters=2) > 1000
+    assert explore_settlement(7) > 1500
+    assert explore_settlement(5, limiters=2) > 1000
 
 
 @pytest.mark.parametrize("fault,depth,words", [
@@ -144,8 +144,8 @@
     (ConfirmsAll, 7, "its owner knows of"),
     (AcceptsFormerConfirmations, 8, "its owner knows of|left the owner's bucket")])
 def test_the_checker_finds_seeded_faults(fault: type[Settlement], depth: int, words: str) -> None:
-    with pytest.raises(FoundError, match=words):
-        explore(depth, make=fault)
+    with pytest.raises(InvariantViolationError, match=words):
+        explore_settlement(depth, make=fault)
 
 
 def test_new_owner_that_ignores_the_confirmed_part_settles_twice() -> None:
