--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""The capacity page's figures come from hollow processes: these must still be the program's own."""
+"""The capacity page's figures come from simulated limiters, whose wiring must match the program's own."""
 
 from __future__ import annotations
 
@@ -9,11 +9,13 @@
 from benchmarks import capacity
 
 
-def test_hollow_limiters_do_what_the_program_does() -> None:
-    """A fabric settles, a drain and a configuration reach everyone, and the words are counted with their
-    bytes; fails where the program's wiring has grown away from what the benchmark stands in for."""
+def test_simulated_limiters_behave_like_the_program() -> None:
+    """A fabric converges, a drain and a configuration reach all limiters, messages and bytes are counted.
 
-    async def play() -> capacity.Fabric:
+    Fails where the wiring of the program has diverged from that of the benchmark.
+    """
+
+    async def run_fabric() -> capacity.Fabric:
         fabric = capacity.Fabric(6, 30)
         limiters = list(fabric.of.values())
         assert all(n.subscriber.complete and len(n.choice.servers) == 30 for n in limiters)
@@ -27,13 +29,13 @@
         assert [a.status for a in answers] == [200] and all(n.version == 1 for n in limiters)
         return fabric
 
-    meter = asyncio.run(play()).meter
+    meter = asyncio.run(run_fabric()).meter
     assert meter.words["limiter", "delta+rows"] >= 3 and meter.bytes["home", "beat"] > 300
-    # Each core machine has the other two learn of the drain, and hears from a majority before it says so.
+    # Each core machine sends the drain to the other two and waits for a majority before it reports the drain.
     assert meter.words["home", "rows"] >= 2 and meter.words["home", "known"] >= 1
 
 
-def test_a_slope_is_the_line_through_its_points() -> None:
-    """What the page works out at the target rests on it."""
+def test_slope_is_the_line_through_its_points() -> None:
+    """The figures extrapolated to the target size depend on this fit."""
     slope = capacity.Slope("x", "us", "limiter", [(12.0, 25.0), (60.0, 121.0), (200.0, 401.0)], 2_200)
     assert slope.line() == pytest.approx((1.0, 2.0)) and slope.at(2_200) == pytest.approx(4_401.0)
