--- a/benchmarks/ability.py
+++ b/benchmarks/ability.py
@@ -25,7 +25,7 @@
 from larklb.admission.choice import ServerSelector, ServerState
 from larklb.balancing.choice import CapacityAwareSelector
 from larklb.lab.emulator import play
-from larklb.lab.emulator_deployment import Deployment, Trouble, flags, shop
+from larklb.lab.emulator_deployment import Deployment, Fault, flags, shop
 from larklb.lab.emulator_figures import Figures
 from larklb.lab.emulator_rivals import RIVALS
 
@@ -59,17 +59,17 @@
 MAKERS: dict[str, Callable[..., Deployment]] = {"A": shop, "B": flags}
 
 
-def troubles(name: str, d: Deployment) -> tuple[Trouble, ...]:
+def troubles(name: str, d: Deployment) -> tuple[Fault, ...]:
     """What befalls both services of a deployment."""
     first, second = (s.name for s in d.services)
     return {
         "calm": (),
-        "slow": tuple(Trouble("slow", 15_000.0, 12_000.0, s, 0.1) for s in (first, second)),
-        "dark": (Trouble("dark", 15_000.0, 4_500.0, first, 0.14),
-                 Trouble("dark", 25_000.0, 4_500.0, second, 0.14)),
-        "release": (Trouble("release", 12_000.0, 20_000.0, first),
-                    Trouble("release", 14_000.0, 20_000.0, second)),
-        "all slow": (Trouble("slow", 15_000.0, 10_000.0, second, 1.0, 1.6),),
+        "slow": tuple(Fault("slow", 15_000.0, 12_000.0, s, 0.1) for s in (first, second)),
+        "dark": (Fault("dark", 15_000.0, 4_500.0, first, 0.14),
+                 Fault("dark", 25_000.0, 4_500.0, second, 0.14)),
+        "release": (Fault("release", 12_000.0, 20_000.0, first),
+                    Fault("release", 14_000.0, 20_000.0, second)),
+        "all slow": (Fault("slow", 15_000.0, 10_000.0, second, 1.0, 1.6),),
     }[name]
 
 
--- a/larklb/cli/system.py
+++ b/larklb/cli/system.py
@@ -25,8 +25,8 @@
     :param json: Print the figures as one JSON line at the end.
     """
     from larklb.lab import system
-    if not seconds >= system.LEAST_S:
-        raise UnusableError(f"--seconds: {seconds}: must be {system.LEAST_S:g} or more")
+    if not seconds >= system.MIN_DURATION_S:
+        raise UnusableError(f"--seconds: {seconds}: must be {system.MIN_DURATION_S:g} or more")
     return system.run(seconds, json)
 
 
--- a/larklb/lab/emulator.py
+++ b/larklb/lab/emulator.py
@@ -28,7 +28,7 @@
     RETRY_AFTER_MS,
 )
 from larklb.gateway.servers import DEFAULT_IDLE_TIMEOUT_MS, MIN_TIME_LEFT_MS, REGIONAL_DIAL_TIMEOUT_MS
-from larklb.lab.emulator_deployment import Deployment, Route, Service, Trouble
+from larklb.lab.emulator_deployment import Deployment, Fault, Route, Service
 from larklb.lab.emulator_figures import Figures
 
 CLIENT_TRIES = 3           # of a client's request, the first among them
@@ -44,7 +44,7 @@
 RETRY_RATIO, RETRY_WINDOW_MS, RETRY_SLACK = 0.2, 10_000.0, 64.0
 
 
-Make = Callable[[int, str, dict[str, str], int], ServerSelector]
+SelectorFactory = Callable[[int, str, dict[str, str], int], ServerSelector]
 
 
 @runtime_checkable
@@ -122,7 +122,7 @@
 class Emulator:
     """One day of a deployment; ``run`` plays it."""
 
-    def __init__(self, deployment: Deployment, make: Make, seed: int) -> None:
+    def __init__(self, deployment: Deployment, make: SelectorFactory, seed: int) -> None:
         self.d, self.make, self.seed = deployment, make, seed
         self.now, self.order = 0.0, itertools.count()
         self.events: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
@@ -250,7 +250,7 @@
         if isinstance(limiter.choice, Shares):
             limiter.choice.apply_estimates(self.now, observer, message)
 
-    def _trouble(self, trouble: Trouble) -> None:
+    def _trouble(self, trouble: Fault) -> None:
         mine = [s for s in self.servers.values() if s.service.name == trouble.service and not s.gone]
         if trouble.what == "release":
             for i, server in enumerate(mine):
@@ -508,6 +508,6 @@
         return before if tells == "stale" else load
 
 
-def play(deployment: Deployment, make: Make, seed: int) -> Figures:
+def play(deployment: Deployment, make: SelectorFactory, seed: int) -> Figures:
     """One day under one way of choosing."""
     return Emulator(deployment, make, seed).run()
--- a/larklb/lab/emulator_deployment.py
+++ b/larklb/lab/emulator_deployment.py
@@ -38,7 +38,7 @@
 
 
 @define(frozen=True)
-class Trouble:
+class Fault:
     """From ``at`` for ``lasts`` ms ``part`` of a service's servers (one at least) are 'slow' by ``times`` or
     'dark'; or all are replaced one after another ('release'), evenly over ``lasts``."""
 
@@ -69,7 +69,7 @@
     settling: float = 10_000.0     # not measured
     cold_ms: float = 3_000.0
     cold: float = 2.0
-    troubles: tuple[Trouble, ...] = ()
+    troubles: tuple[Fault, ...] = ()
     know: bool = True              # limiters start with the day; False: all restart at the end of settling
 
 
--- a/larklb/lab/emulator_rivals.py
+++ b/larklb/lab/emulator_rivals.py
@@ -10,7 +10,7 @@
 
 
 @define
-class Rival(ServerSelector):
+class BaselineSelector(ServerSelector):
     """The way of choosing differs; servers at rest are passed over alike."""
 
     turn: dict[str, int] = field(factory=dict)
@@ -32,14 +32,14 @@
         return self.best(now, target, ready) if ready else None
 
 
-class LeastConnections(Rival):
+class LeastConnections(BaselineSelector):
     """The fewest requests in hand from here."""
 
     def best(self, now: float, target: str, ready: list[ServerState]) -> ServerState:
         return min(ready, key=lambda p: (p.in_flight, self.random.random()))
 
 
-class TwoChoices(Rival):
+class TwoChoices(BaselineSelector):
     """The one with fewer in hand from here, of two by chance."""
 
     def best(self, now: float, target: str, ready: list[ServerState]) -> ServerState:
@@ -47,7 +47,7 @@
         return min(two, key=lambda p: p.in_flight)
 
 
-class LoadOnly(Rival):
+class LoadOnly(BaselineSelector):
     """The least load for each slot as last told, with what has gone there from here."""
 
     def best(self, now: float, target: str, ready: list[ServerState]) -> ServerState:
@@ -55,7 +55,7 @@
                                          self.random.random()))
 
 
-class RoundRobin(Rival):
+class RoundRobin(BaselineSelector):
     """One after another, each limiter from its own place in the list."""
 
     def best(self, now: float, target: str, ready: list[ServerState]) -> ServerState:
--- a/larklb/lab/soak.py
+++ b/larklb/lab/soak.py
@@ -35,8 +35,8 @@
 from attrs import define, field
 
 from larklb.lab.soak_clients import ClientRequest, PersistentClient, Run, SoakServer
-from larklb.lab.system import BACK_S, START_S, Trial
-from larklb.lab.system_clients import PROMISES
+from larklb.lab.system import RECOVERY_TIMEOUT_S, START_TIMEOUT_S, Trial
+from larklb.lab.system_clients import NOT_RUN_STATUSES
 from larklb.lab.system_network import CONFIGURATION, CORES, GRACE_S, LIMITERS, TrialError
 from larklb.schema import calls
 
@@ -103,12 +103,12 @@
         """
         for server in self.servers:
             await server.start()
-            self.tasks.append(asyncio.ensure_future(server.live()))
+            self.tasks.append(asyncio.ensure_future(server.send_heartbeats()))
         for i in range(LIMITERS):
             await self.start(i, True)
-        self.tasks.append(asyncio.ensure_future(self.clients.look()))
+        self.tasks.append(asyncio.ensure_future(self.clients.poll_readiness()))
         await self.change(calls.REPLACE, 0, CONFIGURATION)
-        if not await self.until("all limiters are ready", START_S, self.there):
+        if not await self.wait_until("all limiters are ready", START_TIMEOUT_S, self.all_converged):
             raise TrialError("they never got ready")
         until = asyncio.get_running_loop().time() + self.seconds
         await asyncio.gather(
@@ -169,7 +169,7 @@
             await process.wait()
         if signal_number is signal.SIGTERM and process.returncode not in expected_codes:
             self.broken.append(
-                Violation("end", f"limiter-{i} ended with {process.returncode}: {self.last(i)}")
+                Violation("end", f"limiter-{i} ended with {process.returncode}: {self.last_log_line(i)}")
             )
         await asyncio.sleep(rng.uniform(*DOWN_S))
         await self.start(i, False)
@@ -227,7 +227,7 @@
     def _check_request(self, request: ClientRequest, runs: list[Run]) -> Iterator[Violation]:
         if not request.safe and len(runs) > 1:
             yield Violation("twice", request.path)
-        if request.status in PROMISES and runs:
+        if request.status in NOT_RUN_STATUSES and runs:
             yield Violation("promise", f"{request.path}: {request.status}")
         if request.status == 200 and (
             not any(run.completed for run in runs)
@@ -252,7 +252,7 @@
                 yield Violation("gone", request.path)
 
     async def _check_settled(self) -> None:
-        if not await self.until("all limiters are there", BACK_S, self.there):
+        if not await self.wait_until("all limiters are there", RECOVERY_TIMEOUT_S, self.all_converged):
             self.broken.append(Violation("settled", "not all limiters are back with one configuration"))
         configuration = await self._read_back()
         if configuration.get("version") != self.version:
--- a/larklb/lab/soak_clients.py
+++ b/larklb/lab/soak_clients.py
@@ -14,7 +14,7 @@
 from attrs import define, field
 
 from larklb.lab.system_network import CONFIGURATION, LIMITERS, Net
-from larklb.lab.system_servers import StandIn
+from larklb.lab.system_servers import StandInServer
 from larklb.lab.yard import read_head
 
 # Fraction of the requests with long work, and its duration (min, max).
@@ -51,7 +51,7 @@
 
 
 @define(eq=False)
-class SoakServer(StandIn):
+class SoakServer(StandInServer):
     """A server that sometimes works for a long time, and records the start and end of each run."""
 
     runs_by_path: dict[str, list[Run]] = field(factory=dict)
@@ -63,9 +63,9 @@
         self.runs_by_path.setdefault(path, []).append(run)
         try:
             await asyncio.sleep(
-                self.chance.uniform(*LONG_S)
-                if self.chance.random() < LONG_FRACTION
-                else self.chance.uniform(0.01, 0.06)
+                self.rng.uniform(*LONG_S)
+                if self.rng.random() < LONG_FRACTION
+                else self.rng.uniform(0.01, 0.06)
             )
             run.completed = True
         finally:
--- a/larklb/lab/system.py
+++ b/larklb/lab/system.py
@@ -21,13 +21,13 @@
 
 from larklb.lab.system_clients import Clients
 from larklb.lab.system_network import (
-    CHANGE,
+    AMENDMENT,
     CONFIGURATION,
     CORES,
-    DRAIN_S,
-    GAP_S,
+    DRAIN_BOUND_S,
     GRACE_S,
     LIMITERS,
+    REQUEST_INTERVAL_S,
     SMALL_RATE,
     ZONES,
     Document,
@@ -36,16 +36,20 @@
     free_net,
     settings,
 )
-from larklb.lab.system_servers import StandIn
+from larklb.lab.system_servers import StandInServer
 from larklb.lab.yard import ROOT
 from larklb.schema import calls
 from larklb.schema.amendments import amend
 from larklb.schema.document import digest, parse
 
-LEAST_S = 6.0              # of requests, in which a killed limiter is back before the end
-START_S = 25.0             # for all limiters to be ready: a busy machine starts slowly
-BACK_S = 20.0              # ... and, after the last request, for all to be there with one configuration
-DOWN_S = 2.0               # between the kill and the start
+# Minimum duration of the request stream, so that a killed limiter is back before its end.
+MIN_DURATION_S = 6.0
+# For all limiters to become ready; they start slowly on a busy machine.
+START_TIMEOUT_S = 25.0
+# After the last request, for all limiters to be up with the same configuration.
+RECOVERY_TIMEOUT_S = 20.0
+# Between killing the leader and restarting it.
+DOWNTIME_S = 2.0
 
 
 class Trial:
@@ -53,15 +57,16 @@
 
     def __init__(self, folder: Path, seconds: float, quiet: bool) -> None:
         self.folder, self.seconds, self.quiet = folder, seconds, quiet
-        self.net, chance = free_net(), random.Random(11)
+        self.net, rng = free_net(), random.Random(11)
         self.processes: dict[int, asyncio.subprocess.Process] = {}
-        self.clients = Clients(self.net, chance)
-        self.servers = [StandIn(f"{service}-{n}", service, ZONES[n], self.net.ip(100 + k), self.net.server,
-                                self.net.controls(), random.Random(k))
-                        for k, (service, n) in enumerate(
-                            (s, n) for s in ("orders", "catalogue") for n in (0, 1))]
+        self.clients = Clients(self.net, rng)
+        self.servers = [
+            StandInServer(f"{service}-{n}", service, ZONES[n], self.net.ip(100 + k), self.net.server,
+                          self.net.controls(), random.Random(k))
+            for k, (service, n) in enumerate(
+                (s, n) for s in ("orders", "catalogue") for n in (0, 1))]
         self.tasks: list[asyncio.Task[None]] = []
-        self.off: list[str] = []       # what was not as it should be
+        self.failures: list[str] = []       # what was not as it should be
 
     def say(self, text: str) -> None:
         if not self.quiet:
@@ -70,7 +75,7 @@
     def check(self, good: bool, text: str) -> None:
         self.say(f"  {'as it should be' if good else 'NOT as it should be'}: {text}")
         if not good:
-            self.off.append(text)
+            self.failures.append(text)
 
     async def command(self, *words: str, status: int = 0) -> None:
         """One of our own commands, shown as one would type it, and what it says."""
@@ -94,28 +99,29 @@
                 sys.executable, "-m", "larklb.gateway", env={**_environment(), "LARKLB_SETTINGS": str(file)},
                 stdout=log, stderr=log)
 
-    async def until(self, what: str, within: float, true: Callable[[], Awaitable[bool]]) -> bool:
+    async def wait_until(self, what: str, within: float, true: Callable[[], Awaitable[bool]]) -> bool:
         """Waits until it is so; TrialError where a limiter has ended by itself."""
         loop = asyncio.get_running_loop()
         end = loop.time() + within
         while not await true():
             for i, process in self.processes.items():
                 if process.returncode is not None and i not in self.clients.killed:
-                    raise TrialError(f"limiter-{i} has ended with {process.returncode}: {self.last(i)}")
+                    raise TrialError(
+                        f"limiter-{i} has ended with {process.returncode}: {self.last_log_line(i)}")
             if loop.time() > end:
                 self.check(False, f"within {within:g} s {what}")
                 return False
             await asyncio.sleep(0.1)
         return True
 
-    def last(self, i: int) -> str:
+    def last_log_line(self, i: int) -> str:
         """The last line of a limiter's log."""
         lines = (self.folder / f"limiter-{i}.log").read_text("utf-8", "replace").splitlines()
         return lines[-1] if lines else "it said nothing"
 
     async def change(self, path: str, base: int, document: Document) -> None:
         """An operator's call, sent unchanged until there is a clear answer."""
-        body, until = json.dumps(document).encode(), asyncio.get_running_loop().time() + START_S
+        body, until = json.dumps(document).encode(), asyncio.get_running_loop().time() + START_TIMEOUT_S
         while asyncio.get_running_loop().time() < until:
             for address in self.net.controls():
                 with suppress(OSError, TimeoutError):
@@ -142,7 +148,7 @@
                 return i
         return 0
 
-    async def there(self) -> bool:
+    async def all_converged(self) -> bool:
         """Whether all limiters are ready with the same configuration and know each other and all servers."""
         want = {s.id for s in self.servers if not s.draining}
         known = [await self.status(i, calls.SERVERS) for i in range(LIMITERS)]
@@ -158,16 +164,17 @@
                  "disk, two without.\nFour stand-in servers of two services beat at them.")
         for server in self.servers:
             await server.start()
-            self.tasks.append(asyncio.ensure_future(server.live()))
+            self.tasks.append(asyncio.ensure_future(server.send_heartbeats()))
         for i in range(LIMITERS):
             await self.start(i, True)
-        self.tasks.append(asyncio.ensure_future(clients.look()))
+        self.tasks.append(asyncio.ensure_future(clients.poll_readiness()))
         await self.change(calls.REPLACE, 0, CONFIGURATION)
         self.say("\nVersion 1 of a configuration is acknowledged: a majority of the three disks has it.")
-        if not await self.until("all limiters are ready", START_S, self.there):
-            raise TrialError("; ".join(f"limiter-{i}: {self.last(i)}" for i in range(LIMITERS)))
-        await self.until("the platform finds them ready", 3.0, self._all_ready)
-        self.say(f"All five are ready. Requests begin, {1 / GAP_S:.0f} a second for {seconds:g} s.")
+        if not await self.wait_until("all limiters are ready", START_TIMEOUT_S, self.all_converged):
+            raise TrialError("; ".join(f"limiter-{i}: {self.last_log_line(i)}" for i in range(LIMITERS)))
+        await self.wait_until("the platform finds them ready", 3.0, self._all_ready)
+        self.say(
+            f"All five are ready. Requests begin, {1 / REQUEST_INTERVAL_S:.0f} a second for {seconds:g} s.")
         begun = asyncio.get_running_loop().time()
         stream = asyncio.ensure_future(clients.stream(seconds))
         try:
@@ -187,7 +194,7 @@
             await asyncio.sleep(max(0.0, begun + moment - loop.time()))
 
         await at(0.08 * seconds)
-        await self.change(calls.AMEND, 1, CHANGE)
+        await self.change(calls.AMEND, 1, AMENDMENT)
         changed = loop.time()
         self.say("\nVersion 3 adds a route; it was acknowledged while requests went on.")
         await at(0.25 * seconds)
@@ -199,7 +206,7 @@
         self.say(f"The leader, limiter-{victim}, is killed.")
         await asyncio.sleep(max(0.0, changed + 2.5 - loop.time()))
         self.clients.kinds = ["place-order", "look-up", "place-order", "price-list"]
-        await asyncio.sleep(max(0.0, killed + DOWN_S - loop.time()))
+        await asyncio.sleep(max(0.0, killed + DOWNTIME_S - loop.time()))
         await self.start(victim, False)
         self.say(f"limiter-{victim} is started again, with its disk.")
         await at(0.6 * seconds)
@@ -209,9 +216,11 @@
 
     async def _end(self) -> None:
         self.clients.killed = {}
-        await self.until("all limiters are back with one version", BACK_S, self.there)
+        await self.wait_until("all limiters are back with one version", RECOVERY_TIMEOUT_S,
+                              self.all_converged)
         leaving = self.servers[-1]
-        await asyncio.sleep(max(0.0, leaving.told_at + DRAIN_S + 0.6 - asyncio.get_running_loop().time()))
+        await asyncio.sleep(max(0.0, leaving.drain_acknowledged_at + DRAIN_BOUND_S + 0.6
+                                - asyncio.get_running_loop().time()))
         address = ",".join(self.net.controls())
         await self.command("versions", address)
         await self.command("core", address)
@@ -232,11 +241,11 @@
         """How often each path has run, at all servers together."""
         return sum((server.runs for server in self.servers), Counter())
 
-    def twice(self) -> list[str]:
+    def duplicated(self) -> list[str]:
         """Unsafe requests that have run more than once."""
         return sorted(path for path, n in self.runs().items() if n > 1 and path.startswith("/orders/"))
 
-    def false(self) -> list[str]:
+    def contradicted(self) -> list[str]:
         """Requests served that no server ran, or refused with a promise although one did."""
         runs = self.runs()
         return sorted(path for path, outcome in self.clients.figures.outcome.items()
@@ -245,19 +254,19 @@
 
     def verdicts(self, document: Document) -> Iterator[tuple[str, bool]]:
         """Each thing that must hold, and whether it does."""
-        f, twice, false = self.clients.figures, self.twice(), self.false()
+        f, twice, false = self.clients.figures, self.duplicated(), self.contradicted()
         served, refused, unknown = f.served.total(), f.refused.total(), f.unknown.total()
-        yield f"{served} requests served ({_told(f.served)}), in {f.tries} tries", served > 0
+        yield f"{served} requests served ({_format_counts(f.served)}), in {f.tries} tries", served > 0
         yield (f"{refused} refused in the end, {f.over_quota} over a quota of {SMALL_RATE} a second",
                f.over_quota > 0)
         yield f"{unknown} failed: unsafe ones at the limiter that was killed, not sent again", True
-        yield (f"{len(f.lost)} lost{_some(f.lost)}", not f.lost)
-        yield (f"{len(twice)} unsafe ones ran twice{_some(twice)}", not twice)
-        yield (f"{len(false)} answers or promises that weren't true{_some(false)}", not false)
-        yield ("nothing came to the drained server after its bound" if not self.servers[-1].late else
-               f"{self.servers[-1].late} requests came to the drained server after its bound",
-               not self.servers[-1].late)
-        wanted = amend(CONFIGURATION, CHANGE)
+        yield (f"{len(f.lost)} lost{_format_examples(f.lost)}", not f.lost)
+        yield (f"{len(twice)} unsafe ones ran twice{_format_examples(twice)}", not twice)
+        yield (f"{len(false)} answers or promises that weren't true{_format_examples(false)}", not false)
+        yield ("nothing came to the drained server after its bound" if not self.servers[-1].late_requests else
+               f"{self.servers[-1].late_requests} requests came to the drained server after its bound",
+               not self.servers[-1].late_requests)
+        wanted = amend(CONFIGURATION, AMENDMENT)
         yield ("the configuration read back is version 3, as it was amended",
                bool(document) and digest(document) == digest(wanted))
 
@@ -279,11 +288,11 @@
                 self.check(False, "a limiter had to be killed in the end")
 
 
-def _told(counts: Counter[str]) -> str:
+def _format_counts(counts: Counter[str]) -> str:
     return ", ".join(f"{kind} {n}" for kind, n in sorted(counts.items()))
 
 
-def _some(names: list[str]) -> str:
+def _format_examples(names: list[str]) -> str:
     return f": {', '.join(names[:5])}" if names else ""
 
 
@@ -320,9 +329,10 @@
         print(json.dumps({
             "served": figures.served.total(), "refused": figures.refused.total(),
             "overQuota": figures.over_quota, "unknown": figures.unknown.total(), "lost": figures.lost,
-            "ranTwice": trial.twice(), "false": trial.false(), "tries": figures.tries, "off": trial.off}))
+            "ranTwice": trial.duplicated(), "false": trial.contradicted(), "tries": figures.tries,
+            "off": trial.failures}))
     trial.say("Ended: limiters, servers and files.")
-    return 1 if trial.off else 0
+    return 1 if trial.failures else 0
 
 
 def run(seconds: float, as_json: bool) -> int:
--- a/larklb/lab/system_clients.py
+++ b/larklb/lab/system_clients.py
@@ -9,13 +9,16 @@
 
 from attrs import define, field
 
-from larklb.lab.system_network import GAP_S, LIMITERS, PREFIXES, Net, call
+from larklb.lab.system_network import LIMITERS, PREFIXES, REQUEST_INTERVAL_S, Net, call
 from larklb.schema import calls
 
-PATIENCE_S = 5.0           # of a client with one request
-LOOK_S = 0.4               # between two questions whether a limiter is ready; two misses shut it out
-PROMISES = frozenset((408, 421, 429, 503))
-SMALL_PART = 5             # every so many requests is that tenant's: 9 a second
+REQUEST_DEADLINE_S = 5.0   # of a client's request, over all its attempts
+# Interval between readiness checks of a limiter; two failures in a row exclude it.
+READINESS_POLL_S = 0.4
+# Statuses that promise that the request has not run.
+NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
+# Every SMALL_PART-th request is the small tenant's, which makes 9 a second.
+SMALL_PART = 5
 
 
 @define
@@ -34,21 +37,21 @@
 class Clients:
     """All clients: an even stream of requests, each tried again only where that can do no harm."""
 
-    def __init__(self, net: Net, chance: random.Random) -> None:
-        self.net, self.chance, self.figures = net, chance, Figures()
+    def __init__(self, net: Net, rng: random.Random) -> None:
+        self.net, self.rng, self.figures = net, rng, Figures()
         self.misses = Counter({i: 2 for i in range(LIMITERS)})
         self.killed: dict[int, float] = {}             # limiters, and when they were killed
         self.kinds = ["place-order", "look-up"]
         self.number = 0
         self.tasks: set[asyncio.Task[None]] = set()
 
-    async def look(self) -> None:
+    async def poll_readiness(self) -> None:
         """As the platform does: who is not ready gets no new connections."""
         while True:
-            await asyncio.gather(*(self._looked(i) for i in range(LIMITERS)))
-            await asyncio.sleep(LOOK_S)
+            await asyncio.gather(*(self._poll_limiter(i) for i in range(LIMITERS)))
+            await asyncio.sleep(READINESS_POLL_S)
 
-    async def _looked(self, i: int) -> None:
+    async def _poll_limiter(self, i: int) -> None:
         with suppress(OSError, TimeoutError):
             if (await call(f"{self.net.ip(i)}:{self.net.readiness}", "GET", calls.READINESS))[0] == 200:
                 self.misses[i] = 0
@@ -62,8 +65,8 @@
         """Requests for so long, and to the end of the last one."""
         loop = asyncio.get_running_loop()
         begin = loop.time()
-        for n in range(int(seconds / GAP_S)):
-            await asyncio.sleep(max(0.0, begin + n * GAP_S - loop.time()))
+        for n in range(int(seconds / REQUEST_INTERVAL_S)):
+            await asyncio.sleep(max(0.0, begin + n * REQUEST_INTERVAL_S - loop.time()))
             task = loop.create_task(self._one())
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
@@ -87,12 +90,12 @@
 
     async def _tried(self, kind: str, path: str, tenant: str) -> str:
         loop, safe = asyncio.get_running_loop(), kind != "place-order"
-        due = loop.time() + PATIENCE_S
+        due = loop.time() + REQUEST_DEADLINE_S
         said = "nothing"
         while (left := due - loop.time()) > 0.05:
             self.figures.tries += 1
-            i = self.chance.choice(self.ready() or list(range(LIMITERS)))
-            began, attempt = loop.time(), f"{self.chance.getrandbits(64):016x}"
+            i = self.rng.choice(self.ready() or list(range(LIMITERS)))
+            began, attempt = loop.time(), f"{self.rng.getrandbits(64):016x}"
             address = f"{self.net.ip(i)}:{self.net.edge}"
             try:
                 # Who refuses the connection has read nothing.
@@ -119,8 +122,8 @@
                 return "served" if whole else "lost"
             if status == 429 and tenant == "skiff":
                 return "over"
-            if status not in PROMISES and (not safe or status < 500):
+            if status not in NOT_RUN_STATUSES and (not safe or status < 500):
                 return "lost"
-            said = "refused" if status in PROMISES else str(status)
+            said = "refused" if status in NOT_RUN_STATUSES else str(status)
             await asyncio.sleep(min(max(0.0, due - loop.time()), float(headers.get("retry-after", "0.05"))))
         return "refused" if not safe and said in ("refused", "unreached") else "lost"
--- a/larklb/lab/system_network.py
+++ b/larklb/lab/system_network.py
@@ -13,12 +13,12 @@
 from larklb.lab.yard import read_head
 
 GRACE_S = 3.0              # that limiters are given to end in
-PERIOD_S = 0.5             # between a server's heartbeats
-DRAIN_S = 2.5              # that a server serves on, once anybody has acknowledged that it leaves
-GAP_S = 1 / 45             # between two requests
+HEARTBEAT_INTERVAL_S = 0.5             # between a server's heartbeats
+DRAIN_BOUND_S = 2.5              # that a server serves on, once anybody has acknowledged that it leaves
+REQUEST_INTERVAL_S = 1 / 45             # between two requests
 CORES, LIMITERS = 3, 5
 ZONES = ("north", "south", "east")
-MOST_ANSWER = 1 << 20
+MAX_RESPONSE_BYTES = 1 << 20
 SMALL_RATE, SMALL_BURST = 4, 4         # of the tenant that asks for more than it has
 
 
@@ -37,7 +37,7 @@
          "setpointMs": 500, "precedence": 0, "target": "orders", "tries": 2},
         {"name": "look-up", "prefix": "/parts/", "routeType": "safe", "timeoutMs": 4000, "setpointMs": 400,
          "precedence": 1, "target": "catalogue", "tries": 2}]}]}
-CHANGE: Document = {
+AMENDMENT: Document = {
     "version": 3,
     "upsert": {"hosts": [{"host": "shop.example", "paths": [
         {"name": "price-list", "prefix": "/prices/", "routeType": "safe", "timeoutMs": 4000,
@@ -134,14 +134,14 @@
 readiness = "{ip}:{net.readiness}"
 
 [substrate]
-reportPeriodMs = {PERIOD_S * 1000:g}
+reportPeriodMs = {HEARTBEAT_INTERVAL_S * 1000:g}
 
 [terms.tolerance]
 machines = 1
 
 [terms.bounds]
 graceS = {GRACE_S:g}
-drainMs = {DRAIN_S * 1000:g}
+drainMs = {DRAIN_BOUND_S * 1000:g}
 """
 
 
@@ -160,7 +160,7 @@
             writer.write("\r\n".join(lines).encode() + b"\r\n\r\n" + body)
             head, told = await read_head(reader)
             size = int(told.get("content-length", 0))
-            if size > MOST_ANSWER:
+            if size > MAX_RESPONSE_BYTES:
                 raise ConnectionError("too long an answer")
             return int(head.split()[1]), told, await reader.readexactly(size)
     except (EOFError, ValueError, IndexError, asyncio.LimitOverrunError) as error:
--- a/larklb/lab/system_servers.py
+++ b/larklb/lab/system_servers.py
@@ -11,7 +11,7 @@
 
 from attrs import define, field
 
-from larklb.lab.system_network import DRAIN_S, PERIOD_S, call
+from larklb.lab.system_network import DRAIN_BOUND_S, HEARTBEAT_INTERVAL_S, call
 from larklb.lab.yard import read_head
 from larklb.schema.document import digest
 
@@ -21,7 +21,7 @@
 
 
 @define(eq=False)
-class StandIn:
+class StandInServer:
     """One server: it works on requests, tells its load, and beats at the limiters' control addresses."""
 
     id: str
@@ -30,15 +30,15 @@
     ip: str
     port: int
     controls: list[str]
-    chance: random.Random
+    rng: random.Random
     runs: Counter[str] = field(factory=Counter)        # by path: what it has begun to work on
     turned_away: int = 0
     running: int = 0
     waiting: int = 0
     sequence: int = 0
     draining: bool = False
-    told_at: float = 0.0           # when its leaving was acknowledged
-    late: int = 0                  # requests that came after the bound on that had run out
+    drain_acknowledged_at: float = 0.0           # when its leaving was acknowledged
+    late_requests: int = 0                  # requests that came after the bound on that had run out
     report_to: str = ""
     server: asyncio.Server | None = None
     slots: asyncio.Semaphore = field(factory=lambda: asyncio.Semaphore(SLOTS))
@@ -80,7 +80,7 @@
 
     async def work(self, path: str) -> None:
         """What a request takes."""
-        await asyncio.sleep(self.chance.uniform(*WORK_S))
+        await asyncio.sleep(self.rng.uniform(*WORK_S))
 
     async def _answer(self, path: str, headers: dict[str, str],
                       body: bytes) -> Answer:
@@ -92,8 +92,8 @@
             return 421, {"X-Not-Run": "1"}, b""
         if "x-attempt-id" not in headers:
             return 400, {"X-Not-Run": "1"}, b""
-        if self.told_at and now - self.told_at > DRAIN_S:
-            self.late += 1
+        if self.drain_acknowledged_at and now - self.drain_acknowledged_at > DRAIN_BOUND_S:
+            self.late_requests += 1
         same = {"X-Attempt-Id": headers["x-attempt-id"]}
         if self.running + self.waiting >= SLOTS + QUEUE:
             self.turned_away += 1
@@ -113,7 +113,7 @@
         seal = digest({"id": self.id, "attempt": headers["x-attempt-id"]})[:16]
         return 200, {"X-Server-Seal": seal, **same}, f"{path} for {headers.get('x-tenant', '')}".encode()
 
-    async def beat(self) -> bool:
+    async def send_heartbeat(self) -> bool:
         """One heartbeat, at another limiter where the first gives no answer; whether it was acknowledged."""
         self.sequence += 1
         body = json.dumps({
@@ -121,7 +121,7 @@
             "info": {"target": self.service, "version": "v1", "zone": self.zone, "capacity": SLOTS},
             "observed": {"state": "draining" if self.draining else "steady", "sequence": self.sequence,
                          "warmupLeftMs": 0}}).encode()
-        others = self.chance.sample(self.controls, len(self.controls))
+        others = self.rng.sample(self.controls, len(self.controls))
         for address in [self.report_to, *others] if self.report_to else others:
             with suppress(OSError, TimeoutError):
                 status, _, told = await call(address, "POST", f"/larklb/instances/{self.id}/heartbeat",
@@ -132,20 +132,20 @@
             self.report_to = ""
         return False
 
-    async def live(self) -> None:
+    async def send_heartbeats(self) -> None:
         """Beats until it is told to leave."""
         while not self.draining:
-            await self.beat()
-            await asyncio.sleep(PERIOD_S)
+            await self.send_heartbeat()
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S)
 
     async def leave(self) -> None:
         """An orderly end: acknowledged, served on for as long as that takes to be known, told, over."""
         self.draining = True
         until = asyncio.get_running_loop().time() + 5.0
-        while not await self.beat() and asyncio.get_running_loop().time() < until:
+        while not await self.send_heartbeat() and asyncio.get_running_loop().time() < until:
             await asyncio.sleep(0.1)
-        self.told_at = asyncio.get_running_loop().time()
-        await asyncio.sleep(DRAIN_S + 0.5)
+        self.drain_acknowledged_at = asyncio.get_running_loop().time()
+        await asyncio.sleep(DRAIN_BOUND_S + 0.5)
         for address in self.controls:
             with suppress(OSError, TimeoutError):
                 if (await call(address, "POST", f"/larklb/instances/{self.id}/leave"))[0] < 300:
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -10,8 +10,8 @@
 from larklb.admission.choice import ServerSelector
 from larklb.admission.tries import AttemptOutcome
 from larklb.balancing.choice import CapacityAwareSelector
-from larklb.lab.emulator import Emulator, Make, play
-from larklb.lab.emulator_deployment import Deployment, Trouble, flags, shop
+from larklb.lab.emulator import Emulator, SelectorFactory, play
+from larklb.lab.emulator_deployment import Deployment, Fault, flags, shop
 from larklb.lab.emulator_rivals import RIVALS
 
 pytestmark = pytest.mark.simulation
@@ -19,7 +19,7 @@
 SHORT = {"length": 12_000.0, "settling": 2_000.0}
 
 
-def selector_factory(kind: type[ServerSelector]) -> Make:
+def selector_factory(kind: type[ServerSelector]) -> SelectorFactory:
     return lambda number, zone, regions, seed: kind(zone, regions, seed)
 
 
@@ -33,8 +33,8 @@
 @pytest.mark.parametrize("kind", [*RIVALS.values(), CapacityAwareSelector])
 def test_runs_are_repeatable_and_every_request_ends_once(kind: type[ServerSelector]) -> None:
     deployment = flags(**SHORT)
-    deployment = evolve(deployment, troubles=(Trouble("dark", 4_000.0, 3_000.0, "live", 0.2),
-                                              Trouble("release", 3_000.0, 6_000.0, "history")))
+    deployment = evolve(deployment, troubles=(Fault("dark", 4_000.0, 3_000.0, "live", 0.2),
+                            Fault("release", 3_000.0, 6_000.0, "history")))
     emulator, repeated = (Emulator(deployment, selector_factory(kind), 7) for _ in range(2))
     first = emulator.run()
     assert first.took == repeated.run().took
@@ -81,5 +81,5 @@
 
 def test_release_with_cold_servers_causes_no_herding() -> None:
     deployment = flags(length=30_000.0)
-    deployment = evolve(deployment, troubles=(Trouble("release", 10_000.0, 15_000.0, "live"),))
+    deployment = evolve(deployment, troubles=(Fault("release", 10_000.0, 15_000.0, "live"),))
     assert play(deployment, selector_factory(CapacityAwareSelector), 1).in_aim("lookup") > 0.93
--- a/tests/test_system_cli.py
+++ b/tests/test_system_cli.py
@@ -32,7 +32,7 @@
 from larklb.gateway.messages import CallAnswer, CallResult, OperatorCall
 from larklb.gateway.transport import Transport
 from larklb.lab import system as lab
-from larklb.lab.system_network import CHANGE, CONFIGURATION, Net, settings
+from larklb.lab.system_network import AMENDMENT, CONFIGURATION, Net, settings
 from larklb.membership.members import Member
 from larklb.registry.registry import Server
 from larklb.schema import calls, configuration
@@ -133,7 +133,8 @@
     replies = iter([(503, {}), (200, {}), (412, {}), (400, {"text": "a: 1: b; c: 2: d"}), (200, {})])
     core = answerer(lambda path: next(replies))
     monkeypatch.setattr(system_calls, "INITIAL_BACKOFF_S", 0.0)
-    whole, change = put(tmp_path, "new.json", json.dumps(CONFIGURATION, indent=1)), put(tmp_path, "c", CHANGE)
+    whole, change = (put(tmp_path, "new.json", json.dumps(CONFIGURATION, indent=1)),
+                     put(tmp_path, "c", AMENDMENT))
     assert system.main(["replace", core.address, whole, "--base", "0"]) == 0
     assert [body for _, _, body in core.asked] == [Path(whole).read_bytes()] * 2, "sent again unchanged"
     assert {h[k] for _, h, _ in core.asked for k in h if k.lower() == calls.BASE_VERSION_HEADER} == {"0"}
@@ -172,8 +173,8 @@
 
 
 def test_configurations_are_checked_and_compared(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    old, change = put(tmp_path, "old.json", CONFIGURATION), put(tmp_path, "change.json", CHANGE)
-    amended = amend(CONFIGURATION, CHANGE)
+    old, change = put(tmp_path, "old.json", CONFIGURATION), put(tmp_path, "change.json", AMENDMENT)
+    amended = amend(CONFIGURATION, AMENDMENT)
     amended["tenants"] = [{**amended["tenants"][0], "keys": ["another-key"], "ratePerS": 63}]
     new = put(tmp_path, "new.json", amended)
     assert system.main(["check-config", change]) == 2
