--- a/larklb/lab/system.py
+++ b/larklb/lab/system.py
@@ -1,8 +1,9 @@
-"""The whole system on loopback, with nothing prepared: limiters as processes, servers, clients, faults.
+"""Trial of the whole system on loopback: limiters as processes, stand-in servers, clients and faults.
 
-Three core limiters with a folder each and two without a disk serve four servers of two services. A
-configuration is put in force and amended, the leader is killed and started again, a server is drained, and
-requests go on all the while. Nobody's word but the servers' and the clients' own counts in the end.
+Three core limiters with a data directory each and two without a disk serve four servers of two services.
+While requests go on, a configuration is installed and amended, the leader is killed and restarted, and a
+server is drained. The verdict rests on the counts of the servers and the clients alone, not on the
+limiters' reports.
 """
 
 from __future__ import annotations
@@ -53,7 +54,12 @@
 
 
 class Trial:
-    """One run; everything it started ends with it."""
+    """One run of the trial; `stop` ends every process, task and server that it started.
+
+    :param folder: Directory for the settings, logs and disks of the limiters.
+    :param seconds: Duration of the request stream.
+    :param quiet: Print nothing and skip the demonstration of the commands.
+    """
 
     def __init__(self, folder: Path, seconds: float, quiet: bool) -> None:
         self.folder, self.seconds, self.quiet = folder, seconds, quiet
@@ -66,24 +72,29 @@
             for k, (service, n) in enumerate(
                 (s, n) for s in ("orders", "catalogue") for n in (0, 1))]
         self.tasks: list[asyncio.Task[None]] = []
-        self.failures: list[str] = []       # what was not as it should be
+        self.failures: list[str] = []       # descriptions of the checks that failed
 
     def say(self, text: str) -> None:
+        """Print a line of progress unless the trial is quiet."""
         if not self.quiet:
             print(text, flush=True)
 
-    def check(self, good: bool, text: str) -> None:
-        self.say(f"  {'as it should be' if good else 'NOT as it should be'}: {text}")
-        if not good:
+    def check(self, passed: bool, text: str) -> None:
+        """Print the result of a check and record it if it failed."""
+        self.say(f"  {'as it should be' if passed else 'NOT as it should be'}: {text}")
+        if not passed:
             self.failures.append(text)
 
-    async def command(self, *words: str, status: int = 0) -> None:
-        """One of our own commands, shown as one would type it, and what it says."""
+    async def command(self, *arguments: str, status: int = 0) -> None:
+        """Run a `larklb system` command and print it with its output; does nothing if the trial is quiet.
+
+        An exit status other than `status` is recorded as a failed check.
+        """
         if self.quiet:
             return
-        self.say(f"\n    $ larklb system {' '.join(words)}")
+        self.say(f"\n    $ larklb system {' '.join(arguments)}")
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "larklb.cli.system", *words, env=_environment(),
+            sys.executable, "-m", "larklb.cli.system", *arguments, env=_environment(),
             stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.STDOUT)
         for line in (await process.communicate())[0].decode().splitlines():
             self.say(f"      {line}")
@@ -91,7 +102,7 @@
             self.check(False, f"it ended with {process.returncode}, not {status}")
 
     async def start(self, i: int, first: bool) -> None:
-        """One limiter, as a process of its own."""
+        """Start limiter `i` as a process; `first` is true on the first start of the system."""
         file = self.folder / f"limiter-{i}.toml"
         file.write_text(settings(self.net, i, self.folder, first))
         with (self.folder / f"limiter-{i}.log").open("ab") as log:
@@ -99,43 +110,50 @@
                 sys.executable, "-m", "larklb.gateway", env={**_environment(), "LARKLB_SETTINGS": str(file)},
                 stdout=log, stderr=log)
 
-    async def wait_until(self, what: str, within: float, true: Callable[[], Awaitable[bool]]) -> bool:
-        """Waits until it is so; TrialError where a limiter has ended by itself."""
+    async def wait_until(self, what: str, timeout_s: float,
+                         condition: Callable[[], Awaitable[bool]]) -> bool:
+        """Poll `condition` until it holds; after `timeout_s` record a failed check and return False.
+
+        :raises TrialError: A limiter has ended that the trial did not kill.
+        """
         loop = asyncio.get_running_loop()
-        end = loop.time() + within
-        while not await true():
+        deadline = loop.time() + timeout_s
+        while not await condition():
             for i, process in self.processes.items():
                 if process.returncode is not None and i not in self.clients.killed:
                     raise TrialError(
                         f"limiter-{i} has ended with {process.returncode}: {self.last_log_line(i)}")
-            if loop.time() > end:
-                self.check(False, f"within {within:g} s {what}")
+            if loop.time() > deadline:
+                self.check(False, f"within {timeout_s:g} s {what}")
                 return False
             await asyncio.sleep(0.1)
         return True
 
     def last_log_line(self, i: int) -> str:
-        """The last line of a limiter's log."""
+        """Return the last line of a limiter's log."""
         lines = (self.folder / f"limiter-{i}.log").read_text("utf-8", "replace").splitlines()
         return lines[-1] if lines else "it said nothing"
 
     async def change(self, path: str, base: int, document: Document) -> None:
-        """An operator's call, sent unchanged until there is a clear answer."""
-        body, until = json.dumps(document).encode(), asyncio.get_running_loop().time() + START_TIMEOUT_S
-        while asyncio.get_running_loop().time() < until:
+        """Send a configuration change, retrying it unchanged until an answer is conclusive.
+
+        :raises TrialError: The change was rejected, or there was no conclusive answer in time.
+        """
+        body, deadline = json.dumps(document).encode(), asyncio.get_running_loop().time() + START_TIMEOUT_S
+        while asyncio.get_running_loop().time() < deadline:
             for address in self.net.controls():
                 with suppress(OSError, TimeoutError):
-                    status, _, told = await call(
+                    status, _, response = await call(
                         address, "POST", path, {calls.BASE_VERSION_HEADER: str(base)}, body)
                     if status < 300:
                         return
                     if status in (400, 412):
-                        raise TrialError(f"{path}: {status}: {told.decode('utf-8', 'replace')[:200]}")
+                        raise TrialError(f"{path}: {status}: {response.decode('utf-8', 'replace')[:200]}")
             await asyncio.sleep(0.2)
         raise TrialError(f"{path}: no clear answer")
 
     async def status(self, i: int, path: str) -> Document:
-        """A limiter's status document, empty where it gives none."""
+        """Return a status document of a limiter, or an empty one if it gives none."""
         with suppress(OSError, TimeoutError):
             code, _, body = await call(f"{self.net.ip(i)}:{self.net.control}", "GET", path)
             if code == 200:
@@ -143,22 +161,29 @@
         return {}
 
     async def leader(self) -> int:
+        """Return the number of the core limiter that reports that it leads, or 0 if none does."""
         for i in range(CORES):
             if ((await self.status(i, calls.CORE)).get("core") or {}).get("leads"):
                 return i
         return 0
 
     async def all_converged(self) -> bool:
-        """Whether all limiters are ready with the same configuration and know each other and all servers."""
-        want = {s.id for s in self.servers if not s.draining}
-        known = [await self.status(i, calls.SERVERS) for i in range(LIMITERS)]
+        """Return whether all limiters are ready with one configuration and see each other and all servers."""
+        expected = {s.id for s in self.servers if not s.draining}
+        registries = [await self.status(i, calls.SERVERS) for i in range(LIMITERS)]
         members = [await self.status(i, calls.MEMBERS) for i in range(LIMITERS)]
-        return (all(k.get("ready") and want <= {s["id"] for s in k["servers"] if not s["silent"]}
-                    for k in known)
-                and len({k["version"] for k in known}) == 1
-                and all(sum(m["state"] == "up" for m in k.get("members", ())) == LIMITERS for k in members))
+        return (all(registry.get("ready")
+                    and expected <= {s["id"] for s in registry["servers"] if not s["silent"]}
+                    for registry in registries)
+                and len({registry["version"] for registry in registries}) == 1
+                and all(sum(m["state"] == "up" for m in view.get("members", ())) == LIMITERS
+                        for view in members))
 
     async def show(self) -> None:
+        """Run the trial to its end and print its course.
+
+        :raises TrialError: The trial cannot go on.
+        """
         clients, seconds = self.clients, self.seconds
         self.say(f"Limiters at {self.net.ip(0)} to {self.net.ip(LIMITERS - 1)}, each a process: three with a "
                  "disk, two without.\nFour stand-in servers of two services beat at them.")
@@ -175,10 +200,10 @@
         await self.wait_until("the platform finds them ready", 3.0, self._all_ready)
         self.say(
             f"All five are ready. Requests begin, {1 / REQUEST_INTERVAL_S:.0f} a second for {seconds:g} s.")
-        begun = asyncio.get_running_loop().time()
+        started_at = asyncio.get_running_loop().time()
         stream = asyncio.ensure_future(clients.stream(seconds))
         try:
-            await self._troubles(begun)
+            await self._inject_faults(started_at)
             await stream
         finally:
             stream.cancel()
@@ -187,29 +212,29 @@
     async def _all_ready(self) -> bool:
         return len(self.clients.ready()) == LIMITERS
 
-    async def _troubles(self, begun: float) -> None:
+    async def _inject_faults(self, started_at: float) -> None:
         loop, seconds = asyncio.get_running_loop(), self.seconds
 
-        async def at(moment: float) -> None:
-            await asyncio.sleep(max(0.0, begun + moment - loop.time()))
+        async def sleep_until(offset_s: float) -> None:
+            await asyncio.sleep(max(0.0, started_at + offset_s - loop.time()))
 
-        await at(0.08 * seconds)
+        await sleep_until(0.08 * seconds)
         await self.change(calls.AMEND, 1, AMENDMENT)
-        changed = loop.time()
+        changed_at = loop.time()
         self.say("\nVersion 3 adds a route; it was acknowledged while requests went on.")
-        await at(0.25 * seconds)
+        await sleep_until(0.25 * seconds)
         victim = await self.leader()
         self.clients.killed[victim] = loop.time()
         self.processes[victim].kill()
         await self.processes[victim].wait()
-        killed = loop.time()
+        killed_at = loop.time()
         self.say(f"The leader, limiter-{victim}, is killed.")
-        await asyncio.sleep(max(0.0, changed + 2.5 - loop.time()))
+        await asyncio.sleep(max(0.0, changed_at + 2.5 - loop.time()))
         self.clients.kinds = ["place-order", "look-up", "place-order", "price-list"]
-        await asyncio.sleep(max(0.0, killed + DOWNTIME_S - loop.time()))
+        await asyncio.sleep(max(0.0, killed_at + DOWNTIME_S - loop.time()))
         await self.start(victim, False)
         self.say(f"limiter-{victim} is started again, with its disk.")
-        await at(0.6 * seconds)
+        await sleep_until(0.6 * seconds)
         server = self.servers[-1]
         self.say(f"Server {server.id} drains.")
         self.tasks.append(asyncio.ensure_future(server.leave()))
@@ -224,7 +249,7 @@
         address = ",".join(self.net.controls())
         await self.command("versions", address)
         await self.command("core", address)
-        await self.command("servers", address, status=1)       # one of them is gone
+        await self.command("servers", address, status=1)       # a server has left
         self.say("\nWhat the clients and the servers have seen:")
         for text, good in self.verdicts(await self._read_back()):
             self.check(good, text)
@@ -238,40 +263,49 @@
         return {}
 
     def runs(self) -> Counter[str]:
-        """How often each path has run, at all servers together."""
+        """Return how often each path has run, over all servers."""
         return sum((server.runs for server in self.servers), Counter())
 
     def duplicated(self) -> list[str]:
-        """Unsafe requests that have run more than once."""
+        """Return the paths of unsafe requests that ran more than once."""
         return sorted(path for path, n in self.runs().items() if n > 1 and path.startswith("/orders/"))
 
     def contradicted(self) -> list[str]:
-        """Requests served that no server ran, or refused with a promise although one did."""
+        """Return the paths whose outcome the servers' counts contradict.
+
+        These are requests served that no server ran, and requests refused with the promise that they had not
+        run although a server ran them.
+        """
         runs = self.runs()
         return sorted(path for path, outcome in self.clients.figures.outcome.items()
                       if (not runs[path] if outcome == "served" else
                           runs[path] if outcome in ("refused", "over") else False))
 
     def verdicts(self, document: Document) -> Iterator[tuple[str, bool]]:
-        """Each thing that must hold, and whether it does."""
-        f, twice, false = self.clients.figures, self.duplicated(), self.contradicted()
-        served, refused, unknown = f.served.total(), f.refused.total(), f.unknown.total()
-        yield f"{served} requests served ({_format_counts(f.served)}), in {f.tries} tries", served > 0
-        yield (f"{refused} refused in the end, {f.over_quota} over a quota of {SMALL_RATE} a second",
-               f.over_quota > 0)
+        """Yield a description of each result and whether it passes."""
+        figures, duplicated, contradicted = self.clients.figures, self.duplicated(), self.contradicted()
+        served, refused, unknown = figures.served.total(), figures.refused.total(), figures.unknown.total()
+        yield (f"{served} requests served ({_format_counts(figures.served)}), in {figures.tries} tries",
+               served > 0)
+        yield (f"{refused} refused in the end, {figures.over_quota} over a quota of {SMALL_RATE} a second",
+               figures.over_quota > 0)
         yield f"{unknown} failed: unsafe ones at the limiter that was killed, not sent again", True
-        yield (f"{len(f.lost)} lost{_format_examples(f.lost)}", not f.lost)
-        yield (f"{len(twice)} unsafe ones ran twice{_format_examples(twice)}", not twice)
-        yield (f"{len(false)} answers or promises that weren't true{_format_examples(false)}", not false)
+        yield (f"{len(figures.lost)} lost{_format_examples(figures.lost)}", not figures.lost)
+        yield (f"{len(duplicated)} unsafe ones ran twice{_format_examples(duplicated)}", not duplicated)
+        yield (f"{len(contradicted)} answers or promises that weren't true{_format_examples(contradicted)}",
+               not contradicted)
         yield ("nothing came to the drained server after its bound" if not self.servers[-1].late_requests else
                f"{self.servers[-1].late_requests} requests came to the drained server after its bound",
                not self.servers[-1].late_requests)
-        wanted = amend(CONFIGURATION, AMENDMENT)
+        expected = amend(CONFIGURATION, AMENDMENT)
         yield ("the configuration read back is version 3, as it was amended",
-               bool(document) and digest(document) == digest(wanted))
+               bool(document) and digest(document) == digest(expected))
 
     async def stop(self) -> None:
-        """Ends what it started, and nothing else."""
+        """End the tasks, servers and processes that the trial started.
+
+        Limiters that don't end within their grace period are killed, which is recorded as a failed check.
+        """
         for task in self.tasks:
             task.cancel()
         for server in self.servers:
@@ -303,8 +337,8 @@
 
 async def _run(seconds: float, as_json: bool) -> int:
     stop = asyncio.Event()
-    for name in (signal.SIGINT, signal.SIGTERM):
-        asyncio.get_running_loop().add_signal_handler(name, stop.set)
+    for signal_number in (signal.SIGINT, signal.SIGTERM):
+        asyncio.get_running_loop().add_signal_handler(signal_number, stop.set)
     with tempfile.TemporaryDirectory(prefix="larklb-system-") as folder:
         trial = Trial(Path(folder), seconds, as_json)
         shown = asyncio.ensure_future(trial.show())
@@ -336,5 +370,10 @@
 
 
 def run(seconds: float, as_json: bool) -> int:
-    """0 if none was lost or doubled, and all else was as it should be."""
+    """Run the trial and return its exit status.
+
+    :param seconds: Duration of the request stream.
+    :param as_json: Print only the figures, as one JSON line.
+    :return: 0 if all checks passed; 1 if one failed or the trial ended early.
+    """
     return asyncio.run(_run(seconds, as_json))
--- a/larklb/lab/system_clients.py
+++ b/larklb/lab/system_clients.py
@@ -1,4 +1,4 @@
-"""Clients of the trial of the whole system: what they ask for, and what became of it."""
+"""Clients of the loopback trial: a steady stream of requests and a record of their outcomes."""
 
 from __future__ import annotations
 
@@ -23,30 +23,34 @@
 
 @define
 class Figures:
-    """What became of requests, in the clients' own words."""
+    """Outcomes of requests as the clients observed them.
 
-    served: Counter[str] = field(factory=Counter)              # by kind
-    refused: Counter[str] = field(factory=Counter)             # ... each with a promise that it has not run
+    `served`, `refused` and `unknown` count by kind of request. Each refused request carried the promise
+    that it had not run; unknown ones are unsafe requests at a limiter that was killed meanwhile.
+    """
+
+    served: Counter[str] = field(factory=Counter)
+    refused: Counter[str] = field(factory=Counter)
     over_quota: int = 0
-    unknown: Counter[str] = field(factory=Counter)             # ... unsafe, at a limiter as it was killed
+    unknown: Counter[str] = field(factory=Counter)
     lost: list[str] = field(factory=list)
     tries: int = 0
     outcome: dict[str, str] = field(factory=dict)              # by path
 
 
 class Clients:
-    """All clients: an even stream of requests, each tried again only where that can do no harm."""
+    """Send requests at a fixed rate and retry each only where a second run is impossible or harmless."""
 
     def __init__(self, net: Net, rng: random.Random) -> None:
         self.net, self.rng, self.figures = net, rng, Figures()
         self.misses = Counter({i: 2 for i in range(LIMITERS)})
-        self.killed: dict[int, float] = {}             # limiters, and when they were killed
+        self.killed: dict[int, float] = {}             # time at which each was killed
         self.kinds = ["place-order", "look-up"]
         self.number = 0
         self.tasks: set[asyncio.Task[None]] = set()
 
     async def poll_readiness(self) -> None:
-        """As the platform does: who is not ready gets no new connections."""
+        """Poll the readiness of all limiters for ever; those that aren't ready get no new connections."""
         while True:
             await asyncio.gather(*(self._poll_limiter(i) for i in range(LIMITERS)))
             await asyncio.sleep(READINESS_POLL_S)
@@ -59,25 +63,26 @@
         self.misses[i] += 1
 
     def ready(self) -> list[int]:
+        """Return the limiters that haven't failed two readiness checks in a row."""
         return [i for i in range(LIMITERS) if self.misses[i] < 2]
 
     async def stream(self, seconds: float) -> None:
-        """Requests for so long, and to the end of the last one."""
+        """Send requests for `seconds` and wait until the last one has ended."""
         loop = asyncio.get_running_loop()
-        begin = loop.time()
+        started_at = loop.time()
         for n in range(int(seconds / REQUEST_INTERVAL_S)):
-            await asyncio.sleep(max(0.0, begin + n * REQUEST_INTERVAL_S - loop.time()))
-            task = loop.create_task(self._one())
+            await asyncio.sleep(max(0.0, started_at + n * REQUEST_INTERVAL_S - loop.time()))
+            task = loop.create_task(self._send_request())
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
         await asyncio.gather(*self.tasks)
 
-    async def _one(self) -> None:
+    async def _send_request(self) -> None:
         self.number += 1
         small = self.number % SMALL_PART == 0
         kind = "look-up" if small else self.kinds[self.number % len(self.kinds)]
         path = f"{PREFIXES[kind]}{self.number}"
-        outcome = await self._tried(kind, path, "skiff" if small else "yard")
+        outcome = await self._send_with_retries(kind, path, "skiff" if small else "yard")
         figures = self.figures
         figures.outcome[path] = outcome
         if outcome == "over":
@@ -88,21 +93,22 @@
             counts = {"served": figures.served, "refused": figures.refused, "unknown": figures.unknown}
             counts[outcome][kind] += 1
 
-    async def _tried(self, kind: str, path: str, tenant: str) -> str:
+    async def _send_with_retries(self, kind: str, path: str, tenant: str) -> str:
+        """Return the outcome of a request: served, refused, over (its quota), unknown or lost."""
         loop, safe = asyncio.get_running_loop(), kind != "place-order"
-        due = loop.time() + REQUEST_DEADLINE_S
-        said = "nothing"
-        while (left := due - loop.time()) > 0.05:
+        deadline = loop.time() + REQUEST_DEADLINE_S
+        last_result = "nothing"
+        while (left := deadline - loop.time()) > 0.05:
             self.figures.tries += 1
             i = self.rng.choice(self.ready() or list(range(LIMITERS)))
-            began, attempt = loop.time(), f"{self.rng.getrandbits(64):016x}"
+            attempt_start, attempt = loop.time(), f"{self.rng.getrandbits(64):016x}"
             address = f"{self.net.ip(i)}:{self.net.edge}"
             try:
-                # Who refuses the connection has read nothing.
+                # A limiter that refuses the connection has read nothing, so a retry is safe.
                 _, probe = await asyncio.wait_for(asyncio.open_connection(self.net.ip(i), self.net.edge), 1.0)
                 probe.transport.abort()
             except (OSError, TimeoutError):
-                said = "unreached"
+                last_result = "unreached"
                 await asyncio.sleep(0.05)
                 continue
             try:
@@ -112,18 +118,19 @@
                      "Authorization": f"Bearer trial-key-of-the-{tenant}"}, b"" if safe else b"{}", left)
             except (OSError, TimeoutError):
                 if not safe:
-                    # It may have run, and must not be sent again.
-                    return "unknown" if self.killed.get(i, -1.0) >= began - 0.05 else "lost"
-                said = "broken off"
+                    # The request may have run, and must not be sent again.
+                    return "unknown" if self.killed.get(i, -1.0) >= attempt_start - 0.05 else "lost"
+                last_result = "broken off"
                 continue
             if status < 300:
-                whole = (body.decode() == f"{path} for {tenant}" and "x-server-seal" in headers
+                valid = (body.decode() == f"{path} for {tenant}" and "x-server-seal" in headers
                          and headers.get("x-attempt-id") == attempt)
-                return "served" if whole else "lost"
+                return "served" if valid else "lost"
             if status == 429 and tenant == "skiff":
                 return "over"
             if status not in NOT_RUN_STATUSES and (not safe or status < 500):
                 return "lost"
-            said = "refused" if status in NOT_RUN_STATUSES else str(status)
-            await asyncio.sleep(min(max(0.0, due - loop.time()), float(headers.get("retry-after", "0.05"))))
-        return "refused" if not safe and said in ("refused", "unreached") else "lost"
+            last_result = "refused" if status in NOT_RUN_STATUSES else str(status)
+            await asyncio.sleep(
+                min(max(0.0, deadline - loop.time()), float(headers.get("retry-after", "0.05"))))
+        return "refused" if not safe and last_result in ("refused", "unreached") else "lost"
--- a/larklb/lab/system_network.py
+++ b/larklb/lab/system_network.py
@@ -1,4 +1,4 @@
-"""Addresses, settings and configuration of the trial of the whole system, and calls over loopback."""
+"""Addresses, settings and configuration of the loopback trial, and HTTP calls over loopback."""
 
 from __future__ import annotations
 
@@ -12,14 +12,17 @@
 
 from larklb.lab.yard import read_head
 
-GRACE_S = 3.0              # that limiters are given to end in
-HEARTBEAT_INTERVAL_S = 0.5             # between a server's heartbeats
-DRAIN_BOUND_S = 2.5              # that a server serves on, once anybody has acknowledged that it leaves
-REQUEST_INTERVAL_S = 1 / 45             # between two requests
+# Time that limiters have to end after SIGTERM.
+GRACE_S = 3.0
+HEARTBEAT_INTERVAL_S = 0.5
+# Time that a server goes on serving after a limiter has acknowledged that it drains.
+DRAIN_BOUND_S = 2.5
+REQUEST_INTERVAL_S = 1 / 45
 CORES, LIMITERS = 3, 5
 ZONES = ("north", "south", "east")
 MAX_RESPONSE_BYTES = 1 << 20
-SMALL_RATE, SMALL_BURST = 4, 4         # of the tenant that asks for more than it has
+# Quota of the small tenant, which sends more than that.
+SMALL_RATE, SMALL_BURST = 4, 4
 
 
 Document = dict[str, Any]
@@ -47,59 +50,71 @@
 
 
 class TrialError(Exception):
-    """The trial could not go on; the text says why."""
+    """The trial cannot go on; the message gives the reason."""
 
 
 @define(frozen=True)
 class Net:
-    """Loopback addresses of one trial: limiters at .1 and up, servers at .101 and up, with the same ports."""
+    """Loopback addresses and ports of one trial.
+
+    Limiters have addresses from .1, servers from .101; all limiters use the same ports, as do all servers.
+    """
 
     prefix: str
     base: int
 
     def ip(self, number: int) -> str:
+        """Return the address of a limiter (from 0) or a server (from 100)."""
         return f"{self.prefix}.{number + 1}"
 
     @property
     def edge(self) -> int:
+        """The port for requests."""
         return self.base
 
     @property
     def control(self) -> int:
+        """The port of the control interface."""
         return self.base + 1
 
     @property
     def readiness(self) -> int:
+        """The port for readiness checks."""
         return self.base + 2
 
     @property
-    def words(self) -> int:
+    def peer(self) -> int:
+        """The port for messages between limiters."""
         return self.base + 3
 
     @property
     def server(self) -> int:
+        """The port of the servers."""
         return self.base + 9
 
     def controls(self) -> list[str]:
-        """Control addresses of all limiters."""
+        """Return the control addresses of all limiters."""
         return [f"{self.ip(i)}:{self.control}" for i in range(LIMITERS)]
 
 
 def _free(ip: str, port: int) -> bool:
-    with socket.socket() as s:
-        s.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    with socket.socket() as probe:
+        probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
-            s.bind((ip, port))
+            probe.bind((ip, port))
         except OSError:
             return False
     return True
 
 
 def free_net() -> Net:
-    """Addresses that nobody has: by this process's id, so that trials at the same time don't meet."""
+    """Return addresses that are free, derived from the process ID so that concurrent trials don't collide.
+
+    :raises TrialError: No free addresses were found.
+    """
     for step in range(200):
         number = os.getpid() + step * 7919
-        # From below the ports that outgoing connections draw from.
+        # The ports lie below the ephemeral range of outgoing connections.
         net = Net(f"127.{1 + number // 250 % 250}.{1 + number % 250}", 18000 + step * 10)
         if all(_free(net.ip(i), net.base + p) for i in range(LIMITERS) for p in range(4)) and all(
                 _free(net.ip(100 + i), net.server) for i in range(4)):
@@ -108,7 +123,7 @@
 
 
 def settings(net: Net, number: int, folder: Path, first: bool) -> str:
-    """The settings file of one limiter; `first`: this is the system's first start."""
+    """Return the settings file of a limiter; `first` is true on the first start of the system."""
     ip = net.ip(number)
     data = f'dataDir = "{folder}/disk-{number}"\n' if number < CORES else ""
     seeds = ", ".join(f'"{net.ip(i)}:{net.control}"' for i in range(CORES))
@@ -124,7 +139,7 @@
 descriptors = 1024
 
 [network]
-portRange = [{net.words}, {net.words}]
+portRange = [{net.peer}, {net.peer}]
 seeds = [{seeds}]
 zones = {{ {", ".join(f'{zone} = "yard"' for zone in ZONES)} }}
 
@@ -146,23 +161,27 @@
 
 
 async def call(address: str, method: str, path: str, headers: dict[str, str] | None = None,
-               body: bytes = b"", within: float = 1.0) -> tuple[int, dict[str, str], bytes]:
-    """One request on a connection of its own. OSError or TimeoutError where it brings no whole answer."""
+               body: bytes = b"", timeout_s: float = 1.0) -> tuple[int, dict[str, str], bytes]:
+    """Send a request on a new connection and return the status, headers and body of the response.
+
+    :raises OSError: The connection failed or the response is incomplete, invalid or too long.
+    :raises TimeoutError: The response was not complete within `timeout_s`.
+    """
     host, _, port = address.rpartition(":")
     writer: asyncio.StreamWriter | None = None
     try:
-        async with asyncio.timeout(within):
+        async with asyncio.timeout(timeout_s):
             reader, writer = await asyncio.open_connection(host, int(port))
             lines = [f"{method} {path} HTTP/1.1", "Connection: close", f"Content-Length: {len(body)}",
                      *(f"{name}: {value}" for name, value in (headers or {}).items())]
             if not headers or "Host" not in headers:
                 lines.append(f"Host: {address}")
             writer.write("\r\n".join(lines).encode() + b"\r\n\r\n" + body)
-            head, told = await read_head(reader)
-            size = int(told.get("content-length", 0))
+            head, response_headers = await read_head(reader)
+            size = int(response_headers.get("content-length", 0))
             if size > MAX_RESPONSE_BYTES:
                 raise ConnectionError("too long an answer")
-            return int(head.split()[1]), told, await reader.readexactly(size)
+            return int(head.split()[1]), response_headers, await reader.readexactly(size)
     except (EOFError, ValueError, IndexError, asyncio.LimitOverrunError) as error:
         raise ConnectionError(f"no whole answer: {error}") from error
     finally:
--- a/larklb/lab/system_servers.py
+++ b/larklb/lab/system_servers.py
@@ -1,4 +1,4 @@
-"""Stand-in servers of the trial of the whole system."""
+"""Stand-in servers of the loopback trial."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 from larklb.lab.yard import read_head
 from larklb.schema.document import digest
 
-SLOTS, QUEUE = 8, 8        # of a server
-WORK_S = (0.015, 0.06)
-Answer = tuple[int, dict[str, str], bytes]             # status, headers, body
+SLOTS, QUEUE = 8, 8        # of each server
+WORK_S = (0.015, 0.06)     # time that a request takes, (min, max)
+Response = tuple[int, dict[str, str], bytes]             # status, headers, body
 
 
 @define(eq=False)
 class StandInServer:
-    """One server: it works on requests, tells its load, and beats at the limiters' control addresses."""
+    """A server that answers requests, reports its load and sends heartbeats to the limiters."""
 
     id: str
     service: str
@@ -31,19 +31,20 @@
     port: int
     controls: list[str]
     rng: random.Random
-    runs: Counter[str] = field(factory=Counter)        # by path: what it has begun to work on
-    turned_away: int = 0
+    runs: Counter[str] = field(factory=Counter)        # requests begun, by path
+    rejected: int = 0
     running: int = 0
     waiting: int = 0
     sequence: int = 0
     draining: bool = False
-    drain_acknowledged_at: float = 0.0           # when its leaving was acknowledged
-    late_requests: int = 0                  # requests that came after the bound on that had run out
+    drain_acknowledged_at: float = 0.0           # loop time
+    late_requests: int = 0                  # received after the drain bound
     report_to: str = ""
     server: asyncio.Server | None = None
     slots: asyncio.Semaphore = field(factory=lambda: asyncio.Semaphore(SLOTS))
 
     async def start(self) -> None:
+        """Start to listen."""
         self.server = await asyncio.start_server(self._serve, self.ip, self.port)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -51,53 +52,53 @@
             while True:
                 first, headers = await read_head(reader)
                 body = await reader.readexactly(int(headers.get("content-length", 0)))
-                answer = await self._unless_closed(reader, self._answer(first.split()[1], headers, body))
-                if answer is None:
+                response = await self._unless_closed(reader, self._respond(first.split()[1], headers, body))
+                if response is None:
                     break
-                status, more, told = answer
+                status, extra_headers, content = response
                 if self.draining:
-                    more["Connection"] = "close"
-                lines = [f"HTTP/1.1 {status} X", f"Content-Length: {len(told)}",
+                    extra_headers["Connection"] = "close"
+                lines = [f"HTTP/1.1 {status} X", f"Content-Length: {len(content)}",
                          f"X-Load: {self.running},{self.waiting},{SLOTS}", f"X-Instance-Id: {self.id}",
-                         *(f"{name}: {value}" for name, value in more.items())]
-                writer.write("\r\n".join(lines).encode() + b"\r\n\r\n" + told)
+                         *(f"{name}: {value}" for name, value in extra_headers.items())]
+                writer.write("\r\n".join(lines).encode() + b"\r\n\r\n" + content)
                 await writer.drain()
                 if self.draining:
                     break
         writer.close()
 
     async def _unless_closed(self, reader: asyncio.StreamReader,
-                             answering: Coroutine[None, None, Answer]) -> Answer | None:
-        """The answer; None where its connection closed first, which ends the work on it."""
-        answer, closed = asyncio.ensure_future(answering), asyncio.ensure_future(reader.read(1))
+                             pending: Coroutine[None, None, Response]) -> Response | None:
+        """Return the response, or None if the connection closed first, which cancels the work on it."""
+        response, closed = asyncio.ensure_future(pending), asyncio.ensure_future(reader.read(1))
         try:
-            await asyncio.wait((answer, closed), return_when=asyncio.FIRST_COMPLETED)
-            return answer.result() if answer.done() else None
+            await asyncio.wait((response, closed), return_when=asyncio.FIRST_COMPLETED)
+            return response.result() if response.done() else None
         finally:
-            answer.cancel()
+            response.cancel()
             closed.cancel()
-            await asyncio.gather(answer, closed, return_exceptions=True)
+            await asyncio.gather(response, closed, return_exceptions=True)
 
     async def work(self, path: str) -> None:
-        """What a request takes."""
+        """Spend the time that a request takes; subclasses override it."""
         await asyncio.sleep(self.rng.uniform(*WORK_S))
 
-    async def _answer(self, path: str, headers: dict[str, str],
-                      body: bytes) -> Answer:
+    async def _respond(self, path: str, headers: dict[str, str],
+                       body: bytes) -> Response:
         now = asyncio.get_running_loop().time()
         if path == "/up":
             return 503 if self.draining else 200, {}, b""
         if headers.get("x-target-instance", self.id) != self.id:
-            self.turned_away += 1
+            self.rejected += 1
             return 421, {"X-Not-Run": "1"}, b""
         if "x-attempt-id" not in headers:
             return 400, {"X-Not-Run": "1"}, b""
         if self.drain_acknowledged_at and now - self.drain_acknowledged_at > DRAIN_BOUND_S:
             self.late_requests += 1
-        same = {"X-Attempt-Id": headers["x-attempt-id"]}
+        echoed = {"X-Attempt-Id": headers["x-attempt-id"]}
         if self.running + self.waiting >= SLOTS + QUEUE:
-            self.turned_away += 1
-            return 503, {"X-Not-Run": "1", **same}, b""
+            self.rejected += 1
+            return 503, {"X-Not-Run": "1", **echoed}, b""
         self.waiting += 1
         try:
             await self.slots.acquire()
@@ -111,10 +112,10 @@
             self.running -= 1
             self.slots.release()
         seal = digest({"id": self.id, "attempt": headers["x-attempt-id"]})[:16]
-        return 200, {"X-Server-Seal": seal, **same}, f"{path} for {headers.get('x-tenant', '')}".encode()
+        return 200, {"X-Server-Seal": seal, **echoed}, f"{path} for {headers.get('x-tenant', '')}".encode()
 
     async def send_heartbeat(self) -> bool:
-        """One heartbeat, at another limiter where the first gives no answer; whether it was acknowledged."""
+        """Send a heartbeat, trying further limiters until one acknowledges it; return whether one did."""
         self.sequence += 1
         body = json.dumps({
             "address": f"{self.ip}:{self.port}",
@@ -124,25 +125,29 @@
         others = self.rng.sample(self.controls, len(self.controls))
         for address in [self.report_to, *others] if self.report_to else others:
             with suppress(OSError, TimeoutError):
-                status, _, told = await call(address, "POST", f"/larklb/instances/{self.id}/heartbeat",
+                status, _, response = await call(address, "POST", f"/larklb/instances/{self.id}/heartbeat",
                                              {"Content-Type": "application/json"}, body)
                 if status < 300:
-                    self.report_to = str(json.loads(told or b"{}").get("reportTo", ""))
+                    self.report_to = str(json.loads(response or b"{}").get("reportTo", ""))
                     return True
             self.report_to = ""
         return False
 
     async def send_heartbeats(self) -> None:
-        """Beats until it is told to leave."""
+        """Send heartbeats at a fixed interval until the server drains."""
         while not self.draining:
             await self.send_heartbeat()
             await asyncio.sleep(HEARTBEAT_INTERVAL_S)
 
     async def leave(self) -> None:
-        """An orderly end: acknowledged, served on for as long as that takes to be known, told, over."""
+        """Leave in an orderly manner.
+
+        The server announces that it drains, serves on until all limiters have learned that, deregisters and
+        stops.
+        """
         self.draining = True
-        until = asyncio.get_running_loop().time() + 5.0
-        while not await self.send_heartbeat() and asyncio.get_running_loop().time() < until:
+        deadline = asyncio.get_running_loop().time() + 5.0
+        while not await self.send_heartbeat() and asyncio.get_running_loop().time() < deadline:
             await asyncio.sleep(0.1)
         self.drain_acknowledged_at = asyncio.get_running_loop().time()
         await asyncio.sleep(DRAIN_BOUND_S + 0.5)
@@ -153,5 +158,6 @@
         await self.stop()
 
     async def stop(self) -> None:
+        """Stop listening."""
         if self.server is not None:
             self.server.close()
