--- a/benchmarks/ledger_cost.py
+++ b/benchmarks/ledger_cost.py
@@ -25,7 +25,7 @@
 from larklb.counters import Counters
 from larklb.export import tally as t
 from larklb.export.ledger import Ledger
-from larklb.lab.yard import Limiter, Yard, ask, job
+from larklb.lab.cluster import Limiter, Yard, ask, job
 from larklb.state.log import replay
 
 SUBMITTERS = 8
--- a/benchmarks/load.py
+++ b/benchmarks/load.py
@@ -9,7 +9,7 @@
 from contextlib import suppress
 from pathlib import Path
 
-from larklb.lab.yard import job, read_answer
+from larklb.lab.cluster import job, read_answer
 
 
 def machine() -> str:
--- a/benchmarks/small_requests.py
+++ b/benchmarks/small_requests.py
@@ -17,7 +17,7 @@
 from pathlib import Path
 
 from benchmarks.load import Submitter, cpu_seconds, machine, memory_mb, orders
-from larklb.lab.yard import ROOT, Yard
+from larklb.lab.cluster import ROOT, Yard
 
 JOBS, TURNS, QUICK_TURNS = 1000, 40, 8
 CONNECTIONS, ACCOUNTS = 8, 50
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -27,7 +27,7 @@
 from benchmarks.load import cpu_seconds, machine
 from larklb.fleet import bound
 from larklb.fleet import custody as cu
-from larklb.lab.yard import CLASSES, ExecuteNode, Yard, ask, http, job
+from larklb.lab.cluster import CLASSES, ExecuteNode, Yard, ask, http, job
 from larklb.net.keeper import CLAIM_BACKOFF_MS, MAX_TAKEOVER_CLAIMS
 
 LIMITERS, NODES, RACKS = 6, 9, 3
--- a/benchmarks/usage_export.py
+++ b/benchmarks/usage_export.py
@@ -22,7 +22,7 @@
 from larklb.export import tally as t
 from larklb.export.audit import audit
 from larklb.export.ledger import STEPS
-from larklb.lab.yard import Limiter, Yard, job
+from larklb.lab.cluster import Limiter, Yard, job
 from tests.receiver import Receiver
 
 LIMITERS, SUBMITTERS = 4, 6
--- a/larklb/lab/example.py
+++ b/larklb/lab/example.py
@@ -8,7 +8,7 @@
 import json
 from pathlib import Path
 
-from larklb.lab.yard import ExecuteNode, configuration, free_port
+from larklb.lab.cluster import ExecuteNode, configuration, free_port
 
 PORTS = 18100              # the first of the example's ports
 INSTANCES, NODES = 3, 3
--- a/larklb/lab/fleet.py
+++ b/larklb/lab/fleet.py
@@ -19,11 +19,11 @@
 from pathlib import Path
 from typing import Any, TypeVar
 
+from larklb.lab.cluster import Discovery, Limiter, Yard, ask, job
 from larklb.lab.machines import COLD_SHARE, FALL_S, TIP, WARM_S, Cells, Machine
 from larklb.lab.relay import Relay
 from larklb.lab.script import Fault, Script
 from larklb.lab.streams import Streams, Way
-from larklb.lab.yard import Discovery, Limiter, Yard, ask, job
 from larklb.quota.bucket import TokenBucket
 from larklb.quota.ring import members
 
--- a/larklb/lab/machines.py
+++ b/larklb/lab/machines.py
@@ -8,7 +8,7 @@
 from collections import deque
 from typing import Any
 
-from larklb.lab.yard import ExecuteNode, http
+from larklb.lab.cluster import ExecuteNode, http
 
 COLD_SHARE, WARM_S = 0.25, 16.0        # as the rig's settings tell the limiters
 TIP, FALL_S = 4.0, 1.0                 # times its present capacity, kept up for so long, and it falls over
--- a/larklb/lab/relay.py
+++ b/larklb/lab/relay.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from larklb.lab.yard import free_port
+from larklb.lab.cluster import free_port
 
 
 class Relay:
--- a/larklb/lab/soak_clients.py
+++ b/larklb/lab/soak_clients.py
@@ -13,9 +13,9 @@
 
 from attrs import define, field
 
+from larklb.lab.cluster import read_head
 from larklb.lab.system_network import CONFIGURATION, LIMITERS, Net
-from larklb.lab.system_servers import StandInServer
-from larklb.lab.yard import read_head
+from larklb.lab.system_servers import StandIn
 
 # Fraction of the requests with long work, and its duration (min, max).
 LONG_FRACTION, LONG_S = 0.25, (0.3, 1.4)
--- a/larklb/lab/streams.py
+++ b/larklb/lab/streams.py
@@ -7,7 +7,7 @@
 from contextlib import suppress
 from typing import Literal
 
-from larklb.lab.yard import free_port
+from larklb.lab.cluster import free_port
 
 State = Literal["open", "refused", "silent"]
 PIECE = 65536              # bytes read at a time
--- a/larklb/lab/system.py
+++ b/larklb/lab/system.py
@@ -20,6 +20,7 @@
 from contextlib import suppress
 from pathlib import Path
 
+from larklb.lab.cluster import ROOT
 from larklb.lab.system_clients import Clients
 from larklb.lab.system_network import (
     AMENDMENT,
@@ -38,7 +39,6 @@
     settings,
 )
 from larklb.lab.system_servers import StandInServer
-from larklb.lab.yard import ROOT
 from larklb.schema import calls
 from larklb.schema.amendments import amend
 from larklb.schema.document import digest, parse
--- a/larklb/lab/system_network.py
+++ b/larklb/lab/system_network.py
@@ -10,7 +10,7 @@
 
 from attrs import define
 
-from larklb.lab.yard import read_head
+from larklb.lab.cluster import read_head
 
 # Time that limiters have to end after SIGTERM.
 GRACE_S = 3.0
--- a/larklb/lab/trial.py
+++ b/larklb/lab/trial.py
@@ -20,7 +20,7 @@
 from larklb.grpc.ratelimit_pb2 import RateLimitDescriptor
 from larklb.grpc.rls_pb2 import RateLimitRequest, RateLimitResponse
 from larklb.lab import example
-from larklb.lab.yard import ROOT, Discovery, ask, job
+from larklb.lab.cluster import ROOT, Discovery, ask, job
 
 CUSTOMER = 0x2A
 READY_S = 30.0
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -12,7 +12,7 @@
 
 from larklb import interface as io
 from larklb.decide import Gateway
-from larklb.lab import yard
+from larklb.lab import cluster
 
 # Each worker of a parallel run uses a range of ports of its own, because another process could take a port
 # between the check that it is free and its use.
@@ -20,7 +20,8 @@
     _worker, _workers = (
         int(os.environ["PYTEST_XDIST_WORKER"][2:]), int(os.environ["PYTEST_XDIST_WORKER_COUNT"]))
     _first_port, _port_count = 10000, 22000 // _workers
-    yard._ports = iter(range(_first_port + _worker * _port_count, _first_port + (_worker + 1) * _port_count))
+    cluster._ports = iter(range(
+        _first_port + _worker * _port_count, _first_port + (_worker + 1) * _port_count))
 
 SAFE = io.ServiceClass("read", aim=1000.0, deadline=4000.0)
 KEYED = io.ServiceClass("write", aim=1000.0, deadline=4000.0, repeat=io.RepeatPolicy.KEYED,
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -5,7 +5,7 @@
 import asyncio
 from contextlib import suppress
 
-from larklb.lab.yard import (
+from larklb.lab.cluster import (
     ROOT,
     Discovery,
     ExecuteNode,
--- a/tests/test_custody.py
+++ b/tests/test_custody.py
@@ -30,8 +30,8 @@
 from larklb.lab import script
 from larklb.lab.check import InvariantViolationError, explore_states
 from larklb.lab.check_custody import KEEP_MS, STARTS, World
+from larklb.lab.cluster import Yard, ask, http, job
 from larklb.lab.fleet import Rig
-from larklb.lab.yard import Yard, ask, http, job
 from tests.test_usage import larklb
 
 # Each run times six limiters and their nodes in one process, so that no two of them may run in parallel.
--- a/tests/test_hardening.py
+++ b/tests/test_hardening.py
@@ -26,7 +26,7 @@
 from larklb.core import Core
 from larklb.grpc.front import RateLimitFront
 from larklb.health import ALL_WORK
-from larklb.lab import yard as lab_yard
+from larklb.lab import cluster as lab_cluster
 from larklb.net import execute, peers
 from larklb.net.front import Front, parse
 from larklb.net.machines import Machine, Machines
@@ -458,8 +458,8 @@
 def test_time_for_the_rest_of_an_answer_grows_with_the_latency_aim(
         tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """A fixed half second for the rest of an answer suits only deployments with aims of 1.5 s."""
-    monkeypatch.setattr(lab_yard, "CLASSES", [{**c, "aim": 6000.0, "deadline": 20000.0}
-                                              for c in lab_yard.CLASSES])
+    monkeypatch.setattr(lab_cluster, "CLASSES", [{**c, "aim": 6000.0, "deadline": 20000.0}
+                                              for c in lab_cluster.CLASSES])
 
     async def go() -> None:
         async with Yard(tmp_path, nodes=1) as yard:
@@ -540,7 +540,7 @@
     agent = Agent(tmp_path / "operator.toml", Operator([entry]))
     yard.limiters[0].config()
     assert agent._drain_timeout(entry) == agent_module.MIN_DRAIN_S
-    monkeypatch.setattr(lab_yard, "CLASSES", [{**c, "deadline": 60000.0} for c in lab_yard.CLASSES])
+    monkeypatch.setattr(lab_cluster, "CLASSES", [{**c, "deadline": 60000.0} for c in lab_cluster.CLASSES])
     yard.limiters[0].config()
     assert agent._drain_timeout(entry) > 60.0
 
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -16,8 +16,8 @@
 from larklb.lab import script
 from larklb.lab.check import InvariantViolationError, explore_states
 from larklb.lab.check_leases import LIMITERS, LONGEST, MOST, STARTS, World, plain
+from larklb.lab.cluster import Yard
 from larklb.lab.fleet import Audit, Rig
-from larklb.lab.yard import Yard
 from tests.conftest import Bed
 from tests.test_usage import larklb
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -19,7 +19,7 @@
 from larklb import interface as io
 from larklb.decide import Gateway
 from larklb.handover_state import HandoverStateError, NodeAddress, pack, restore, unpack
-from larklb.lab.yard import CLASSES
+from larklb.lab.cluster import CLASSES
 from larklb.net import handover
 from larklb.wheel import Wheel
 from tests.conftest import Bed, settings
