--- a/benchmarks/ledger_cost.py
+++ b/benchmarks/ledger_cost.py
@@ -25,7 +25,7 @@
 from larklb.counters import Counters
 from larklb.export import tally as t
 from larklb.export.ledger import Ledger
-from larklb.lab.cluster import Limiter, Yard, ask, job
+from larklb.lab.cluster import Cluster, Limiter, ask, job
 from larklb.state.log import replay
 
 SUBMITTERS = 8
@@ -47,8 +47,8 @@
 async def cpu(folder: Path, rounds: int, jobs: int) -> tuple[list[float], list[float]]:
     """Microseconds of CPU per job, without and with the ledger, pair by pair of turns."""
     plans = [{"name": "wide", "quota_rate": 9000.0, "depth": 2000.0}]
-    off = Yard(folder / "off", nodes=4, second_front=True, plans=plans)
-    on = Yard(folder / "on", nodes=4, more=MORE, plans=plans)
+    off = Cluster(folder / "off", nodes=4, second_front=True, plans=plans)
+    on = Cluster(folder / "on", nodes=4, more=MORE, plans=plans)
     figures: tuple[list[float], list[float]] = ([], [])
     async with off, on:
         for yard in (off, on):
@@ -104,7 +104,7 @@
         at = (begin + timedelta(seconds=0.5 * n)).isoformat(timespec="milliseconds")
         texts.append(f"[[version]]\nnumber = {n}\nfrom = {at}\nplans.wide = {{ burst = {900 + n}.0 }}\n")
     (folder / "plans.toml").write_text("".join(texts))
-    yard = Yard(folder, limiters=4, nodes=4, more='[plans]\nfile = "plans.toml"\n' + MORE)
+    yard = Cluster(folder, limiters=4, nodes=4, more='[plans]\nfile = "plans.toml"\n' + MORE)
     sent: dict[str, tuple[float, float]] = {}
     async with yard:
         async def one(number: int, worker: int) -> None:
--- a/benchmarks/small_requests.py
+++ b/benchmarks/small_requests.py
@@ -17,13 +17,13 @@
 from pathlib import Path
 
 from benchmarks.load import Submitter, cpu_seconds, machine, memory_mb, orders
-from larklb.lab.cluster import ROOT, Yard
+from larklb.lab.cluster import ROOT, Cluster
 
 JOBS, TURNS, QUICK_TURNS = 1000, 40, 8
 CONNECTIONS, ACCOUNTS = 8, 50
 
 
-async def turn(yard: Yard) -> float:
+async def turn(yard: Cluster) -> float:
     """CPU seconds of one limiter for JOBS small jobs."""
     limiter = yard.limiters[0]
     assert limiter.process is not None
@@ -40,7 +40,7 @@
 
 async def compare(against: Path, turns: int) -> None:
     with tempfile.TemporaryDirectory() as one, tempfile.TemporaryDirectory() as two:
-        here, there = Yard(Path(one)), Yard(Path(two))
+        here, there = Cluster(Path(one)), Cluster(Path(two))
         for yard, tree in ((here, ROOT), (there, against)):
             yard.plans = [{**plan, "quota_rate": 1e5, "depth": 2000.0} for plan in yard.plans]
             yard.environment.update(PYTHONPATH=str(tree), PYTHONSAFEPATH="1", TMPDIR=str(yard.folder))
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -27,7 +27,7 @@
 from benchmarks.load import cpu_seconds, machine
 from larklb.fleet import bound
 from larklb.fleet import custody as cu
-from larklb.lab.cluster import CLASSES, ExecuteNode, Yard, ask, http, job
+from larklb.lab.cluster import CLASSES, Cluster, ExecuteNode, ask, http, job
 from larklb.net.keeper import CLAIM_BACKOFF_MS, MAX_TAKEOVER_CLAIMS
 
 LIMITERS, NODES, RACKS = 6, 9, 3
@@ -59,7 +59,7 @@
 class Racks:
     """Nodes that work for a while, in racks that drop repeats for WINDOW_S."""
 
-    def __init__(self, yard: Yard, figures: Figures) -> None:
+    def __init__(self, yard: Cluster, figures: Figures) -> None:
         self.figures = figures
         self.known: dict[tuple[int, str], float] = {}
         for i, node in enumerate(yard.nodes):
@@ -77,7 +77,7 @@
         node.reply = reply
 
 
-async def order(yard: Yard, figures: Figures, number: int, chance: random.Random, calm: bool) -> None:
+async def order(yard: Cluster, figures: Figures, number: int, chance: random.Random, calm: bool) -> None:
     """One order and its tries, until its time is up."""
     began, broke, again, key = time.monotonic(), 0.0, False, f"{number:032x}"
     while (left := DEADLINE_S - (time.monotonic() - began)) > 0.1:
@@ -109,7 +109,7 @@
         figures.took.append(took)
 
 
-async def load(yard: Yard, figures: Figures, seconds: float, seed: int, calm: bool) -> None:
+async def load(yard: Cluster, figures: Figures, seconds: float, seed: int, calm: bool) -> None:
     chance, until, number = random.Random(seed), time.monotonic() + seconds, seed * 1_000_000
     tasks = []
     while time.monotonic() < until:
@@ -119,7 +119,7 @@
     await asyncio.gather(*tasks)
 
 
-async def kills(yard: Yard, count: int, seed: int) -> None:
+async def kills(yard: Cluster, count: int, seed: int) -> None:
     chance = random.Random(seed)
     for _ in range(count):
         await asyncio.sleep(EVERY_S - DOWN_S - 0.5 + chance.uniform(0.0, 0.5))
@@ -129,11 +129,11 @@
         await limiter.start()
 
 
-def cpu(yard: Yard) -> float:
+def cpu(yard: Cluster) -> float:
     return sum(cpu_seconds(x.process.pid) for x in yard.limiters if x.process is not None)
 
 
-async def calm(yard: Yard, figures: Figures, seconds: float) -> None:
+async def calm(yard: Cluster, figures: Figures, seconds: float) -> None:
     """A turn without kills: latency, CPU and bytes of an order."""
     before = cpu(yard)
     sent = sum([(await x.counters()).get("custody.bytes", 0) for x in yard.limiters])
@@ -146,8 +146,8 @@
 
 async def play(count: int, calm_s: float, off: Figures, on: Figures) -> None:
     with tempfile.TemporaryDirectory() as one, tempfile.TemporaryDirectory() as two:
-        yards = [Yard(Path(one), LIMITERS, NODES, more="\n"),
-                 Yard(Path(two), LIMITERS, NODES, more=f"[custody]\nkeep_s = {KEEP_S}\n")]
+        yards = [Cluster(Path(one), LIMITERS, NODES, more="\n"),
+                 Cluster(Path(two), LIMITERS, NODES, more=f"[custody]\nkeep_s = {KEEP_S}\n")]
         for yard, figures in zip(yards, (off, on), strict=True):
             yard.settings = {"classes": [CLASSES[0], CLASS]}
             Racks(yard, figures)
--- a/benchmarks/usage_export.py
+++ b/benchmarks/usage_export.py
@@ -22,7 +22,7 @@
 from larklb.export import tally as t
 from larklb.export.audit import audit
 from larklb.export.ledger import STEPS
-from larklb.lab.cluster import Limiter, Yard, job
+from larklb.lab.cluster import Cluster, Limiter, job
 from tests.receiver import Receiver
 
 LIMITERS, SUBMITTERS = 4, 6
@@ -71,7 +71,7 @@
     await receiver.start()
     more = (f'[state]\nfolder = "var"\nsync_ms = 30.0\n[ledger]\nseal_s = 0.2\nrewrite_mb = 0.02\n'
             f'[export]\nurl = "{receiver.url}"\nmost_wait_s = 0.3\n')
-    yard = Yard(folder, limiters=LIMITERS, nodes=3, more=more)
+    yard = Cluster(folder, limiters=LIMITERS, nodes=3, more=more)
     await yard.discovery.start()
     for node in yard.nodes:
         await node.start()
--- a/larklb/lab/cluster.py
+++ b/larklb/lab/cluster.py
@@ -186,7 +186,7 @@
 class Limiter:
     """One started program."""
 
-    def __init__(self, bed: Yard, number: int) -> None:
+    def __init__(self, bed: Cluster, number: int) -> None:
         self.bed, self.number, self.name = bed, number, f"n{number}"
         self.port, self.grpc_port = free_port(), free_port()
         self.process: asyncio.subprocess.Process | None = None
@@ -242,7 +242,7 @@
         return counts
 
 
-class Yard:
+class Cluster:
     """Limiters, execute nodes and discovery on loopback."""
 
     def __init__(self, folder: Path, limiters: int = 1, nodes: int = 2, second_front: bool = False,
@@ -274,7 +274,7 @@
             path.write_text(text)              # others that start now read it
         return path
 
-    async def __aenter__(self) -> Yard:
+    async def __aenter__(self) -> Cluster:
         await self.discovery.start()
         for node in self.nodes:
             await node.start()
--- a/larklb/lab/fleet.py
+++ b/larklb/lab/fleet.py
@@ -19,7 +19,7 @@
 from pathlib import Path
 from typing import Any, TypeVar
 
-from larklb.lab.cluster import Discovery, Limiter, Yard, ask, job
+from larklb.lab.cluster import Cluster, Discovery, Limiter, ask, job
 from larklb.lab.machines import COLD_SHARE, FALL_S, TIP, WARM_S, Cells, Machine
 from larklb.lab.relay import Relay
 from larklb.lab.script import Fault, Script
@@ -88,7 +88,7 @@
                          for i in range(script.nodes)}
         load = script.load
         rate, burst = (load.quota, load.burst) if load.quota else (PLENTY, 2 * PLENTY)
-        self.yard = Yard(folder, script.limiters, 0, more=script.operator + operator + "\n", plans=[
+        self.yard = Cluster(folder, script.limiters, 0, more=script.operator + operator + "\n", plans=[
             {"name": "wide", "quota_rate": rate, "depth": burst}])
         self.yard.nodes = list(self.machines.values())
         self.yard.environment.update(environment or {})
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -7,10 +7,10 @@
 
 from larklb.lab.cluster import (
     ROOT,
+    Cluster,
     Discovery,
     ExecuteNode,
     Limiter,
-    Yard,
     ask,
     free_port,
     http,
@@ -19,7 +19,7 @@
     served,
 )
 
-__all__ = ["ROOT", "Discovery", "ExecuteNode", "Limiter", "RespServer", "Yard", "ask", "free_port", "http",
+__all__ = ["ROOT", "Discovery", "ExecuteNode", "Limiter", "RespServer", "Cluster", "ask", "free_port", "http",
            "job", "read_answer", "served"]
 
 
--- a/tests/test_adopt.py
+++ b/tests/test_adopt.py
@@ -14,7 +14,7 @@
 from larklb.export.audit import audit
 from larklb.state.folder import is_locked
 from tests.receiver import Receiver
-from tests.standins import Yard, ask, job
+from tests.standins import Cluster, ask, job
 from tests.test_usage import larklb, operator_text
 
 ADOPT = "adopt_s = 1.0\n"
@@ -43,7 +43,7 @@
     async def go() -> None:
         receiver = Receiver(moods)
         await receiver.start()
-        async with Yard(tmp_path, 3, more=text(receiver, 0.3 if moods else 60.0)) as yard:
+        async with Cluster(tmp_path, 3, more=text(receiver, 0.3 if moods else 60.0)) as yard:
             lost = yard.limiters[0]
             for i in range(7):
                 assert (await ask(lost.port, job(account=i, service="place-order")))[0] == 200
@@ -85,7 +85,7 @@
     async def go() -> None:
         receiver = Receiver()
         await receiver.start()
-        async with Yard(tmp_path, 2, more=text(receiver)) as yard:
+        async with Cluster(tmp_path, 2, more=text(receiver)) as yard:
             first = yard.limiters[0]
             for i in range(3):
                 assert (await ask(first.port, job(account=i)))[0] == 200
@@ -99,7 +99,7 @@
     async def go() -> None:
         receiver = Receiver()
         await receiver.start()
-        async with Yard(tmp_path, 2, more=text(receiver).replace(ADOPT, "adopt_s = 8.0\n")) as yard:
+        async with Cluster(tmp_path, 2, more=text(receiver).replace(ADOPT, "adopt_s = 8.0\n")) as yard:
             first = yard.limiters[0]
             assert (await ask(first.port, job()))[0] == 200
             await first.stop(signal.SIGKILL)
@@ -114,7 +114,7 @@
     async def go() -> None:
         receiver = Receiver()
         await receiver.start()
-        async with Yard(tmp_path, 2, more=text(receiver).replace(ADOPT, "")) as yard:
+        async with Cluster(tmp_path, 2, more=text(receiver).replace(ADOPT, "")) as yard:
             for i in range(3):
                 assert (await ask(yard.limiters[0].port, job(account=i)))[0] == 200
             await yard.limiters[0].stop(signal.SIGKILL)
@@ -133,7 +133,7 @@
     async def go() -> None:
         receiver = Receiver()
         await receiver.start()
-        async with Yard(tmp_path, 2, more=text(receiver).replace(ADOPT, "")) as yard:
+        async with Cluster(tmp_path, 2, more=text(receiver).replace(ADOPT, "")) as yard:
             assert (await ask(yard.limiters[0].port, job()))[0] == 200
             await yard.limiters[0].stop(signal.SIGKILL)
             await asyncio.sleep(3.0)
--- a/tests/test_bulk.py
+++ b/tests/test_bulk.py
@@ -12,7 +12,7 @@
 
 from larklb import interface as io
 from tests.conftest import Bed
-from tests.standins import ExecuteNode, Yard, ask, http, job, read_answer
+from tests.standins import Cluster, ExecuteNode, ask, http, job, read_answer
 from tests.test_daily import figures, with_console
 
 MB = 1024 * 1024
@@ -79,8 +79,8 @@
             pass
 
 
-def bulk_yard(tmp_path: Path, nodes: int = 1, kind: type[BulkNode] = BulkNode) -> Yard:
-    yard = Yard(tmp_path)
+def bulk_yard(tmp_path: Path, nodes: int = 1, kind: type[BulkNode] = BulkNode) -> Cluster:
+    yard = Cluster(tmp_path)
     yard.nodes = [kind(f"s-{i}") for i in range(nodes)]
     return yard
 
@@ -351,7 +351,7 @@
 
 def test_pipelined_requests_are_answered_in_order_and_too_many_are_rejected(tmp_path: Path) -> None:
     async def go() -> None:
-        async with Yard(tmp_path) as yard:
+        async with Cluster(tmp_path) as yard:
             port = yard.limiters[0].port
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             names = [f"{n:016x}" for n in range(1, 6)]
--- a/tests/test_custody.py
+++ b/tests/test_custody.py
@@ -30,7 +30,7 @@
 from larklb.lab import script
 from larklb.lab.check import InvariantViolationError, explore_states
 from larklb.lab.check_custody import KEEP_MS, STARTS, World
-from larklb.lab.cluster import Yard, ask, http, job
+from larklb.lab.cluster import Cluster, ask, http, job
 from larklb.lab.fleet import Rig
 from tests.test_usage import larklb
 
@@ -173,7 +173,7 @@
 class Racks:
     """Counts what runs at the nodes of a yard; each node is in a rack that suppresses repeated keys."""
 
-    def __init__(self, yard: Yard, work: float, racks: int = 8) -> None:
+    def __init__(self, yard: Cluster, work: float, racks: int = 8) -> None:
         self.ran: Counter[str] = Counter()
         self.reached: Counter[str] = Counter()
         self.answers: dict[tuple[int, str], bytes] = {}
@@ -201,7 +201,7 @@
 class Orders:
     """Clients that submit orders, with a key for each order."""
 
-    def __init__(self, yard: Yard) -> None:
+    def __init__(self, yard: Cluster) -> None:
         self.yard, self.keys = yard, 0
 
     def text(self, key: str, number: int, repeat: bool, body: bytes = b"") -> str:
@@ -230,11 +230,11 @@
         return status, answer
 
 
-def held(folder: Path, act: Callable[[Yard, Racks, Orders], Awaitable[None]], work: float = 0.6,
+def held(folder: Path, act: Callable[[Cluster, Racks, Orders], Awaitable[None]], work: float = 0.6,
          racks: int = 8, custody: str = CUSTODY, limiters: int = 4,
          environment: dict[str, str] | None = None) -> None:
     async def go() -> None:
-        yard = Yard(folder, limiters, 8, more=custody)
+        yard = Cluster(folder, limiters, 8, more=custody)
         nodes = Racks(yard, work, racks)
         yard.limiters[0].environment.update(environment or {})
         async with yard:
@@ -242,7 +242,7 @@
     asyncio.run(go())
 
 
-async def killed(yard: Yard, nodes: Racks, orders: Orders) -> dict[str, int]:
+async def killed(yard: Cluster, nodes: Racks, orders: Orders) -> dict[str, int]:
     """Kill a limiter that holds forty orders, and repeat each order at another limiter.
 
     Returns the status of the repeated orders by key.
@@ -263,7 +263,7 @@
 
 @pytest.mark.parametrize("racks", [8, 1])
 def test_orders_of_a_killed_limiter_are_finished_once(tmp_path: Path, racks: int) -> None:
-    async def act(yard: Yard, nodes: Racks, orders: Orders) -> None:
+    async def act(yard: Cluster, nodes: Racks, orders: Orders) -> None:
         ends = await killed(yard, nodes, orders)
         assert set(ends.values()) == {200} and set(nodes.ran.values()) == {1}
         counts: Counter[str] = Counter()
@@ -274,7 +274,7 @@
 
 
 def test_without_custody_the_orders_run_twice(tmp_path: Path) -> None:
-    async def act(yard: Yard, nodes: Racks, orders: Orders) -> None:
+    async def act(yard: Cluster, nodes: Racks, orders: Orders) -> None:
         ends = await killed(yard, nodes, orders)
         assert sum(nodes.ran[key] > 1 for key in ends) > len(ends) / 2
     held(tmp_path, act, work=0.1, custody="\n")
@@ -284,7 +284,7 @@
                                   "answer kept", "answer passed on"])
 def test_a_job_runs_once_if_its_holder_dies_at_any_step(tmp_path: Path, step: str) -> None:
     """An answer already passed on does not change; any other job is finished by others and runs once."""
-    async def act(yard: Yard, nodes: Racks, orders: Orders) -> None:
+    async def act(yard: Cluster, nodes: Racks, orders: Orders) -> None:
         first, _ = await orders.order(0, "a" * 32, 1)
         assert first == (200 if step == "answer passed on" else 0)
         back = [await orders.order(limiter, "a" * 32, 1 + limiter, repeat=True) for limiter in (1, 2, 3)]
@@ -298,7 +298,7 @@
 
     The resumed holder answers its client at once and sends nothing.
     """
-    async def act(yard: Yard, nodes: Racks, orders: Orders) -> None:
+    async def act(yard: Cluster, nodes: Racks, orders: Orders) -> None:
         first_try = asyncio.ensure_future(orders.order(0, "b" * 32, 1))
         await asyncio.sleep(0.25)
         process = yard.limiters[0].process
@@ -317,7 +317,7 @@
 
 
 def test_retries_at_three_limiters_at_once_join_the_running_job(tmp_path: Path) -> None:
-    async def act(yard: Yard, nodes: Racks, orders: Orders) -> None:
+    async def act(yard: Cluster, nodes: Racks, orders: Orders) -> None:
         first = asyncio.ensure_future(orders.order(0, "c" * 32, 1))
         await asyncio.sleep(0.15)
         back = await asyncio.gather(*(orders.order(i, "c" * 32, 1 + i, repeat=True) for i in (1, 2, 3)))
@@ -332,7 +332,7 @@
 
 def test_restarted_custodians_do_not_make_a_job_run_twice(tmp_path: Path) -> None:
     """With two of three custodians restarted nobody can vote, so that a repeated try is refused unsent."""
-    async def act(yard: Yard, nodes: Racks, orders: Orders) -> None:
+    async def act(yard: Cluster, nodes: Racks, orders: Orders) -> None:
         key = cu.key_of(f"{7:016x}", "place-order", b"e" * 32)
         group = cu.group_of(key, 4)
         holder = next(i for i in range(4) if i not in group)
@@ -350,7 +350,7 @@
     held(tmp_path, act, work=0.1)
 
 
-async def inherited(yard: Yard, but: set[int]) -> int:
+async def inherited(yard: Cluster, but: set[int]) -> int:
     """Return the limiter that has taken over a job."""
     for _ in range(200):
         for limiter in yard.limiters:
@@ -363,7 +363,7 @@
 @pytest.mark.parametrize("how", [signal.SIGKILL, signal.SIGTERM])
 def test_a_job_survives_the_end_of_its_successor(tmp_path: Path, how: signal.Signals) -> None:
     """If killed, the next custodian goes on; if terminated, it finishes the job and exits with 0."""
-    async def act(yard: Yard, nodes: Racks, orders: Orders) -> None:
+    async def act(yard: Cluster, nodes: Racks, orders: Orders) -> None:
         key = cu.key_of(f"{7:016x}", "place-order", b"a" * 32)
         holder = next(i for i in range(5) if i not in cu.group_of(key, 5))
         first_try = asyncio.ensure_future(orders.order(holder, "a" * 32, 1))
@@ -380,7 +380,7 @@
 
 
 def test_the_use_of_a_taken_over_order_is_counted_once(tmp_path: Path) -> None:
-    async def act(yard: Yard, nodes: Racks, orders: Orders) -> None:
+    async def act(yard: Cluster, nodes: Racks, orders: Orders) -> None:
         ends = await killed(yard, nodes, orders)
         assert set(ends.values()) == {200}
         await asyncio.gather(*(limiter.stop() for limiter in yard.limiters[1:]))
@@ -392,7 +392,7 @@
 
 
 def test_orders_are_served_without_custody_if_records_do_not_fit_in_memory(tmp_path: Path) -> None:
-    async def act(yard: Yard, nodes: Racks, orders: Orders) -> None:
+    async def act(yard: Cluster, nodes: Racks, orders: Orders) -> None:
         body = b"x" * 3000
         ends = await asyncio.gather(*(
             orders.order_with_retries(i % 4, f"{i:032x}", i, False, body) for i in range(60)))
@@ -405,7 +405,7 @@
 
 
 def test_malformed_custody_messages_only_close_their_connection(tmp_path: Path) -> None:
-    async def act(yard: Yard, nodes: Racks, orders: Orders) -> None:
+    async def act(yard: Cluster, nodes: Racks, orders: Orders) -> None:
         for sent in (b"\x00\x00\x00\x05hello", b"\xff\xff\xff\xff", b"GET / HTTP/1.1\r\n\r\n",
                      b"\x00\x00\x01", b"\x00\x00\x00\x09half"):
             reader, writer = await asyncio.open_connection("127.0.0.1", yard.peers[1])
@@ -418,7 +418,7 @@
 
 
 def test_a_reload_does_not_affect_a_running_job(tmp_path: Path) -> None:
-    async def act(yard: Yard, nodes: Racks, orders: Orders) -> None:
+    async def act(yard: Cluster, nodes: Racks, orders: Orders) -> None:
         first_try = asyncio.ensure_future(orders.order(0, "a" * 32, 1))
         await asyncio.sleep(0.2)
         for limiter in yard.limiters:
@@ -458,7 +458,7 @@
 
 
 def test_operators_see_the_holder_and_the_custodians_of_a_job(tmp_path: Path) -> None:
-    async def act(yard: Yard, nodes: Racks, orders: Orders) -> None:
+    async def act(yard: Cluster, nodes: Racks, orders: Orders) -> None:
         operator = str(yard.operator())
         nodes.gate.clear()
         first_try = asyncio.ensure_future(orders.order(2, "a" * 32, 1))
@@ -482,7 +482,7 @@
 def test_invalid_custody_settings_are_refused_at_the_start(tmp_path: Path, text: str,
                                                               limiters: int) -> None:
     async def go() -> None:
-        yard = Yard(tmp_path, limiters, 1, more=text)
+        yard = Cluster(tmp_path, limiters, 1, more=text)
         with pytest.raises(AssertionError, match="custody"):
             await yard.limiters[0].start()
         process = yard.limiters[0].process
--- a/tests/test_daily.py
+++ b/tests/test_daily.py
@@ -18,7 +18,7 @@
 from larklb.phase import IDLE_CLOSE_DELAY, Phase, State
 from larklb.settings_mapping import settings_for_reload
 from tests.conftest import settings
-from tests.standins import Discovery, Limiter, Yard, ask, free_port, http, job, read_answer, served
+from tests.standins import Cluster, Discovery, Limiter, ask, free_port, http, job, read_answer, served
 
 
 async def call(port: int, text: bytes) -> tuple[str, float]:
@@ -38,7 +38,7 @@
     return statistics
 
 
-def with_console(yard: Yard) -> int:
+def with_console(yard: Cluster) -> int:
     port = free_port()
     yard.limiters[0].environment["EDGE_ADMIN"] = f"127.0.0.1:{port}"
     return port
@@ -75,7 +75,7 @@
     b"\xff\xfe\x00\n", b"STATS\nDRAIN\n", b"DRAIN\nDRAIN\n"])
 def test_malformed_command_is_rejected_and_has_no_effect(tmp_path: Path, text: bytes) -> None:
     async def go() -> None:
-        async with Yard(tmp_path) as yard:
+        async with Cluster(tmp_path) as yard:
             port = with_console(yard)
             yard.limiters[0].port = free_port()
             await yard.limiters[0].stop()
@@ -93,7 +93,7 @@
 def test_idle_console_connections_do_not_block_commands(tmp_path: Path) -> None:
     """Connections are limited: one without a complete command is closed when another needs its place."""
     async def go() -> None:
-        yard = Yard(tmp_path)
+        yard = Cluster(tmp_path)
         port = with_console(yard)
         async with yard:
             held = [await asyncio.open_connection("127.0.0.1", port) for _ in range(60)]
@@ -108,7 +108,7 @@
 
 def test_address_in_use_fails_the_start_with_one_error_line(tmp_path: Path) -> None:
     async def go() -> None:
-        yard = Yard(tmp_path)
+        yard = Cluster(tmp_path)
         port = with_console(yard)
         server = await asyncio.start_server(lambda r, w: None, "127.0.0.1", port)
         limiter = yard.limiters[0]
@@ -123,7 +123,7 @@
 def test_statistics_match_the_counts_of_clients_and_nodes(tmp_path: Path) -> None:
     """Covers refusals, failures, retries and clients that disconnect, by class."""
     async def go() -> None:
-        yard = Yard(tmp_path, nodes=2)
+        yard = Cluster(tmp_path, nodes=2)
         port = with_console(yard)
         async with yard:
             limiter = yard.limiters[0]
@@ -184,7 +184,7 @@
 
 def test_drained_limiter_closes_its_connections_and_serves_again_after_undrain(tmp_path: Path) -> None:
     async def go() -> None:
-        yard = Yard(tmp_path)
+        yard = Cluster(tmp_path)
         port = with_console(yard)
         async with yard:
             limiter = yard.limiters[0]
@@ -255,7 +255,7 @@
 }
 
 
-async def _reload(yard: Yard, text: bytes) -> None:
+async def _reload(yard: Cluster, text: bytes) -> None:
     limiter = yard.limiters[0]
     (yard.folder / "n0.json").write_bytes(text)
     assert limiter.process is not None
@@ -266,7 +266,7 @@
 def test_invalid_configuration_file_is_rejected_as_a_whole(tmp_path: Path) -> None:
     """Each file also names another discovery address and an extra class: none of it may take effect."""
     async def go() -> None:
-        yard, other = Yard(tmp_path), Discovery()
+        yard, other = Cluster(tmp_path), Discovery()
         port = with_console(yard)
         await other.start()
         async with yard:
@@ -289,7 +289,7 @@
 
 def test_reload_adds_and_removes_classes_and_running_jobs_keep_theirs(tmp_path: Path) -> None:
     async def go() -> None:
-        yard = Yard(tmp_path)
+        yard = Cluster(tmp_path)
         port = with_console(yard)
         async with yard:
             limiter = yard.limiters[0]
@@ -340,7 +340,7 @@
 def test_plan_with_changed_limits_keeps_the_state_of_its_buckets(tmp_path: Path) -> None:
     """A spent burst of 10 stays spent after the plan changes to a burst of 20."""
     async def go() -> None:
-        yard = Yard(tmp_path)
+        yard = Cluster(tmp_path)
         async with yard:
             limiter = yard.limiters[0]
             first = [(await ask(limiter.port, job(plan="slow", account=7)))[0] for _ in range(12)]
--- a/tests/test_desk.py
+++ b/tests/test_desk.py
@@ -17,7 +17,7 @@
 from larklb import admin
 from larklb.quota.ring import digest, ring_owner
 from larklb.settings import ConfigError, load_operator
-from tests.standins import Limiter, Yard, ask, job
+from tests.standins import Cluster, Limiter, ask, job
 from tests.test_usage import larklb
 
 MORE = ('[plans]\nfile = "plans.toml"\n[state]\nfolder = "var"\nsync_ms = 50.0\n'
@@ -49,7 +49,7 @@
     return [r for line in said.splitlines() for r in json.loads(line)["rows"]]
 
 
-def owner_first(yard: Yard, account: int = 1) -> list[Limiter]:
+def owner_first(yard: Cluster, account: int = 1) -> list[Limiter]:
     owner = ring_owner(digest(f"{account:016x}"), [0, 1, 2])
     return [yard.limiters[(owner + i) % 3] for i in range(3)]
 
@@ -57,7 +57,7 @@
 def test_change_of_plans_reaches_all_instances_and_each_try_has_one_version(tmp_path: Path) -> None:
     async def go() -> None:
         (tmp_path / "plans.toml").write_text(first := plans((1, -60, burst(5.0))))
-        async with Yard(tmp_path, limiters=3, more=MORE) as yard:
+        async with Cluster(tmp_path, limiters=3, more=MORE) as yard:
             operator, new = str(yard.operator()), tmp_path / "new.toml"
             limiters = owner_first(yard)
             assert sum([await granted(x, 4) for x in limiters]) == 5
@@ -93,7 +93,7 @@
     async def go() -> None:
         path = tmp_path / "plans.toml"
         path.write_text(first := plans((1, -60, burst(6.0))))
-        async with Yard(tmp_path, limiters=3, more=MORE) as yard:
+        async with Cluster(tmp_path, limiters=3, more=MORE) as yard:
             operator, (owner, other, third) = str(yard.operator()), owner_first(yard)
             assert owner.process is not None and other.process is not None
             path.write_text("[[version]]\nnumber = 2\nfrom = yesterday\n")
@@ -122,7 +122,7 @@
 
 def test_instance_without_operator_settings_has_no_admin_address(tmp_path: Path) -> None:
     async def go() -> None:
-        async with Yard(tmp_path, second_front=True) as yard:
+        async with Cluster(tmp_path, second_front=True) as yard:
             assert (await granted(yard.limiters[0], 11, spread=1)) == 10
             assert not list(tmp_path.glob("*.sock")) and not (tmp_path / "var").exists()
     asyncio.run(go())
@@ -138,7 +138,7 @@
 def test_reserved_units_survive_a_kill_of_all_instances_and_are_drawn_once(tmp_path: Path) -> None:
     async def go() -> None:
         (tmp_path / "plans.toml").write_text("")
-        async with Yard(tmp_path, limiters=3, more=MORE) as yard:
+        async with Cluster(tmp_path, limiters=3, more=MORE) as yard:
             operator, limiters = str(yard.operator()), owner_first(yard)
             status, said = await reserve(operator, "refit", "9")
             row = json.loads(said)
@@ -175,7 +175,7 @@
 def test_reservation_is_drawn_in_parts_while_its_owner_is_down_and_settled_later(tmp_path: Path) -> None:
     async def go() -> None:
         (tmp_path / "plans.toml").write_text("")
-        async with Yard(tmp_path, limiters=3, more=MORE) as yard:
+        async with Cluster(tmp_path, limiters=3, more=MORE) as yard:
             operator, (owner, *others) = str(yard.operator()), owner_first(yard)
             begin = datetime.now(UTC) + timedelta(seconds=2.5)
             assert (await reserve(operator, "refit", "6", begin=begin.isoformat()))[0] == 0
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -16,7 +16,7 @@
 import tomllib
 from pathlib import Path
 
-from tests.standins import ROOT, Yard, ask, job
+from tests.standins import ROOT, Cluster, ask, job
 from tests.test_daily import with_console
 
 SHIM = '''
@@ -51,7 +51,7 @@
     (tmp_path / "shim" / "sitecustomize.py").write_text(textwrap.dedent(SHIM))
 
     async def go() -> None:
-        yard = Yard(tmp_path)
+        yard = Cluster(tmp_path)
         yard.environment.update(TMPDIR=str(tmp_path), PYTHONPATH=f"{tmp_path / 'shim'}:{ROOT}")
         with_console(yard)
         async with yard:
@@ -76,7 +76,7 @@
     not reach that node.
     """
     async def go() -> None:
-        yard = Yard(tmp_path, nodes=1)
+        yard = Cluster(tmp_path, nodes=1)
         yard.discovery.tell(2, yard.nodes[0].entry("draining"))
         yard.discovery.slow = 0.4
         async with yard:
--- a/tests/test_grpc.py
+++ b/tests/test_grpc.py
@@ -17,7 +17,7 @@
 from larklb.grpc.rls_pb2 import RateLimitRequest, RateLimitResponse
 from larklb.quota.ring import digest, ring_owner
 from tests.conftest import Bed
-from tests.standins import Limiter, RespServer, Yard, ask, job
+from tests.standins import Cluster, Limiter, RespServer, ask, job
 
 OK, OVER = RateLimitResponse.OK, RateLimitResponse.OVER_LIMIT
 
@@ -60,7 +60,7 @@
 
 def test_units_come_from_one_bucket_and_over_limit_states_the_wait(tmp_path: Path) -> None:
     async def go() -> None:
-        async with Yard(tmp_path, second_front=True) as yard:
+        async with Cluster(tmp_path, second_front=True) as yard:
             limiter = yard.limiters[0]
             assert (await question(limiter, descriptor(), hits=7)).overall_code == OK
             assert [(await ask(limiter.port, job(plan="slow")))[0] for _ in range(2)] == [200, 200]
@@ -78,14 +78,14 @@
     descriptor(more="1")])
 def test_a_bad_descriptor_is_an_invalid_argument(tmp_path: Path, bad: RateLimitDescriptor) -> None:
     async def go() -> None:
-        async with Yard(tmp_path, second_front=True) as yard:
+        async with Cluster(tmp_path, second_front=True) as yard:
             assert await failure(yard.limiters[0], bad) is grpc.StatusCode.INVALID_ARGUMENT
             assert await failure(yard.limiters[0]) is grpc.StatusCode.INVALID_ARGUMENT
             assert answered(await yard.limiters[0].counters()) == (0, 0)
     asyncio.run(go())
 
 
-def owner_and_other(account: int, yard: Yard) -> tuple[Limiter, Limiter]:
+def owner_and_other(account: int, yard: Cluster) -> tuple[Limiter, Limiter]:
     owner = ring_owner(digest(f"{account:016x}"), [0, 1])
     return yard.limiters[owner], yard.limiters[1 - owner]
 
@@ -93,7 +93,7 @@
 def test_quota_agrees_over_both_paths_and_limiters_through_a_restart(tmp_path: Path) -> None:
     """Sends half by HTTP and half by gRPC, and restarts the limiter that is not the owner."""
     async def go() -> None:
-        async with Yard(tmp_path, limiters=2, second_front=True) as yard:
+        async with Cluster(tmp_path, limiters=2, second_front=True) as yard:
             owner, other = owner_and_other(1, yard)
             granted = 0
             for round_number in range(4):
@@ -114,7 +114,7 @@
     async def go() -> None:
         store = RespServer()
         await store.start()
-        async with Yard(tmp_path, second_front=True, store=f"redis://127.0.0.1:{store.port}/0") as yard:
+        async with Cluster(tmp_path, second_front=True, store=f"redis://127.0.0.1:{store.port}/0") as yard:
             limiter = yard.limiters[0]
             assert (await question(limiter, descriptor(), hits=6)).overall_code == OK
             assert await limiter.stop() == 0
@@ -136,7 +136,7 @@
 def test_cancel_before_the_grant_takes_no_units_and_a_missed_deadline_is_reported(tmp_path: Path) -> None:
     """The owner is suspended (SIGSTOP), so that no grant can arrive before the cancel."""
     async def go() -> None:
-        async with Yard(tmp_path, limiters=2, second_front=True) as yard:
+        async with Cluster(tmp_path, limiters=2, second_front=True) as yard:
             owner, other = owner_and_other(1, yard)
             assert owner.process is not None
             owner.process.send_signal(signal.SIGSTOP)
@@ -185,7 +185,7 @@
 
 def test_a_stopping_limiter_is_unavailable(tmp_path: Path) -> None:
     async def go() -> None:
-        async with Yard(tmp_path, second_front=True) as yard:
+        async with Cluster(tmp_path, second_front=True) as yard:
             limiter = yard.limiters[0]
             async with grpc.aio.insecure_channel(f"127.0.0.1:{limiter.grpc_port}") as channel:
                 ask_it = stub(limiter, channel)
--- a/tests/test_hardening.py
+++ b/tests/test_hardening.py
@@ -35,7 +35,7 @@
 from larklb.settings import InstanceEntry, Operator, load
 from larklb.state.log import LogError, replay
 from tests.conftest import Bed
-from tests.standins import ROOT, Yard, ask, free_port, http, job, served
+from tests.standins import ROOT, Cluster, ask, free_port, http, job, served
 from tests.test_core import core_with
 
 CONTENT = execute.Content(b"GET", b"/read", (), b"")
@@ -315,7 +315,7 @@
     monkeypatch.setattr(Machines, "apply", FailOnce(Machines.apply, 1))
 
     async def go() -> None:
-        yard = Yard(tmp_path)
+        yard = Cluster(tmp_path)
         await yard.discovery.start()
         for node in yard.nodes:
             await node.start()
@@ -408,7 +408,7 @@
 def test_descriptor_exhaustion_answers_accepted_jobs_and_recovers(tmp_path: Path) -> None:
     """The system allows fewer descriptors than configured; many clients use them all up and disconnect."""
     async def go() -> None:
-        async with Yard(tmp_path, nodes=2) as yard:
+        async with Cluster(tmp_path, nodes=2) as yard:
             limiter = yard.limiters[0]
             await limiter.stop()
             limiter.descriptors = 80
@@ -444,7 +444,7 @@
 def test_silent_connections_to_the_grpc_address_are_closed(tmp_path: Path) -> None:
     """They held their descriptors for two minutes and left none to the HTTP front."""
     async def go() -> None:
-        async with Yard(tmp_path, second_front=True) as yard:
+        async with Cluster(tmp_path, second_front=True) as yard:
             silent = [await asyncio.open_connection("127.0.0.1", yard.limiters[0].grpc_port)
                       for _ in range(40)]
 
@@ -462,7 +462,7 @@
                                               for c in lab_cluster.CLASSES])
 
     async def go() -> None:
-        async with Yard(tmp_path, nodes=1) as yard:
+        async with Cluster(tmp_path, nodes=1) as yard:
             first = yard.nodes[0]
 
             async def reply_in_two_pieces(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -484,7 +484,7 @@
     """The last sync of the reservations failed and aborted the stop: exit status 1, counters not reported."""
     from larklb.operator_services import OperatorServices
     from larklb.settings import load_operator
-    yard = Yard(tmp_path, more='[state]\nfolder = "var"\n[reservations]\n')
+    yard = Cluster(tmp_path, more='[state]\nfolder = "var"\n[reservations]\n')
     config = load({"EDGE_CONFIG": str(yard.limiters[0].config())})
     operator = load_operator(yard.operator())
 
@@ -536,7 +536,7 @@
 def test_drain_timeout_follows_the_deadlines_of_the_instance(
         tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """A fixed timeout of 12 s killed instances with longer deadlines while they still had jobs."""
-    yard, entry = Yard(tmp_path, limiters=1), InstanceEntry("n0", "n0.json")
+    yard, entry = Cluster(tmp_path, limiters=1), InstanceEntry("n0", "n0.json")
     agent = Agent(tmp_path / "operator.toml", Operator([entry]))
     yard.limiters[0].config()
     assert agent._drain_timeout(entry) == agent_module.MIN_DRAIN_S
@@ -548,7 +548,7 @@
 def test_failed_renewal_is_reported_and_a_later_one_proceeds(tmp_path: Path) -> None:
     """The agent waited for the broken instance forever and ignored every later SIGHUP."""
     async def go() -> None:
-        yard = Yard(tmp_path, limiters=2)
+        yard = Cluster(tmp_path, limiters=2)
         await yard.discovery.start()
         for limiter in yard.limiters:
             limiter.config()
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -16,7 +16,7 @@
 from larklb.lab import script
 from larklb.lab.check import InvariantViolationError, explore_states
 from larklb.lab.check_leases import LIMITERS, LONGEST, MOST, STARTS, World, plain
-from larklb.lab.cluster import Yard
+from larklb.lab.cluster import Cluster
 from larklb.lab.fleet import Audit, Rig
 from tests.conftest import Bed
 from tests.test_usage import larklb
@@ -225,7 +225,7 @@
 
 def test_the_bounds_of_the_limits_are_printed(tmp_path: Path) -> None:
     async def go() -> None:
-        yard = Yard(tmp_path, 3, more="[limits]\nnode_attempts = 40\nfurther_attempts = 0.2\n")
+        yard = Cluster(tmp_path, 3, more="[limits]\nnode_attempts = 40\nfurther_attempts = 0.2\n")
         for limiter in yard.limiters:
             limiter.config()
         status, out = await larklb("fleet", "bound", str(yard.operator()), "--limiters", "10", "--json")
--- a/tests/test_settling.py
+++ b/tests/test_settling.py
@@ -23,7 +23,7 @@
 from larklb.quota.fallback import COPY_BYTES, COUNT_BYTES
 from larklb.quota.settlement import Confirmed, Count, Settlement
 from larklb.quota.shares import ESCROW_RELEASE_DELAY_MS, PEER_TIMEOUT_MS, Shares, error_bound
-from tests.standins import Yard, ask, job
+from tests.standins import Cluster, ask, job
 from tests.test_desk import granted, owner_first
 from tests.test_usage import larklb
 
@@ -322,9 +322,9 @@
 # Real processes ---------------------------------------------------------------------------
 
 
-async def relayed(folder: Path, relay_seed: int = 1) -> tuple[Yard, Relay]:
+async def relayed(folder: Path, relay_seed: int = 1) -> tuple[Cluster, Relay]:
     (folder / "plans.toml").write_text("")
-    yard = Yard(folder, limiters=3, more='[plans]\nfile = "plans.toml"\n')
+    yard = Cluster(folder, limiters=3, more='[plans]\nfile = "plans.toml"\n')
     relay = Relay(yard.peers, relay_seed)
     yard.peers_of = relay.peers
     await relay.start()
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -14,12 +14,12 @@
 
 import pytest
 
-from tests.standins import ROOT, Discovery, Yard, ask, http, job, read_answer, served
+from tests.standins import ROOT, Cluster, Discovery, ask, http, job, read_answer, served
 
 
 def test_a_job_is_served_with_the_bytes_of_the_execute_node(tmp_path: Path) -> None:
     async def go() -> None:
-        async with Yard(tmp_path) as yard:
+        async with Cluster(tmp_path) as yard:
             order = job("00000000000000aa", "place-order", body=b"{}")
             status, _, body = await ask(yard.limiters[0].port, order)
             assert (status, body) == (200, b"done 00000000000000aa")
@@ -40,7 +40,7 @@
     (job().replace("GET", "POST", 1), 400)])
 def test_an_invalid_request_is_rejected(tmp_path: Path, text: str, status: int) -> None:
     async def go() -> None:
-        async with Yard(tmp_path) as yard:
+        async with Cluster(tmp_path) as yard:
             assert (await ask(yard.limiters[0].port, text))[0] == status
             assert (await ask(yard.limiters[0].port, job()))[0] == 200, "and the next one is served"
             assert yard.seen().total() == 1
@@ -50,7 +50,7 @@
 def test_silent_connections_are_closed_and_do_not_block_clients(tmp_path: Path) -> None:
     """Guards against silent connections that stay open, and a sweep that aborts a first request."""
     async def go() -> None:
-        async with Yard(tmp_path) as yard:
+        async with Cluster(tmp_path) as yard:
             port = yard.limiters[0].port
             slow_reader, slow = await asyncio.open_connection("127.0.0.1", port)
             text = job(service="place-order", body=b"{}").encode()
@@ -74,7 +74,7 @@
 def test_the_number_of_idle_client_connections_is_limited(tmp_path: Path) -> None:
     """Guards against clients whose idle connections leave no descriptor for the next client."""
     async def go() -> None:
-        async with Yard(tmp_path) as yard:
+        async with Cluster(tmp_path) as yard:
             idle_connections = []
             for _ in range(120):
                 reader, writer = await asyncio.open_connection("127.0.0.1", yard.limiters[0].port)
@@ -92,7 +92,7 @@
         return await served(headers, body) + http(200, b"another's")
 
     async def go() -> None:
-        async with Yard(tmp_path) as yard:
+        async with Cluster(tmp_path) as yard:
             for node in yard.nodes:
                 node.reply, node.later = more, http(200, b"late")
             for n in range(6):
@@ -111,7 +111,7 @@
     b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"])
 def test_an_invalid_answer_is_a_failed_attempt_and_is_not_served(tmp_path: Path, invalid: bytes) -> None:
     async def go() -> None:
-        async with Yard(tmp_path) as yard:
+        async with Cluster(tmp_path) as yard:
             async def once(headers: dict[str, str], body: bytes) -> bytes:
                 first = yard.seen()[headers["x-correlation-id"]] == 1
                 return invalid if first else await served(headers, body)
@@ -131,7 +131,7 @@
         return hints + await served(headers, body)
 
     async def go() -> None:
-        async with Yard(tmp_path, nodes=1) as yard:
+        async with Cluster(tmp_path, nodes=1) as yard:
             yard.nodes[0].reply = with_informational
             assert (await ask(yard.limiters[0].port, job("00000000000000aa")))[2] == b"done 00000000000000aa"
     asyncio.run(go())
@@ -139,7 +139,7 @@
 
 def test_a_new_node_at_a_known_address_gets_a_new_connection(tmp_path: Path) -> None:
     async def go() -> None:
-        async with Yard(tmp_path, nodes=1) as yard:
+        async with Cluster(tmp_path, nodes=1) as yard:
             assert (await ask(yard.limiters[0].port, job()))[0] == 200
             old, new = yard.nodes[0].entry("removed"), {**yard.nodes[0].entry(), "instanceId": "s-new"}
             yard.discovery.tell(2, old, new)
@@ -161,7 +161,7 @@
             return s.recv(65536)
 
     async def go() -> None:
-        async with Yard(tmp_path) as yard:
+        async with Cluster(tmp_path) as yard:
             answer = await asyncio.to_thread(send_all_then_read, yard.limiters[0].port)
             assert answer.startswith(b"HTTP/1.1 413 ")
     asyncio.run(go())
@@ -169,7 +169,7 @@
 
 def test_an_exceeded_quota_is_429_with_retry_after(tmp_path: Path) -> None:
     async def go() -> None:
-        async with Yard(tmp_path) as yard:
+        async with Cluster(tmp_path) as yard:
             answers = [await ask(yard.limiters[0].port, job(plan="slow")) for _ in range(12)]
             assert [a[0] for a in answers] == [200] * 10 + [429] * 2
             assert float(answers[-1][1]["retry-after"]) == pytest.approx(0.5)
@@ -184,7 +184,7 @@
         return None
 
     async def go() -> None:
-        async with Yard(tmp_path) as yard:
+        async with Cluster(tmp_path) as yard:
             yard.nodes[0].reply = unprocessed
             answers = [await ask(yard.limiters[0].port, job(service="place-order")) for _ in range(6)]
             assert {a[0] for a in answers} == {200}
@@ -206,7 +206,7 @@
         return http(200, b"ok", "Connection: close")
 
     async def go() -> None:
-        async with Yard(tmp_path) as yard:
+        async with Cluster(tmp_path) as yard:
             for node in yard.nodes:
                 node.reply = once
             for _ in range(8):
@@ -218,7 +218,7 @@
 
 def test_connections_found_closed_shorten_the_trusted_idle_time(tmp_path: Path) -> None:
     async def go() -> None:
-        async with Yard(tmp_path, nodes=1) as yard:
+        async with Cluster(tmp_path, nodes=1) as yard:
             async def dead(headers: dict[str, str], body: bytes) -> bytes | None:
                 # The first job on a connection is served, the next one breaks it.
                 fresh = (await yard.limiters[0].counters())["dialled"] > dialled[0]
@@ -236,7 +236,7 @@
 
 def test_the_watch_resumes_at_its_version_and_a_draining_node_gets_no_jobs(tmp_path: Path) -> None:
     async def go() -> None:
-        async with Yard(tmp_path) as yard:
+        async with Cluster(tmp_path) as yard:
             yard.discovery.tell(5, yard.nodes[0].entry("draining"))
             await asyncio.sleep(0.3)
             yard.discovery.cut()
@@ -253,7 +253,7 @@
         await asyncio.sleep(30)
 
     async def go() -> None:
-        async with Yard(tmp_path, nodes=1) as yard:
+        async with Cluster(tmp_path, nodes=1) as yard:
             yard.nodes[0].reply = silent
             _, writer = await asyncio.open_connection("127.0.0.1", yard.limiters[0].port)
             writer.write(job(left=2.0).encode())
@@ -268,7 +268,7 @@
 
 def test_garbage_datagrams_are_counted_and_dropped(tmp_path: Path) -> None:
     async def go() -> None:
-        async with Yard(tmp_path, limiters=2) as yard:
+        async with Cluster(tmp_path, limiters=2) as yard:
             loop = asyncio.get_running_loop()
             transport, _ = await loop.create_datagram_endpoint(
                 asyncio.DatagramProtocol, remote_addr=("127.0.0.1", yard.peers[0]))
@@ -287,7 +287,7 @@
         return await served(headers, body)
 
     async def go() -> None:
-        async with Yard(tmp_path) as yard:
+        async with Cluster(tmp_path) as yard:
             for node in yard.nodes:
                 node.reply = slow
             limiter = yard.limiters[0]
@@ -311,7 +311,7 @@
 def test_a_silent_watch_is_reopened(tmp_path: Path) -> None:
     """A watch that stays open without data must not hide drains from the limiter."""
     async def go() -> None:
-        async with Yard(tmp_path) as yard:
+        async with Cluster(tmp_path) as yard:
             while not yard.discovery.asked:          # a later watch gets the update at once
                 await asyncio.sleep(0.01)
             yard.discovery.deaf = True
@@ -330,7 +330,7 @@
 def test_sighup_changes_the_watched_discovery_and_an_invalid_file_keeps_the_old_one(tmp_path: Path) -> None:
     """Guards against SIGHUP ending the program; another discovery may number its lists from the start."""
     async def go() -> None:
-        async with Yard(tmp_path) as yard:
+        async with Cluster(tmp_path) as yard:
             limiter, old, new = yard.limiters[0], yard.discovery, Discovery()
             assert limiter.process is not None
             old.tell(9, yard.nodes[1].entry("draining"))
@@ -367,8 +367,8 @@
 
 def test_an_address_in_use_prints_one_line_and_exits_with_1(tmp_path: Path) -> None:
     async def go() -> None:
-        async with Yard(tmp_path) as yard:
-            twin = Yard(tmp_path / "twin")
+        async with Cluster(tmp_path) as yard:
+            twin = Cluster(tmp_path / "twin")
             twin.folder.mkdir()
             twin.discovery.tell(2, twin.nodes[0].entry())   # a silent discovery would log a line
             await twin.discovery.start()
@@ -384,7 +384,7 @@
 
 def test_the_agent_restarts_a_killed_instance_and_drains_on_exit(tmp_path: Path) -> None:
     async def go() -> None:
-        yard = Yard(tmp_path, limiters=2, second_front=False)
+        yard = Cluster(tmp_path, limiters=2, second_front=False)
         await yard.discovery.start()
         for limiter in yard.limiters:
             limiter.config()
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -23,7 +23,7 @@
 from larklb.net import handover
 from larklb.wheel import Wheel
 from tests.conftest import Bed, settings
-from tests.standins import ROOT, Yard, ask, job, read_answer, served
+from tests.standins import ROOT, Cluster, ask, job, read_answer, served
 from tests.test_daily import call, with_console
 
 HEALTH = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
@@ -34,7 +34,7 @@
 PULSE_S = 0.05
 
 
-async def start_second_process(yard: Yard) -> tuple[Process, int]:
+async def start_second_process(yard: Cluster) -> tuple[Process, int]:
     """Starts a second process of the limiter with another admin address."""
     port = with_console(yard)
     env = {**os.environ, "EDGE_CONFIG": str(yard.limiters[0].config()), "PYTHONPATH": str(ROOT),
@@ -53,7 +53,7 @@
     raise AssertionError("the second process is not ready")
 
 
-async def upgrade(yard: Yard) -> tuple[Process, int]:
+async def upgrade(yard: Cluster) -> tuple[Process, int]:
     """Upgrades the limiter; returns the old process, which was sent SIGTERM, and the new admin port."""
     old = yard.limiters[0].process
     assert old is not None
@@ -70,8 +70,8 @@
     return errors.decode()
 
 
-def new_yard(tmp_path: Path, **more: int) -> Yard:
-    yard = Yard(tmp_path, **more)         # type: ignore[arg-type]
+def new_yard(tmp_path: Path, **more: int) -> Cluster:
+    yard = Cluster(tmp_path, **more)         # type: ignore[arg-type]
     yard.environment["TMPDIR"] = str(tmp_path)
     return yard
 
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -26,7 +26,7 @@
 from larklb.export.ledger import STEPS, Ledger
 from larklb.state.log import LogError, replay
 from tests.receiver import Receiver
-from tests.standins import ROOT, Limiter, Yard, ask, job
+from tests.standins import ROOT, Cluster, Limiter, ask, job
 from tests.test_grpc import descriptor, question
 
 KEY = t.Key(0, f"{1:016x}", "slow", 3, "place-order", 0, False)
@@ -339,7 +339,7 @@
 async def kill_at_step(folder: Path, step: str, number: int) -> None:
     receiver = Receiver()
     await receiver.start()
-    async with Yard(folder, more=operator_text(f'url = "{receiver.url}"')) as yard:
+    async with Cluster(folder, more=operator_text(f'url = "{receiver.url}"')) as yard:
         limiter = yard.limiters[0]
         for n in (1, 3):
             # The running limiter has no fault configured; its successor dies at the step.
@@ -388,7 +388,7 @@
     async def go() -> None:
         receiver = Receiver()
         await receiver.start()
-        async with Yard(tmp_path, more=operator_text(f'url = "{receiver.url}"', seal_s=60.0)) as yard:
+        async with Cluster(tmp_path, more=operator_text(f'url = "{receiver.url}"', seal_s=60.0)) as yard:
             limiter, operator = yard.limiters[0], str(yard.operator())
             for i in range(5):
                 await ask(limiter.port, job(account=i))
@@ -410,7 +410,7 @@
 
 def test_both_front_ends_count_exactly_what_the_quota_counts(tmp_path: Path) -> None:
     async def go() -> None:
-        async with Yard(tmp_path, more=operator_text('folder = "billed"', seal_s=60.0)) as yard:
+        async with Cluster(tmp_path, more=operator_text('folder = "billed"', seal_s=60.0)) as yard:
             limiter, operator = yard.limiters[0], str(yard.operator())
             assert (await ask(limiter.port, job(plan="slow", service="place-order")))[0] == 200
             assert (await question(limiter, descriptor(), hits=4)).overall_code == 1
