--- a/larklb/lab/soak_clients.py
+++ b/larklb/lab/soak_clients.py
@@ -15,7 +15,7 @@
 
 from larklb.lab.cluster import read_head
 from larklb.lab.system_network import CONFIGURATION, LIMITERS, Net
-from larklb.lab.system_servers import StandIn
+from larklb.lab.system_servers import StandInServer
 
 # Fraction of the requests with long work, and its duration (min, max).
 LONG_FRACTION, LONG_S = 0.25, (0.3, 1.4)
--- a/larklb/lab/system_servers.py
+++ b/larklb/lab/system_servers.py
@@ -12,7 +12,7 @@
 from attrs import define, field
 
 from larklb.lab.cluster import read_head
-from larklb.lab.system_network import DRAIN_S, PERIOD_S, call
+from larklb.lab.system_network import DRAIN_BOUND_S, HEARTBEAT_INTERVAL_S, call
 from larklb.schema.document import digest
 
 SLOTS, QUEUE = 8, 8        # of each server
