--- a/benchmarks/zone_leave.py
+++ b/benchmarks/zone_leave.py
@@ -20,7 +20,7 @@
 from benchmarks.load import machine
 from larklb.fleet.bound import zone_times
 from larklb.lab.nodes import Model
-from larklb.lab.zones import AIM, Day, Fault, play
+from larklb.lab.zones import AIM, Day, Fault, simulate
 
 AT, LASTS, LENGTH = 4000.0, 4000.0, 16_000.0
 END = 3000.0               # before the end, a try may not be answered yet
@@ -30,9 +30,9 @@
     "refusing": replace(BUSY, faults=(Fault(AT, LASTS, "b", "refusing"),)),
     "silent": replace(BUSY, faults=(Fault(AT, LASTS, "b", "silent"),)),
     "cut": replace(BUSY, faults=(Fault(AT, LASTS, "b", "cut"),)),
-    "cut-some": replace(BUSY, faults=(Fault(AT, LASTS, "b", "cut", part=0.4),)),
+    "cut-some": replace(BUSY, faults=(Fault(AT, LASTS, "b", "cut", fraction=0.4),)),
     "half": replace(BUSY, faults=(Fault(AT, LASTS, "b", "refusing", half=True),)),
-    "slow": replace(BUSY, rate=7.0, faults=(Fault(AT, LASTS, "b", "slow", times=4.0),)),
+    "slow": replace(BUSY, rate=7.0, faults=(Fault(AT, LASTS, "b", "slow", slowdown=4.0),)),
     "8 zones": Day(limiters=48, nodes=56, zones=tuple("abcdefgh"), rate=12.0, length=LENGTH,
                    model=Model(cores=1), faults=(Fault(AT, LASTS, "b", "silent"),)),
 }
@@ -46,21 +46,22 @@
     """A day's figures."""
     name, day, seed = job
     began = time.process_time()
-    net = play(day, seed)
-    left, home = (net.left.get("b", {}), net.home.get("b", {}))
+    net = simulate(day, seed)
+    left, home = (net.left_at.get("b", {}), net.returned_at.get("b", {}))
     lost = day.faults[0] if day.faults else Fault(0.0, 0.0, "b")
     seconds = range(int(day.length / 1000))
     return {
-        "day": name, "zones": "on" if day.on else "off", "seed": seed, "left": len(left),
+        "day": name, "zones": "on" if day.leaving_enabled else "off", "seed": seed, "left": len(left),
         "first_ms": round(min(left.values()) - lost.at) if left else None,
         "last_ms": round(max(left.values()) - lost.at) if left else None,
-        "home": len(home), "home_ms": round(max(home.values()) - lost.at - lost.lasts) if home else None,
-        "before": round(net.served(1000.0, lost.at), 3),
-        "during": round(net.served(lost.at, lost.at + lost.lasts), 3),
-        "after": round(net.served(lost.at + lost.lasts, day.length - END), 3),
-        "into": net.into["b"], "wasted": net.wasted, "fallen": net.fallen(), "alarms": net.alarms,
+        "home": len(home), "home_ms": round(max(home.values()) - lost.at - lost.duration) if home else None,
+        "before": round(net.served_fraction(1000.0, lost.at), 3),
+        "during": round(net.served_fraction(lost.at, lost.at + lost.duration), 3),
+        "after": round(net.served_fraction(lost.at + lost.duration, day.length - END), 3),
+        "into": net.attempts_during_fault["b"], "wasted": net.wasted,
+        "fallen": net.overloaded_cold_nodes(), "alarms": net.false_departures,
         "cold": round(max((n.most for n in net.nodes.values()), default=0.0), 2),
-        "by_second": [round(net.served(1000.0 * s, 1000.0 * s + 1000.0), 3) for s in seconds],
+        "by_second": [round(net.served_fraction(1000.0 * s, 1000.0 * s + 1000.0), 3) for s in seconds],
         "cpu_s": round(time.process_time() - began, 1)}
 
 
@@ -119,7 +120,7 @@
         days["large"] = Day(limiters=args.limiters, nodes=200, zones=tuple("abcd"), rate=15.0,
                             length=12_000.0, loss=0.05, model=Model(cores=2),
                             faults=(Fault(AT, 3000.0, "b", "refusing"),))
-    jobs = [(name, replace(day, on=on), 1) for name, day in days.items() for on in (False, True)]
+    jobs = [(name, replace(day, leaving_enabled=on), 1) for name, day in days.items() for on in (False, True)]
     jobs.sort(key=lambda j: -j[1].limiters)
     if not args.quick:
         jobs += [("calm", CALM, seed) for seed in range(1, 13)]
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -30,7 +30,7 @@
 from larklb.lab import script
 from larklb.lab.fleet import Audit, Rig
 from larklb.lab.nodes import Model, Node
-from larklb.lab.zones import Day, Fault, ZoneNet, play
+from larklb.lab.zones import Day, Fault, ZoneNet, simulate
 from tests.conftest import Bed
 from tests.test_usage import larklb
 
@@ -464,24 +464,24 @@
 @pytest.mark.parametrize("what", ["refusing", "silent"])
 def test_a_lost_zone_is_left_by_all_and_returned_to_without_overload(what: str) -> None:
     day = replace(SMALL, length=13_000.0, faults=(Fault(3000.0, 4000.0, "b", what),))
-    net = play(day, 1)
-    assert len(net.left["b"]) == 12 and max(net.left["b"].values()) - 3000.0 < 2500.0
-    assert len(net.home["b"]) == 12 and max(net.home["b"].values()) - 7000.0 < 6000.0
-    assert not net.alarms and not net.fallen()
-    assert net.served(0.0, 11_000.0) > 0.97
-    off = play(replace(day, on=False), 1)
-    assert not off.left
+    net = simulate(day, 1)
+    assert len(net.left_at["b"]) == 12 and max(net.left_at["b"].values()) - 3000.0 < 2500.0
+    assert len(net.returned_at["b"]) == 12 and max(net.returned_at["b"].values()) - 7000.0 < 6000.0
+    assert not net.false_departures and not net.overloaded_cold_nodes()
+    assert net.served_fraction(0.0, 11_000.0) > 0.97
+    off = simulate(replace(day, leaving_enabled=False), 1)
+    assert not off.left_at
 
 
-@pytest.mark.parametrize("fault", [Fault(3000.0, 4000.0, "b", "slow", times=2.5),
+@pytest.mark.parametrize("fault", [Fault(3000.0, 4000.0, "b", "slow", slowdown=2.5),
                                    Fault(3000.0, 4000.0, "b", half=True), None])
 def test_zones_that_are_not_lost_are_not_left(fault: Fault | None) -> None:
     """A slow zone, half a zone, or a release that replaces all nodes while a tenth of messages is lost."""
     releases = () if fault else tuple((2000.0 + 300.0 * n, n) for n in range(12))
     day = replace(SMALL, faults=(fault,) if fault else (), releases=releases, loss=0.1)
-    net = play(day, 2)
-    assert sum(len(of) for of in net.left.values()) <= 1, "one may see too little of a half"
-    assert net.served(0.0, 7000.0) > 0.97
+    net = simulate(day, 2)
+    assert sum(len(of) for of in net.left_at.values()) <= 1, "one may see too little of a half"
+    assert net.served_fraction(0.0, 7000.0) > 0.97
 
 
 def test_a_simulated_node_queues_warms_up_and_fails_under_overload() -> None:
@@ -614,4 +614,5 @@
     first, second = (ZoneNet(day, 5) for _ in range(2))
     for net in (first, second):
         net.run(day.length)
-    assert first.in_time == second.in_time and first.wasted == second.wasted and first.left == second.left
+    assert (first.in_time == second.in_time and first.wasted == second.wasted
+            and first.left_at == second.left_at)
