--- a/tests/test_lab_fleet.py
+++ b/tests/test_lab_fleet.py
@@ -16,7 +16,7 @@
 from larklb.fleet.verdicts import BAD_SLOWNESS, DecayingSlowness, Finding, SubjectTopic, Verdicts
 from larklb.lab import script, spread
 from larklb.lab.check import InvariantViolationError, explore_states
-from larklb.lab.check_verdicts import HALF, World
+from larklb.lab.check_verdicts import HALF_LIFE_MS, World
 from larklb.lab.fleet import Audit, Rig
 from tests.test_usage import larklb
 
@@ -247,4 +247,4 @@
 @pytest.mark.parametrize("fault", [OneSuffices, LastComes, Anonymous, OwnWord, FormerSelf])
 def test_seeded_faults_are_found(fault: Callable[[int, int, float], Verdicts]) -> None:
     with pytest.raises(InvariantViolationError):
-        explore_states(5, lambda: World(lambda number: fault(number, 8, HALF)))
+        explore_states(5, lambda: World(lambda number: fault(number, 8, HALF_LIFE_MS)))
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -15,7 +15,7 @@
 from larklb.fleet.leases import LEASE_MS, FleetLimits, LeaseReply, LeaseRequest, Lender
 from larklb.lab import script
 from larklb.lab.check import InvariantViolationError, explore_states
-from larklb.lab.check_leases import LIMITERS, LONGEST, MOST, STARTS, World, plain
+from larklb.lab.check_leases import LIMITERS, MAX_ATTEMPT_MS, NODE_LIMIT, STARTS, World, make_limits
 from larklb.lab.cluster import Cluster
 from larklb.lab.fleet import Audit, Rig
 from tests.conftest import Bed
@@ -90,14 +90,14 @@
 
 def lending(kind: type[Lender]) -> Make:
     def make(number: int, now: float) -> FleetLimits:
-        limits = plain(number, now)
-        limits.lender = kind(now, LEASE_MS + LONGEST, LIMITERS - 1)
+        limits = make_limits(number, now)
+        limits.lender = kind(now, LEASE_MS + MAX_ATTEMPT_MS, LIMITERS - 1)
         return limits
     return make
 
 
 def holding(kind: type[FleetLimits]) -> Make:
-    return lambda number, now: kind(number, LIMITERS, now, LONGEST, MOST)
+    return lambda number, now: kind(number, LIMITERS, now, MAX_ATTEMPT_MS, NODE_LIMIT)
 
 
 @pytest.mark.parametrize(("start", "make"), [
@@ -111,7 +111,7 @@
 
 @pytest.mark.parametrize(("limiters", "most"), [(1, 1), (3, 7), (9, 40), (200, 64), (200, 500)])
 def test_base_slots_and_lent_slots_add_up_to_the_limit(limiters: int, most: int) -> None:
-    of = [FleetLimits(i, limiters, 0.0, LONGEST, most) for i in range(limiters)]
+    of = [FleetLimits(i, limiters, 0.0, MAX_ATTEMPT_MS, most) for i in range(limiters)]
     for node in (1, 777, 65535):
         bases = [x.base(node, x.number) for x in of]
         assert sum(bases) + of[0].pool() == most
@@ -120,7 +120,7 @@
 
 
 def test_slots_follow_demand_and_those_of_a_lost_holder_are_lent_again() -> None:
-    lender, at = Lender(-1e6, LEASE_MS + LONGEST, 3), 0.0
+    lender, at = Lender(-1e6, LEASE_MS + MAX_ATTEMPT_MS, 3), 0.0
     first = lender.handle_request(at, 1, LeaseRequest(5, 1, 0, 0, 0, 30), 30)
     assert first is not None and first.slots == 30
     # Two holders want the same, and a third one a fifth of that.
@@ -131,7 +131,7 @@
         assert all(reply is not None for reply in replies)
     slots = [reply.slots for reply in replies if reply is not None]
     assert 13 <= slots[0] <= 14 and 13 <= slots[1] <= 14 and 2 <= slots[2] <= 3 and sum(slots) <= 30
-    at += LEASE_MS + LONGEST - 1.0
+    at += LEASE_MS + MAX_ATTEMPT_MS - 1.0
     kept = lender.handle_request(at, 2, LeaseRequest(5, int(at), int(at) - 500, 0, 0, 30), 30)
     assert kept is not None and kept.slots <= 14, "the first may still have attempts out"
     free = lender.handle_request(at + 2.0, 2, LeaseRequest(5, int(at) + 2, int(at), 0, 0, 30), 30)
@@ -162,7 +162,8 @@
 
 
 def test_a_restarted_lender_lends_once_all_have_reported_their_holdings() -> None:
-    lender, others = Lender(0.0, LEASE_MS + LONGEST, 2), [FleetLimits(i, 3, 0.0, LONGEST, 8) for i in (1, 2)]
+    lender, others = Lender(0.0, LEASE_MS + MAX_ATTEMPT_MS, 2), [
+        FleetLimits(i, 3, 0.0, MAX_ATTEMPT_MS, 8) for i in (1, 2)]
     nodes = [n for n in range(1, 500) if others[0].lender_of(n) == 0][:2]
     for held in (others[0]._held(n) for n in nodes):
         held.slots, held.expires_at = 2, 9e9
@@ -183,7 +184,7 @@
 
 
 def test_further_attempts_stay_within_a_fraction_of_the_first_ones() -> None:
-    limits = FleetLimits(0, 3, 0.0, LONGEST, further_fraction=0.2)
+    limits = FleetLimits(0, 3, 0.0, MAX_ATTEMPT_MS, further_fraction=0.2)
     further = 0
     for _ in range(500):
         limits.record_attempt(0.0, 1, 1, True)
