--- a/benchmarks/usage_export.py
+++ b/benchmarks/usage_export.py
@@ -96,7 +96,7 @@
     for limiter in yard.limiters:
         await limiter.stop()
     await receiver.stop()
-    seen = set(yard.seen())
+    seen = set(yard.attempts())
     audits = [audit(folder / "var" / x.name / "use", x.name) for x in yard.limiters]
     doubts = {d.job for a in audits for d in a.tally.doubts}
     in_doubt = sum(a.tally.in_doubt for a in audits)
--- a/larklb/cli/lab.py
+++ b/larklb/cli/lab.py
@@ -100,7 +100,7 @@
     else:
         print_rows(audit.windows, fleet.COLUMNS, False)
         print("  ".join(f"{name} {value:.4g}" for name, value in audit.figures.items()))
-    failures = audit.off(day)
+    failures = audit.violations(day)
     for line in failures:
         print(f"{scenario}: {line}")
     print(f"{scenario}, seed {seed}: {'not as expected' if failures else 'as expected'}")
--- a/larklb/lab/cluster.py
+++ b/larklb/lab/cluster.py
@@ -1,5 +1,5 @@
-"""What stands round the program where there is no platform: execute nodes, discovery, submitters, and
-limiters started as processes.  All of it listens on loopback alone."""
+"""A test cluster on loopback: execute nodes, a discovery service, request helpers, and limiters that run as
+processes of the program."""
 
 from __future__ import annotations
 
@@ -18,22 +18,26 @@
 from typing import Any
 
 ROOT = Path(__file__).parent.parent.parent
-SETTLED_S = 0.03           # after a connection comes up, those at once are counted
+# Delay between accepting a connection and counting the open ones.
+CONNECTION_COUNT_DELAY_S = 0.03
 CLASSES = [
     {"name": "stock-check", "aim": 1500.0, "deadline": 4000.0, "gain": 1.0, "semantics": "repeatable"},
     {"name": "place-order", "aim": 2000.0, "deadline": 5000.0, "gain": 3.0, "semantics": "by_key",
      "group": "cell", "window": 10000.0}]
-# A refill of one unit in 1000 s: within a test, what is granted is the burst and nothing else.
+# "slow" refills one unit in 1000 s, so that within a test only the burst is granted.
 PLANS = [{"name": "slow", "quota_rate": 0.001, "depth": 10.0},
          {"name": "wide", "quota_rate": 500.0, "depth": 900.0}]
-_numbers: Iterator[int] = iter(range(1, 1 << 30))       # ids, keys and seeds: no two starts share a seed
+_numbers: Iterator[int] = iter(range(1, 1 << 30))       # for ids, keys and seeds; no two starts share a seed
 
 
 _ports: Iterator[int] = iter(range(16000 + os.getpid() * 1009 % 14000, 32000))
 
 
 def free_port(kind: int = socket.SOCK_STREAM) -> int:
-    """From below the range that outgoing connections draw from: one of them could take it before its use."""
+    """Returns a free port below the ephemeral range, where no outgoing connection can take it before use.
+
+    Raises AssertionError when no port is free.
+    """
     for port in _ports:
         with socket.socket(socket.AF_INET, kind) as s, suppress(OSError):
             s.bind(("127.0.0.1", port))
@@ -42,6 +46,7 @@
 
 
 async def read_head(reader: asyncio.StreamReader) -> tuple[str, dict[str, str]]:
+    """Reads the head of an HTTP message; returns its first line and its headers by lower-case name."""
     lines = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
     headers = {n.lower(): v.strip() for n, _, v in (line.partition(":") for line in lines[1:] if line)}
     return lines[0], headers
@@ -51,11 +56,13 @@
 
 
 def http(status: int, body: bytes = b"", *headers: str) -> bytes:
+    """Encodes an HTTP response."""
     head = [f"HTTP/1.1 {status} X", f"Content-Length: {len(body)}", *headers]
     return "\r\n".join(head).encode() + b"\r\n\r\n" + body
 
 
 async def served(headers: dict[str, str], body: bytes) -> bytes:
+    """Replies 200 with the correlation id in the body."""
     return http(200, b"done " + headers["x-correlation-id"].encode())
 
 
@@ -64,82 +71,86 @@
 
 
 class ExecuteNode:
-    """Answers what ``reply`` says; None breaks the connection."""
+    """An execute node that answers with ``reply``; a reply of None closes the connection."""
 
     def __init__(self, name: str, cell: int = 0, port: int = 0) -> None:
         self.name, self.cell, self.port = name, cell, port or free_port()
         self.reply: Reply = served
-        self.later = b""             # comes 10 ms behind an answer, unasked
-        self.seen: Counter[str] = Counter()
-        self.links: set[asyncio.StreamReader] = set()       # of connections; one closed by its other end ...
-        self.most_links = 0                                  # ... is here till its work ends, and not counted
-        self.asked: set[asyncio.StreamReader] = set()       # those of them with a request under way
-        self.most_at_once = 0
+        self.trailing_bytes = b""             # sent 10 ms after each answer, unsolicited
+        self.attempts: Counter[str] = Counter()                # by correlation id
+        # Readers of the connections.  One that the peer closed stays until its request ends, uncounted.
+        self.connections: set[asyncio.StreamReader] = set()
+        self.max_connections = 0
+        self.active: set[asyncio.StreamReader] = set()         # connections with a request in progress
+        self.max_concurrent_requests = 0
         self.server: asyncio.Server | None = None
 
     async def start(self) -> None:
+        """Starts to listen."""
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", self.port)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.links.add(reader)
-        # What was closed before this one was opened may be read after it: counted once that is done.
-        asyncio.get_running_loop().call_later(SETTLED_S, self._count)
+        self.connections.add(reader)
+        # The end of an earlier connection may be read after this one is accepted, so the count is delayed.
+        asyncio.get_running_loop().call_later(CONNECTION_COUNT_DELAY_S, self._count)
         try:
             await self._requests(reader, writer)
         finally:
-            self.links.discard(reader)
+            self.connections.discard(reader)
 
     def _count(self) -> None:
-        self.most_links = max(self.most_links, sum(map(_open, self.links)))
+        self.max_connections = max(self.max_connections, sum(map(_open, self.connections)))
 
     async def _requests(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with suppress(asyncio.IncompleteReadError, ConnectionError):
             while True:
                 _, headers = await read_head(reader)
                 body = await reader.readexactly(int(headers.get("content-length", 0)))
-                self.seen[headers["x-correlation-id"]] += 1
-                self.asked.add(reader)
-                # Who closes its connection has given the attempt up, whatever is still worked at here.
-                self.most_at_once = max(self.most_at_once, sum(map(_open, self.asked)))
+                self.attempts[headers["x-correlation-id"]] += 1
+                self.active.add(reader)
+                # A closed connection means that the limiter cancelled the attempt, even if it runs here.
+                self.max_concurrent_requests = max(self.max_concurrent_requests, sum(map(_open, self.active)))
                 try:
                     answer = await self.reply(headers, body)
                 finally:
-                    self.asked.discard(reader)
+                    self.active.discard(reader)
                 if answer is None:
                     break
                 writer.write(answer)
                 await writer.drain()
-                if self.later:
+                if self.trailing_bytes:
                     await asyncio.sleep(0.01)
-                    writer.write(self.later)
+                    writer.write(self.trailing_bytes)
         writer.close()
 
     def entry(self, lifecycle: str = "up") -> dict[str, Any]:
+        """Returns the node's entry in a discovery list."""
         return {"instanceId": self.name, "hostPort": f"127.0.0.1:{self.port}", "zone": "a",
                 "machineType": "m", "cell": self.cell, "lifecycle": lifecycle, "weight": 1.0,
                 "startedAtMs": 0}
 
 
 class Discovery:
-    """A watch that tells each watcher what it has not told it yet."""
+    """A discovery service; each watch receives the generations newer than the one that it names."""
 
     def __init__(self, port: int = 0) -> None:
         self.port = port or free_port()
         self.lines: list[tuple[int, bytes]] = []
-        self.deaf = False            # open watches hear nothing more
-        self.slow = 0.0              # s before a watch is answered at all
-        self.asked: list[int] = []
+        self.muted = False            # open watches receive no further updates
+        self.response_delay_s = 0.0              # before the response to a watch begins
+        self.watched_from: list[int] = []             # generations from which watches were opened
         self.writers: set[asyncio.StreamWriter] = set()
         self.server: asyncio.Server | None = None
 
     async def start(self) -> None:
+        """Starts to listen."""
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", self.port)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         line, _ = await read_head(reader)
         version = int(line.split("from=")[1].split()[0])
-        self.asked.append(version)
-        await asyncio.sleep(self.slow)
+        self.watched_from.append(version)
+        await asyncio.sleep(self.response_delay_s)
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         for generation, text in self.lines:
             if generation > version:
@@ -151,24 +162,26 @@
         writer.close()
 
     def _chunk(self, writer: asyncio.StreamWriter, data: bytes) -> None:
-        # Cut in the middle: a line need not come in one chunk.
+        # Split in two, because a line need not arrive in one chunk.
         for part in (data[:7], data[7:]):
             writer.write(b"%x\r\n%s\r\n" % (len(part), part))
 
-    def tell(self, generation: int, *entries: dict[str, Any]) -> None:
+    def publish(self, generation: int, *entries: dict[str, Any]) -> None:
+        """Sends a generation with these entries to all watches, unless muted, and keeps it for later ones."""
         text = json.dumps({"generation": generation, "reset": False, "instances": entries}).encode() + b"\n"
         self.lines.append((generation, text))
-        for writer in () if self.deaf else self.writers:
+        for writer in () if self.muted else self.writers:
             self._chunk(writer, text)
 
-    def cut(self) -> None:
+    def disconnect_watchers(self) -> None:
+        """Closes all open watches."""
         for writer in self.writers:
             writer.close()
 
 
 def configuration(number: int, port: int, discovery: int, peers: list[int], nodes: list[dict[str, Any]],
                   plans: list[dict[str, Any]], seed: int = 0) -> dict[str, Any]:
-    """An instance's configuration, as the platform would write it."""
+    """Returns the configuration of an instance as the platform writes it; a seed of 0 draws a new one."""
     settings = {
         "ordinal": number, "balancers": len(peers), "tick": 4.0, "classes": CLASSES, "tariffs": plans,
         "limits": {"max_attempts": 4, "cancel": True, "retry_after": True, "max_retry_after": 500.0,
@@ -184,39 +197,46 @@
 
 
 class Limiter:
-    """One started program."""
+    """One limiter process of a cluster."""
 
-    def __init__(self, bed: Cluster, number: int) -> None:
-        self.bed, self.number, self.name = bed, number, f"n{number}"
+    def __init__(self, cluster: Cluster, number: int) -> None:
+        self.cluster, self.number, self.name = cluster, number, f"n{number}"
         self.port, self.grpc_port = free_port(), free_port()
         self.process: asyncio.subprocess.Process | None = None
         self.errors = b""
         self.environment: dict[str, str] = {}
-        self.descriptors = 0                  # that the system allows it; 0: as many as us
+        self.max_descriptors = 0              # RLIMIT_NOFILE; 0 inherits ours
 
     def config(self) -> Path:
-        bed = self.bed
-        path = bed.folder / f"{self.name}.json"
-        told = configuration(self.number, self.port, bed.discovery_of(self.number), bed.peers_of(self.number),
-                             bed.entries_of(self.number), bed.plans)
-        told["limits"]["memory_mb"] = bed.memory_mb
-        told["settings"] |= bed.settings
-        path.write_text(json.dumps(told))
+        """Writes the configuration file and returns its path."""
+        cluster = self.cluster
+        path = cluster.folder / f"{self.name}.json"
+        content = configuration(
+            self.number, self.port, cluster.discovery_of(self.number), cluster.peers_of(self.number),
+            cluster.entries_of(self.number), cluster.plans)
+        content["limits"]["memory_mb"] = cluster.memory_mb
+        content["settings"] |= cluster.settings
+        path.write_text(json.dumps(content))
         return path
 
     async def start(self) -> None:
+        """Starts the process and waits until it is ready."""
         env = {**os.environ, "EDGE_CONFIG": str(self.config()), "PYTHONPATH": str(ROOT),
-               **self.bed.environment, **self.environment}
-        more = ["--operator", str(self.bed.operator())] if self.bed.second_front else []
-        few = (lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (self.descriptors,) * 2)
-               ) if self.descriptors else None
+               **self.cluster.environment, **self.environment}
+        options = ["--operator", str(self.cluster.operator())] if self.cluster.second_front else []
+        limit_descriptors = (lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (self.max_descriptors,) * 2)
+               ) if self.max_descriptors else None
         self.errors = b""
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "larklb", "serve", *more, env=env, stderr=asyncio.subprocess.PIPE,
-            preexec_fn=few)
+            sys.executable, "-m", "larklb", "serve", *options, env=env, stderr=asyncio.subprocess.PIPE,
+            preexec_fn=limit_descriptors)
         await self.ready()
 
     async def ready(self, within: float = 30.0) -> None:
+        """Waits until the health check answers 200.
+
+        Raises AssertionError after ``within`` seconds, or when the process exits.
+        """
         until = time.monotonic() + within
         while time.monotonic() < until and (self.process is None or self.process.returncode is None):
             with suppress(OSError, asyncio.IncompleteReadError):
@@ -228,6 +248,7 @@
         raise AssertionError(f"{self.name} was not ready: {self.errors.decode()[-1000:]}")
 
     async def stop(self, how: signal.Signals = signal.SIGTERM) -> int:
+        """Sends a signal to the process unless it has ended, waits for its end and returns its exit code."""
         assert self.process is not None
         if self.process.returncode is None:
             self.process.send_signal(how)
@@ -237,23 +258,24 @@
         return self.process.returncode
 
     async def counters(self) -> dict[str, int]:
+        """Returns the counters that the limiter reports."""
         _, _, body = await ask(self.port, "GET /counters HTTP/1.1\r\nHost: x\r\n\r\n")
         counts: dict[str, int] = json.loads(body)["counts"]
         return counts
 
 
 class Cluster:
-    """Limiters, execute nodes and discovery on loopback."""
+    """Limiters, execute nodes and discovery on loopback, started and stopped by ``async with``."""
 
     def __init__(self, folder: Path, limiters: int = 1, nodes: int = 2, second_front: bool = False,
                  store: str = "", more: str = "", plans: list[dict[str, Any]] = PLANS) -> None:
-        """``more`` is text for the operator's file; with it each instance has an admin address, nN.sock."""
+        """``more`` is text for the operator file; unless empty, each instance has an admin socket nN.sock."""
         self.folder, self.second_front, self.store = folder, second_front or bool(more), store
         self.more, self.plans = more, plans
         self.environment: dict[str, str] = {}
         self.memory_mb = 192
-        self.settings: dict[str, Any] = {}           # that stand in place of the usual ones
-        # What one limiter is told, where each has ways of its own to the others.
+        self.settings: dict[str, Any] = {}           # override the defaults
+        # Peers, discovery and entries of a limiter's configuration; replaced where each limiter has relays.
         self.peers_of: Callable[[int], list[int]] = lambda number: self.peers
         self.discovery_of: Callable[[int], int] = lambda number: self.discovery.port
         self.entries_of: Callable[[int], list[dict[str, Any]]] = lambda number: [
@@ -264,6 +286,7 @@
         self.limiters = [Limiter(self, i) for i in range(limiters)]
 
     def operator(self) -> Path:
+        """Writes the operator file, if its text has changed, and returns its path."""
         path = self.folder / "operator.toml"
         store = f'[store]\nurl = "{self.store}"\n' if self.store else ""
         admin = 'admin = "{}.sock"\n' if self.more else ""
@@ -271,7 +294,7 @@
             f'[[instance]]\nname = "{x.name}"\nconfig = "{x.name}.json"\ngrpc = "127.0.0.1:{x.grpc_port}"\n'
             + admin.format(x.name) for x in self.limiters)
         if not path.exists() or path.read_text() != text:
-            path.write_text(text)              # others that start now read it
+            path.write_text(text)              # limiters that start concurrently read it
         return path
 
     async def __aenter__(self) -> Cluster:
@@ -286,12 +309,14 @@
             if x.process is not None and x.process.returncode is None:
                 await x.stop(signal.SIGKILL)
 
-    def seen(self) -> Counter[str]:
-        return sum((n.seen for n in self.nodes), Counter())
+    def attempts(self) -> Counter[str]:
+        """Returns the attempts that reached any node, by correlation id."""
+        return sum((n.attempts for n in self.nodes), Counter())
 
 
 def job(name: str = "", service: str = "stock-check", plan: str = "wide", account: int = 1, left: float = 3.0,
         spread: int = 1, first: int = 0, body: bytes = b"") -> str:
+    """Returns the text of an HTTP request for a job with ``left`` seconds until its deadline."""
     method = "GET" if service == "stock-check" else "POST"
     keyed = [f"Idempotency-Key: {next(_numbers):032x}", f"Content-Length: {len(body)}"] * (method == "POST")
     return "\r\n".join((
@@ -302,11 +327,13 @@
 
 
 async def read_answer(reader: asyncio.StreamReader) -> tuple[int, dict[str, str], bytes]:
+    """Reads an HTTP response; returns its status, headers and body."""
     line, headers = await read_head(reader)
     return int(line.split()[1]), headers, await reader.readexactly(int(headers["content-length"]))
 
 
 async def ask(port: int, text: str | bytes) -> tuple[int, dict[str, str], bytes]:
+    """Sends a request on a new connection and returns the response; raises TimeoutError after 20 s."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     try:
         writer.write(text.encode() if isinstance(text, str) else text)
--- a/larklb/lab/fleet.py
+++ b/larklb/lab/fleet.py
@@ -65,9 +65,9 @@
     tries: list[Try] = field(default_factory=list)
     figures: dict[str, float] = field(default_factory=dict)
     windows: list[dict[str, Any]] = field(default_factory=list)
-    said: dict[str, str] = field(default_factory=dict)           # by limiter, what it wrote to stderr
+    stderr: dict[str, str] = field(default_factory=dict)           # by limiter, what it wrote to stderr
 
-    def off(self, script: Script) -> list[str]:
+    def violations(self, script: Script) -> list[str]:
         """Figures that lie outside of what the script expects, a line each."""
         return [f"{name} is {self.figures.get(name, float('nan')):.3f}, expected {low:g} to {high:g}"
                 for name, (low, high) in script.expect.items()
@@ -129,7 +129,7 @@
     def _list(self, names: list[str], lifecycle: str) -> None:
         self.generation += 1
         for number, discovery in enumerate(self.lists):
-            discovery.tell(self.generation, *(self._entry(number, name, lifecycle) for name in names))
+            discovery.publish(self.generation, *(self._entry(number, name, lifecycle) for name in names))
 
     def _lost(self, sender: int, to: int) -> bool:
         return any(sender in a and to in b and self.chance.random() < part for a, b, part in self.apart)
@@ -310,12 +310,12 @@
                 return lambda: self._relist(nodes)
             case "deaf":
                 for i in limiters:
-                    self.lists[i].deaf = True
+                    self.lists[i].muted = True
                 return lambda: each(self._hears, limiters)
 
     async def _kill(self, limiter: Limiter) -> None:
         await limiter.stop(signal.SIGKILL)
-        self.audit.said[limiter.name] = self.audit.said.get(limiter.name, "") + limiter.errors.decode()
+        self.audit.stderr[limiter.name] = self.audit.stderr.get(limiter.name, "") + limiter.errors.decode()
 
     async def _start(self, numbers: list[int]) -> None:
         await asyncio.gather(*(self.yard.limiters[i].start() for i in numbers))
@@ -339,8 +339,8 @@
 
     def _hears(self, number: int) -> None:
         """Its watches end, and the next ones bring all that it missed."""
-        self.lists[number].deaf = False
-        self.lists[number].cut()
+        self.lists[number].muted = False
+        self.lists[number].disconnect_watchers()
 
     # What came out ------------------------------------------------------------------------
 
@@ -371,13 +371,13 @@
             "further": sends / len(reached) - 1.0 if reached else 0.0,
             "turned away": sum(m.turned_away for m in self.machines.values()),
             "fallen": sum(m.fallen for m in self.machines.values()),
-            "at once": max(m.most_at_once for m in self.machines.values()),
-            "links": max(m.most_links for m in self.machines.values()),
+            "at once": max(m.max_concurrent_requests for m in self.machines.values()),
+            "links": max(m.max_connections for m in self.machines.values()),
             "cold times": max(m.most_times for m in self.machines.values()),
             "opened": sum(opened.values()), "opened a try": sum(opened.values()) / max(1, len(audit.tries)),
             "p50 ms": 1000 * statistics.median([t.took for t in audit.tries if t.status == 200] or [0.0]),
-            "over": self._over(reached), "messages": self.relay.passed,
-            "messages a try": self.relay.passed / max(1, len(audit.tries))}
+            "over": self._over(reached), "messages": self.relay.forwarded,
+            "messages a try": self.relay.forwarded / max(1, len(audit.tries))}
         steps = round(script.length / WINDOW_S)
         for n in range(steps):
             came = [t for t in audit.tries if n <= t.came / WINDOW_S < n + 1]
--- a/larklb/lab/streams.py
+++ b/larklb/lab/streams.py
@@ -1,4 +1,4 @@
-"""A relay of connections from limiters to execute nodes on loopback, each pair with a way of its own."""
+"""A TCP relay from limiters to execute nodes on loopback, with a separate route for each pair."""
 
 from __future__ import annotations
 
@@ -10,84 +10,89 @@
 from larklb.lab.cluster import free_port
 
 State = Literal["open", "refused", "silent"]
-PIECE = 65536              # bytes read at a time
+CHUNK_BYTES = 65536
 
 
 class Way:
-    """From one limiter to one node, or to another limiter."""
+    """A route from one limiter to one node, or to another limiter."""
 
     def __init__(self, to: int, port: int = 0) -> None:
-        """To the port ``to``, from a free one or from ``port``."""
+        """Forwards connections from ``port`` (0: a free port) to the port ``to``."""
         self.port, self.to = port or free_port(), to
         self.state: State = "open"
-        self.delay = 0.0                      # s that each piece takes longer, either way
-        self.opened = 0                       # connections that have come up to the node
-        self.open = 0
-        self.most = 0
+        self.delay = 0.0                      # s added to each chunk, in both directions
+        self.opened = 0                       # connections established so far
+        self.open = 0                         # connections open now
+        self.max_open = 0
         self.sockets: set[asyncio.StreamWriter] = set()
-        self.passes = asyncio.Event()
-        self.passes.set()
+        self.forwarding = asyncio.Event()
+        self.forwarding.set()
         self.server: asyncio.Server | None = None
         self.starting: asyncio.Future[None] | None = None
 
     async def start(self) -> None:
+        """Starts to listen."""
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", self.port)
 
     def set(self, state: State) -> None:
-        """``refused``: what is open is reset, and nobody listens; ``silent``: nothing is signalled, and what
-        was open is reset once the way is open again, as where a machine vanishes."""
+        """Changes the state of the route.
+
+        ``refused`` resets open connections and stops listening.  ``silent`` forwards and signals nothing, as
+        when a machine vanishes; its connections are reset once the route is open again.
+        """
         before, self.state = self.state, state
         if state == "refused" and self.server is not None:
             self.server.close()
         elif before == "refused" and state != "refused":
             self.starting = asyncio.ensure_future(self.start())
         if state == "silent":
-            self.passes.clear()
+            self.forwarding.clear()
         else:
             if state == "refused" or before == "silent":
                 for writer in self.sockets:
                     writer.transport.abort()
-            self.passes.set()
+            self.forwarding.set()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         if self.state == "refused":
             writer.transport.abort()
             return
-        mine = {writer}
+        endpoints = {writer}
         self.sockets.add(writer)
         try:
-            await self.passes.wait()
+            await self.forwarding.wait()
             inner, outer = await asyncio.open_connection("127.0.0.1", self.to)
-            mine.add(outer)
+            endpoints.add(outer)
             self.sockets.add(outer)
             self.opened += 1
             self.open += 1
-            self.most = max(self.most, self.open)
+            self.max_open = max(self.max_open, self.open)
             try:
-                done, rest = await asyncio.wait(
+                done, pending = await asyncio.wait(
                     [asyncio.ensure_future(self._pipe(reader, outer)),
                      asyncio.ensure_future(self._pipe(inner, writer))], return_when=asyncio.FIRST_COMPLETED)
-                for task in rest:
+                for task in pending:
                     task.cancel()
             finally:
                 self.open -= 1
         except OSError:
-            pass                               # the node is not there: so the limiter sees it
+            pass                               # the node is down; closing below shows it to the limiter
         finally:
-            for end in mine:
+            for end in endpoints:
                 self.sockets.discard(end)
                 end.transport.abort() if end.transport.get_write_buffer_size() else end.close()
 
     async def _pipe(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with suppress(OSError):
-            while data := await reader.read(PIECE):
+            while data := await reader.read(CHUNK_BYTES):
                 if self.delay:
                     await asyncio.sleep(self.delay)
-                await self.passes.wait()
+                await self.forwarding.wait()
                 writer.write(data)
                 await writer.drain()
 
     def stop(self) -> None:
+        """Stops listening and aborts all connections."""
         if self.server is not None:
             self.server.close()
         for writer in self.sockets:
@@ -95,23 +100,25 @@
 
 
 class Streams:
-    """Ways from so many limiters to nodes, by the number of the limiter and the node's name."""
+    """Routes from limiters to nodes, by the number of the limiter and the name of the node."""
 
     def __init__(self, limiters: int, nodes: dict[str, int]) -> None:
-        """``nodes``: where each listens, by its name."""
+        """``nodes`` maps the name of each node to its port."""
         self.ways = {(i, name): Way(port) for i in range(limiters) for name, port in nodes.items()}
 
     async def start(self) -> None:
+        """Starts all routes."""
         for way in self.ways.values():
             await way.start()
 
     def stop(self) -> None:
+        """Stops all routes."""
         for way in self.ways.values():
             way.stop()
 
     def opened(self) -> Counter[str]:
-        """Connections that came up, by node."""
-        found: Counter[str] = Counter()
+        """Returns the number of connections established so far, by node."""
+        counts: Counter[str] = Counter()
         for (_, name), way in self.ways.items():
-            found[name] += way.opened
-        return found
+            counts[name] += way.opened
+        return counts
--- a/larklb/lab/trial.py
+++ b/larklb/lab/trial.py
@@ -142,7 +142,7 @@
         say("\n4. Use, exported once and only once: into a folder here, to a billing receiver elsewhere.")
         await self.command("usage", "export", str(self.operator))
         await self.command("usage", "verify", str(self.operator))
-        seen = sum(len(node.seen) for node in self.nodes)
+        seen = sum(len(node.attempts) for node in self.nodes)
         billed = sum(event["data"]["tries"] for path in (self.folder / "billed").iterdir()
                      for event in json.loads(path.read_bytes()))
         self.check(seen + words["OK"] == billed, f"the execute nodes saw {seen} orders and {words['OK']} "
--- a/tests/test_bulk.py
+++ b/tests/test_bulk.py
@@ -41,7 +41,7 @@
             while True:
                 lines = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
                 headers = {n.lower(): v.strip() for n, _, v in (x.partition(":") for x in lines[1:] if x)}
-                self.seen["begun"] += 1
+                self.attempts["begun"] += 1
                 await asyncio.sleep(self.hold)
                 digest, size = hashlib.sha256(), 0
                 async for part in body_of(reader, headers):
@@ -51,7 +51,7 @@
                         writer.write(http(503, b"", "X-Unprocessed: 1", "Connection: close"))
                         await writer.drain()
                         return
-                self.seen[headers["x-correlation-id"]] += 1
+                self.attempts[headers["x-correlation-id"]] += 1
                 await self.answer(writer, f"{size} {digest.hexdigest()}".encode())
         except (asyncio.IncompleteReadError, ConnectionError):
             pass
@@ -139,7 +139,7 @@
             assert whole[:2] == (200, digest_line(body))
             for stopped in (held, carried):
                 assert stopped[0] == 408 and stopped[2] < 9
-            assert yard.nodes[0].seen["begun"] == 2, "the second body had not come to be sent on"
+            assert yard.nodes[0].attempts["begun"] == 2, "the second body had not come to be sent on"
     asyncio.run(go())
 
 
@@ -155,11 +155,11 @@
             for _ in range(4):
                 assert (await ask(port, order(BODY)))[2] == digest_line(BODY)
             first.cut_after = 1000_000
-            begun = first.seen["begun"]
+            begun = first.attempts["begun"]
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(order(BODY))
             status, _, _ = await asyncio.wait_for(read_answer(reader), 5)
-            assert status in (502, 503) and first.seen["begun"] == begun + 1
+            assert status in (502, 503) and first.attempts["begun"] == begun + 1
             first.cut_after = 0
             writer.write(job().encode())
             assert (await asyncio.wait_for(read_answer(reader), 5))[0] == 200, "the connection goes on"
@@ -210,7 +210,7 @@
                 await asyncio.wait((asyncio.ensure_future(writer.drain()), answering),
                                    return_when=asyncio.FIRST_COMPLETED)
             assert (await asyncio.wait_for(answering, 5))[0] == 413
-            assert not any(len(name) == 16 for name in yard.nodes[0].seen), "no node has had all of it"
+            assert not any(len(name) == 16 for name in yard.nodes[0].attempts), "no node has had all of it"
     asyncio.run(go())
 
 
@@ -360,7 +360,7 @@
                 assert (await read_answer(reader))[2] == b"done " + name.encode()
             writer.write("".join(job() for _ in range(100)).encode())
             assert (await read_answer(reader))[0] == 400
-            assert yard.seen().total() == 5
+            assert yard.attempts().total() == 5
             absolute = job("00000000000000ff").replace("GET /", "GET http://any:80/")
             assert (await ask(port, absolute))[0] == 200
     asyncio.run(go())
--- a/tests/test_custody.py
+++ b/tests/test_custody.py
@@ -497,6 +497,6 @@
     async def go() -> None:
         async with Rig(day, tmp_path, 1) as rig:
             audit = await rig.play()
-        assert not audit.off(day), audit.figures
+        assert not audit.violations(day), audit.figures
         assert audit.figures["jobs"] > 300
     asyncio.run(go())
--- a/tests/test_daily.py
+++ b/tests/test_daily.py
@@ -131,7 +131,7 @@
                 c: {"ok": 0, "shed": 0, "errors": 0} for c in ("stock-check", "place-order")}
 
             async def refuse_first_attempt(headers: dict[str, str], body: bytes) -> bytes:
-                if yard.seen()[headers["x-correlation-id"]] == 1:
+                if yard.attempts()[headers["x-correlation-id"]] == 1:
                     return http(503, b"", "X-Unprocessed: 1")
                 return await served(headers, body)
 
@@ -171,7 +171,7 @@
                     received.count(200), sum(s in (429, 503) for s in received),
                     sum(s in (500, 502) for s in received)), service
             assert statuses["stock-check"].count(429) == 4
-            assert statistics["tries"] == yard.seen().total()
+            assert statistics["tries"] == yard.attempts().total()
             assert (statistics["active"], statistics["pool_size"], statistics["pool_ejected"]) == (0, 2, 0)
     asyncio.run(go())
 
@@ -278,7 +278,7 @@
                 await _reload(yard, text(config))
                 statistics = await figures(port)
                 assert (statistics["config_applied"], statistics["config_rejected"]) == (0, n), case
-            assert sorted(statistics["responses"]) == ["place-order", "stock-check"] and not other.asked
+            assert sorted(statistics["responses"]) == ["place-order", "stock-check"] and not other.watched_from
             assert (await ask(yard.limiters[0].port, job(service="extra")))[0] == 400
             assert (await ask(yard.limiters[0].port, job()))[0] == 200
             await yard.limiters[0].stop()
@@ -316,9 +316,9 @@
                 return http(503, b"", "X-Unprocessed: 1")
 
             yard.nodes[0].reply = yard.nodes[1].reply = refuse
-            before = yard.seen().total()
+            before = yard.attempts().total()
             assert (await ask(limiter.port, job()))[0] == 503
-            assert yard.seen().total() == before + 1, "one attempt, as the new file says"
+            assert yard.attempts().total() == before + 1, "one attempt, as the new file says"
             statistics = await figures(port)
             assert statistics["responses"]["place-order"]["ok"] == 1 and statistics["config_applied"] == 1
             assert statistics["responses"]["once-only"]["ok"] == 1
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -77,11 +77,11 @@
     """
     async def go() -> None:
         yard = Cluster(tmp_path, nodes=1)
-        yard.discovery.tell(2, yard.nodes[0].entry("draining"))
-        yard.discovery.slow = 0.4
+        yard.discovery.publish(2, yard.nodes[0].entry("draining"))
+        yard.discovery.response_delay_s = 0.4
         async with yard:
             status, _, _ = await ask(yard.limiters[0].port, job("first", left=3.0))
-            assert yard.nodes[0].seen["first"] == 0
+            assert yard.nodes[0].attempts["first"] == 0
             assert status in (502, 503)
     asyncio.run(go())
 
--- a/tests/test_hardening.py
+++ b/tests/test_hardening.py
@@ -323,7 +323,7 @@
         config = load({"EDGE_CONFIG": str(limiter.config())})
         program = asyncio.ensure_future(serve._run(config, None, tmp_path))
         await limiter.ready()
-        yard.discovery.tell(2, yard.nodes[0].entry("draining"))
+        yard.discovery.publish(2, yard.nodes[0].entry("draining"))
         for _ in range(100):
             await asyncio.sleep(0.05)
             if (counts := await limiter.counters()).get("list.changes"):
@@ -411,7 +411,7 @@
         async with Cluster(tmp_path, nodes=2) as yard:
             limiter = yard.limiters[0]
             await limiter.stop()
-            limiter.descriptors = 80
+            limiter.max_descriptors = 80
             await limiter.start()
             assert limiter.process is not None
             pid = limiter.process.pid
@@ -430,13 +430,13 @@
             assert set(answered) <= {200, 502, 503} and answered.count(200) >= 10
             for _, writer in clients:
                 writer.close()
-            yard.discovery.cut()
-            yard.discovery.tell(2, yard.nodes[0].entry("draining"))
+            yard.discovery.disconnect_watchers()
+            yard.discovery.publish(2, yard.nodes[0].entry("draining"))
             await asyncio.sleep(2.5)
-            yard.nodes[0].seen.clear()
+            yard.nodes[0].attempts.clear()
             for _ in range(8):
                 assert (await ask(limiter.port, job()))[0] == 200
-            assert not yard.nodes[0].seen and len(os.listdir(f"/proc/{pid}/fd")) < 80
+            assert not yard.nodes[0].attempts and len(os.listdir(f"/proc/{pid}/fd")) < 80
             assert await limiter.stop() == 0
     asyncio.run(go())
 
--- a/tests/test_lab_fleet.py
+++ b/tests/test_lab_fleet.py
@@ -32,7 +32,7 @@
             return await rig.play(), rig
 
     audit, rig = asyncio.run(go())
-    assert not audit.off(day), (audit.off(day), audit.figures)
+    assert not audit.violations(day), (audit.violations(day), audit.figures)
     return audit, rig
 
 
@@ -60,7 +60,7 @@
             return await rig.play(look)
 
     audit = asyncio.run(go())
-    assert not audit.off(script.load("bad-link")), audit.figures
+    assert not audit.violations(script.load("bad-link")), audit.figures
     assert [v for v in held if set(v["observers"]) == {"0"}], "they were told"
     assert not [v for v in held if v["verdict"] > 1.0 and len(set(v["observers"]) - {"0"}) == 0]
     others = of_limiters(audit, {1, 2, 3, 4, 5}, 2.0, 8.5)
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -214,7 +214,7 @@
             said[0] = (await larklb("fleet", "status", str(tmp_path / "operator.toml"), "--json"))[1]
 
     audit = played("limits", tmp_path, look)
-    assert not audit.off(script.load("limits")), audit.figures
+    assert not audit.violations(script.load("limits")), audit.figures
     rows = [json.loads(line) for line in said[0].splitlines() if line.startswith("{")]
     slots = [v for r in rows for v in r["slots"]]
     assert len(rows) == 6 and {v["pool"] for v in slots} == {5}
@@ -248,6 +248,6 @@
 
 def test_further_attempts_of_a_fleet_stay_within_their_budget(tmp_path: Path) -> None:
     audit = played("further", tmp_path)
-    assert not audit.off(script.load("further")), audit.figures
+    assert not audit.violations(script.load("further")), audit.figures
     without = played("further", tmp_path, operator="")
     assert without.figures["further"] > 0.16, without.figures
--- a/tests/test_settling.py
+++ b/tests/test_settling.py
@@ -363,7 +363,7 @@
 def test_real_limiters_hold_a_quota_through_loss_repeats_and_delay(tmp_path: Path) -> None:
     async def go() -> None:
         yard, relay = await relayed(tmp_path, 7)
-        relay.loss, relay.repeats, relay.delay = 0.3, 0.3, (0.001, 0.06)
+        relay.loss, relay.duplication, relay.delay = 0.3, 0.3, (0.001, 0.06)
         async with yard:
             for x in owner_first(yard) * 15:
                 assert (await ask(x.port, job(plan="wide", account=1, spread=3)))[0] == 200
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -23,7 +23,7 @@
             order = job("00000000000000aa", "place-order", body=b"{}")
             status, _, body = await ask(yard.limiters[0].port, order)
             assert (status, body) == (200, b"done 00000000000000aa")
-            assert yard.seen() == {"00000000000000aa": 1}
+            assert yard.attempts() == {"00000000000000aa": 1}
     asyncio.run(go())
 
 
@@ -43,7 +43,7 @@
         async with Cluster(tmp_path) as yard:
             assert (await ask(yard.limiters[0].port, text))[0] == status
             assert (await ask(yard.limiters[0].port, job()))[0] == 200, "and the next one is served"
-            assert yard.seen().total() == 1
+            assert yard.attempts().total() == 1
     asyncio.run(go())
 
 
@@ -94,13 +94,13 @@
     async def go() -> None:
         async with Cluster(tmp_path) as yard:
             for node in yard.nodes:
-                node.reply, node.later = more, http(200, b"late")
+                node.reply, node.trailing_bytes = more, http(200, b"late")
             for n in range(6):
                 name = f"{n:016x}"
                 assert (await ask(yard.limiters[0].port, job(name)))[2] == b"done " + name.encode()
                 yard.nodes[n % 2].reply = served
                 await asyncio.sleep(0.05)
-            assert set(yard.seen().values()) == {1}
+            assert set(yard.attempts().values()) == {1}
     asyncio.run(go())
 
 
@@ -113,7 +113,7 @@
     async def go() -> None:
         async with Cluster(tmp_path) as yard:
             async def once(headers: dict[str, str], body: bytes) -> bytes:
-                first = yard.seen()[headers["x-correlation-id"]] == 1
+                first = yard.attempts()[headers["x-correlation-id"]] == 1
                 return invalid if first else await served(headers, body)
 
             for node in yard.nodes:
@@ -142,7 +142,7 @@
         async with Cluster(tmp_path, nodes=1) as yard:
             assert (await ask(yard.limiters[0].port, job()))[0] == 200
             old, new = yard.nodes[0].entry("removed"), {**yard.nodes[0].entry(), "instanceId": "s-new"}
-            yard.discovery.tell(2, old, new)
+            yard.discovery.publish(2, old, new)
             await asyncio.sleep(0.3)
             assert (await ask(yard.limiters[0].port, job()))[0] == 200
             assert (await yard.limiters[0].counters())["dialled"] == 2
@@ -189,14 +189,14 @@
             answers = [await ask(yard.limiters[0].port, job(service="place-order")) for _ in range(6)]
             assert {a[0] for a in answers} == {200}
             yard.nodes[1].cell = 1
-            yard.discovery.tell(2, yard.nodes[1].entry())
+            yard.discovery.publish(2, yard.nodes[1].entry())
             yard.nodes[0].reply = yard.nodes[1].reply = broken
             await asyncio.sleep(0.2)
-            before = yard.seen()
+            before = yard.attempts()
             order = job("00000000000000bb", "place-order", left=1.0)
             assert (await ask(yard.limiters[0].port, order))[0] == 502
-            tried = [n.name for n in yard.nodes if n.seen["00000000000000bb"]]
-            assert len(tried) == 1 and (yard.seen() - before).total() >= 1
+            tried = [n.name for n in yard.nodes if n.attempts["00000000000000bb"]]
+            assert len(tried) == 1 and (yard.attempts() - before).total() >= 1
     asyncio.run(go())
 
 
@@ -211,7 +211,7 @@
                 node.reply = once
             for _ in range(8):
                 assert (await ask(yard.limiters[0].port, job(service="place-order")))[0] == 200
-            assert set(yard.seen().values()) == {1}
+            assert set(yard.attempts().values()) == {1}
             assert "outcome.reset" not in await yard.limiters[0].counters()
     asyncio.run(go())
 
@@ -230,21 +230,21 @@
                 assert (await ask(yard.limiters[0].port, job()))[0] == 200
                 await asyncio.sleep(0.1)
             assert 1 <= (await yard.limiters[0].counters())["errors.stale_connection"] <= 10
-            assert set(yard.seen().values()) <= {1, 2}
+            assert set(yard.attempts().values()) <= {1, 2}
     asyncio.run(go())
 
 
 def test_the_watch_resumes_at_its_version_and_a_draining_node_gets_no_jobs(tmp_path: Path) -> None:
     async def go() -> None:
         async with Cluster(tmp_path) as yard:
-            yard.discovery.tell(5, yard.nodes[0].entry("draining"))
+            yard.discovery.publish(5, yard.nodes[0].entry("draining"))
             await asyncio.sleep(0.3)
-            yard.discovery.cut()
+            yard.discovery.disconnect_watchers()
             for _ in range(4):
                 assert (await ask(yard.limiters[0].port, job()))[0] == 200
-            assert not yard.nodes[0].seen and yard.nodes[1].seen.total() == 4
+            assert not yard.nodes[0].attempts and yard.nodes[1].attempts.total() == 4
             await asyncio.sleep(0.3)
-            assert yard.discovery.asked[0] == 1 and yard.discovery.asked[-1] == 5
+            assert yard.discovery.watched_from[0] == 1 and yard.discovery.watched_from[-1] == 5
     asyncio.run(go())
 
 
@@ -312,18 +312,19 @@
     """A watch that stays open without data must not hide drains from the limiter."""
     async def go() -> None:
         async with Cluster(tmp_path) as yard:
-            while not yard.discovery.asked:          # a later watch gets the update at once
+            while not yard.discovery.watched_from:          # a later watch gets the update at once
                 await asyncio.sleep(0.01)
-            yard.discovery.deaf = True
-            yard.discovery.tell(4, yard.nodes[0].entry("draining"))
+            yard.discovery.muted = True
+            yard.discovery.publish(4, yard.nodes[0].entry("draining"))
             for _ in range(100):
                 await asyncio.sleep(0.1)
-                if len(yard.discovery.asked) > 1 and (await yard.limiters[0].counters()).get("list.changes"):
+                if len(yard.discovery.watched_from) > 1 and (
+                        await yard.limiters[0].counters()).get("list.changes"):
                     break
-            assert yard.discovery.asked[:2] == [1, 1]
+            assert yard.discovery.watched_from[:2] == [1, 1]
             for _ in range(5):
                 assert (await ask(yard.limiters[0].port, job()))[0] == 200
-            assert yard.nodes[0].seen.total() == 0
+            assert yard.nodes[0].attempts.total() == 0
     asyncio.run(go())
 
 
@@ -333,7 +334,7 @@
         async with Cluster(tmp_path) as yard:
             limiter, old, new = yard.limiters[0], yard.discovery, Discovery()
             assert limiter.process is not None
-            old.tell(9, yard.nodes[1].entry("draining"))
+            old.publish(9, yard.nodes[1].entry("draining"))
             await new.start()
             path = limiter.config()
             text = path.read_text()
@@ -341,17 +342,17 @@
                 path.write_text(bad)
                 limiter.process.send_signal(signal.SIGHUP)
                 await asyncio.sleep(0.2)
-            assert (await limiter.counters())["config.rejected"] == 2 and old.asked == [1]
+            assert (await limiter.counters())["config.rejected"] == 2 and old.watched_from == [1]
             yard.discovery = new
             limiter.config()
             limiter.process.send_signal(signal.SIGHUP)
-            new.tell(3, yard.nodes[0].entry("draining"), yard.nodes[1].entry())
+            new.publish(3, yard.nodes[0].entry("draining"), yard.nodes[1].entry())
             await asyncio.sleep(0.5)
-            assert new.asked == [0] and not old.writers
-            before = yard.nodes[0].seen.total()
+            assert new.watched_from == [0] and not old.writers
+            before = yard.nodes[0].attempts.total()
             for _ in range(5):
                 assert (await ask(limiter.port, job()))[0] == 200
-            assert (before, yard.nodes[1].seen.total()) == (yard.nodes[0].seen.total(), 5)
+            assert (before, yard.nodes[1].attempts.total()) == (yard.nodes[0].attempts.total(), 5)
             assert await limiter.stop() == 0
     asyncio.run(go())
 
@@ -370,7 +371,7 @@
         async with Cluster(tmp_path) as yard:
             twin = Cluster(tmp_path / "twin")
             twin.folder.mkdir()
-            twin.discovery.tell(2, twin.nodes[0].entry())   # a silent discovery would log a line
+            twin.discovery.publish(2, twin.nodes[0].entry())   # a silent discovery would log a line
             await twin.discovery.start()
             twin.limiters[0].port = yard.limiters[0].port
             path = twin.limiters[0].config()
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -131,7 +131,7 @@
             beat.cancel()
             assert set(answers_by_status) == {200} and answers_by_status[200] > 200
             assert set(slow) == {200, 429} and slow[200] == 10
-            assert set(yard.seen().values()) == {1}
+            assert set(yard.attempts().values()) == {1}
             assert await yard.limiters[0].stop() == 0
             assert not list(tmp_path.glob("*.sock")), "the meeting place is left clean"
     asyncio.run(go())
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -368,7 +368,7 @@
         assert not list(outbox.iterdir()), "what is acknowledged goes"
         assert round(receiver.units() * t.MICROUNITS_PER_UNIT) == found.tally.counted.units
         # Tries that the ledger counted and no node recorded were in flight at a kill and are in doubt.
-        executed, doubts = set(yard.seen()), {d.job for d in found.tally.doubts}
+        executed, doubts = set(yard.attempts()), {d.job for d in found.tally.doubts}
         assert found.tally.counted.tries == len(executed) + len(doubts - executed)
         assert await limiter.stop() == 0
     await receiver.stop()
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -516,7 +516,7 @@
             return await rig.play(look)
 
     audit = asyncio.run(go())
-    assert not audit.off(day), (audit.off(day), audit.figures)
+    assert not audit.violations(day), (audit.violations(day), audit.figures)
     return audit, seen
 
 
