--- a/larklb/lab/check_custody.py
+++ b/larklb/lab/check_custody.py
@@ -1,14 +1,14 @@
-"""Explores what can become of one job in custody, exhaustively to a depth (see ``check.py``).
+"""Exhaustive exploration of one job in custody, up to a depth (see ``check.py``).
 
-Three custodians, and two tries of one key, each at a limiter of its own.  A try claims the job, keeps that it
-sends, sends, gets its answer, keeps it, passes it on; each of these steps reaches all custodians, some or
-none, with or without their words coming back; what did not arrive may arrive later.  A limiter may be
-killed, may rest for any time, and a custodian may start anew, empty.  The node's rack drops repeats within a
-window.
+The model has three custodians and two tries of one key, each at a limiter of its own.  A try claims the job,
+stores that it is about to send, sends, receives the answer, stores the answer and passes it on.  Each message
+reaches all custodians, some or none, with or without their replies arriving; a message that did not arrive
+may arrive later.  A limiter may be killed or suspended for any time, and a custodian may restart with empty
+state.  The node's rack drops duplicates within a window.
 
-No job may run twice, no term may have two holders, and who comes back after an answer was passed on must not
-be told that the job failed.  Once words arrive again, a third try must come to an end.  ``STARTS`` are
-worlds in which something is under way already.
+The job must not run twice, no term may have two holders, and a client that repeats its request after an
+answer was passed on must not be told that the job failed.  Once messages arrive again, a third try must come
+to an end.  ``STARTS`` are worlds in which something is in progress already.
 """
 
 from __future__ import annotations
@@ -36,17 +36,22 @@
 
 KEY, BODY = 7, 1
 GROUP = (0, 1, 2)
-WINDOW = 4000.0            # ms in which the rack drops repeats
+# Time in which the rack drops duplicates.
+WINDOW_MS = 4000.0
 KEEP_MS = 20_000.0
-STEP = LEASE_MS * 0.6      # ms that a wait takes: two are longer than a lease
+# Duration of a wait.  Two waits are longer than a lease.
+STEP_MS = LEASE_MS * 0.6
+# Sets of custodians that a message may reach.
 REACHED = ((0, 1, 2), (0, 1), (1, 2), (0, 2), (0,), (2,), ())
-MOST_LATE = 2              # messages that may arrive later
+# Bound on the messages that may arrive later.
+MAX_LATE = 2
 
-KEPT_AS = {"keep sent": JobState.SENT, "keep answer": JobState.ANSWERED, "keep unknown": JobState.UNKNOWN}
+STORED_STATES = {
+    "keep sent": JobState.SENT, "keep answer": JobState.ANSWERED, "keep unknown": JobState.UNKNOWN}
 
 Steps = tuple[tuple[str, int], ...]
-#: Deeds of the first try (0) and of the second (10), by what they reach (an index of REACHED), before the
-#: exploration begins; a careless try leaves out what it does not do.
+#: Actions of the first try (0) and the second (10) before the exploration begins; the last digit of a step is
+#: the index in ``REACHED``.  A try that omits a step ignores the actions that do not apply to it.
 STARTS: dict[str, Steps] = {
     "empty": (),
     "claimed": (("step", 0),),
@@ -65,36 +70,42 @@
 
 @dataclass
 class Try:
-    """One try at its limiter; ``at`` is the next thing that it does."""
+    """One try at its limiter; ``at`` is its next step and ``end`` its outcome."""
 
-    hand: HolderSession
+    session: HolderSession
     at: str = "claim"
     record: Record | None = None
     end: str = ""
 
 
 class World:
-    """``make`` and ``hand`` give custodians and hands, so that tests can put faults into them; ``careless``
-    leaves out a step of whoever holds the job."""
+    """One state of the model.
+
+    ``make`` creates a custodian and ``session_type`` the session of a holder; tests pass faulty
+    implementations.
+    ``omitted_step`` names a step that every holder omits.
+    """
 
     def __init__(self, start: str = "empty", make: Callable[[int, float], Custodian] | None = None,
-                 hand: type[HolderSession] = HolderSession, careless: str = "") -> None:
+                 session_type: type[HolderSession] = HolderSession, omitted_step: str = "") -> None:
         self.make = make or (lambda number, now: Custodian(number, now, KEEP_MS, 1 << 20))
-        self.kind, self.careless = hand, careless
+        self.session_type, self.omitted_step = session_type, omitted_step
         self.now = 1000.0
-        self.of = [self.make(i, self.now) for i in GROUP]
+        self.custodians = [self.make(i, self.now) for i in GROUP]
         self.now += KEEP_MS + 1.0
         self.restarted = 0
         self.tries = [self._try(0)]
         self.late: list[tuple[int, CustodyMessage]] = []
-        self.ran: list[float] = []                      # when the job ran, in its rack
-        self.holders: dict[int, int] = {}               # by term
-        self.fault = ""
+        # Times at which the rack ran the job.
+        self.runs: list[float] = []
+        # Holder of the job, by term.
+        self.holders: dict[int, int] = {}
+        self.violation = ""
         for name, n in STARTS[start]:
             self.act((name, n))
 
     def _try(self, number: int) -> Try:
-        return Try(self.kind(10 + number, 1, KEY, BODY, GROUP))
+        return Try(self.session_type(10 + number, 1, KEY, BODY, GROUP))
 
     def actions(self) -> list[Action]:
         found: list[Action] = [("wait", 0), ("long", 0)]
@@ -115,22 +126,22 @@
         name, n = action
         match name:
             case "wait":
-                self.now += STEP
+                self.now += STEP_MS
             case "long":
-                self.now += WINDOW
+                self.now += WINDOW_MS
             case "return":
                 self.tries.append(self._try(len(self.tries)))
             case "kill":
                 self.tries[n].end = "killed"
             case "beat":
-                for c in self.of:
-                    c.handle(self.now, Heartbeat(self.tries[n].hand.number, 1))
+                for c in self.custodians:
+                    c.handle(self.now, Heartbeat(self.tries[n].session.number, 1))
             case "restart":
                 self.restarted += 1
-                self.of[n] = self.make(n, self.now)
+                self.custodians[n] = self.make(n, self.now)
             case "late":
-                custodian, ask = self.late.pop(n)
-                self.of[custodian].handle(self.now, ask)
+                custodian, message = self.late.pop(n)
+                self.custodians[custodian].handle(self.now, message)
             case "step":
                 self._step(self.tries[n // 10], REACHED[n % 10], True)
             case "deaf":
@@ -138,105 +149,106 @@
             case _:
                 self._do(self.tries[n])
 
-    # One try ------------------------------------------------------------------------------
+    # Steps of a try -----------------------------------------------------------------------
 
-    def _step(self, t: Try, reached: tuple[int, ...], words: bool) -> None:
-        """A question to the group, and what its words come to."""
+    def _step(self, t: Try, reached: tuple[int, ...], replies_arrive: bool) -> None:
+        """Sends the next message of a try to the custodians and processes their replies."""
         if t.end or t.at in ("send", "answer", "pass on"):
             return
         if t.at == "claim":
-            turn = None
-            for i, word in self._words(t.hand.claim(self.now), reached, words):
-                turn = t.hand.count_vote(i, word) if turn is None else turn
-            if turn is ClaimOutcome.ACQUIRED:
-                self._mine(t)
-            elif turn is ClaimOutcome.ENDED:
-                record = t.hand.record
+            outcome = None
+            for i, reply in self._replies(t.session.claim(self.now), reached, replies_arrive):
+                outcome = t.session.count_vote(i, reply) if outcome is None else outcome
+            if outcome is ClaimOutcome.ACQUIRED:
+                self._acquire(t)
+            elif outcome is ClaimOutcome.ENDED:
+                record = t.session.record
                 t.end = "answered" if record is not None and record.answer is not None else "failed"
             else:
-                for _ in self._words(t.hand.withdraw(), reached, words):
+                for _ in self._replies(t.session.withdraw(), reached, replies_arrive):
                     pass
         else:
-            good = self._keep(t, KEPT_AS[t.at], reached, words)
+            stored = self._store(t, STORED_STATES[t.at], reached, replies_arrive)
             if t.at == "keep answer":
                 t.at = "pass on"
-                t.end = "" if good else "unkept"
+                t.end = "" if stored else "unkept"
             elif t.at == "keep unknown":
                 t.end = "failed"
             else:
-                t.at = "send" if good else "keep sent"
+                t.at = "send" if stored else "keep sent"
 
-    def _words(
-        self, ask: CustodyMessage, reached: tuple[int, ...], words: bool
+    def _replies(
+        self, message: CustodyMessage, reached: tuple[int, ...], replies_arrive: bool
     ) -> list[tuple[int, Reply | None]]:
         found: list[tuple[int, Reply | None]] = []
         for i in GROUP:
             if i in reached:
-                word = self.of[i].handle(self.now, ask)
-                found.append((i, word if words else None))
+                reply = self.custodians[i].handle(self.now, message)
+                found.append((i, reply if replies_arrive else None))
             else:
                 found.append((i, None))
-                if len(self.late) < MOST_LATE and not isinstance(ask, Heartbeat):
-                    self.late.append((i, ask))
+                if len(self.late) < MAX_LATE and not isinstance(message, Heartbeat):
+                    self.late.append((i, message))
         return found
 
-    def _mine(self, t: Try) -> None:
-        if self.holders.setdefault(t.hand.term, t.hand.number) != t.hand.number:
-            self.fault = f"term {t.hand.term} has two holders"
-        told = t.hand.record
-        sent = told.sent if told is not None and self.careless != "forgets" else ()
+    def _acquire(self, t: Try) -> None:
+        if self.holders.setdefault(t.session.term, t.session.number) != t.session.number:
+            self.violation = f"term {t.session.term} has two holders"
+        previous = t.session.record
+        sent = previous.sent if previous is not None and self.omitted_step != "forgets" else ()
         t.record = Record(KEY, BODY, 0, 0, 0, 1, JobState.SENT, 1e6, sent)
-        t.at = "keep sent" if may_send_again(WINDOW, sent) else "keep unknown"
-        if self.careless == "sends first" and t.at == "keep sent":
+        t.at = "keep sent" if may_send_again(WINDOW_MS, sent) else "keep unknown"
+        if self.omitted_step == "sends first" and t.at == "keep sent":
             t.at = "send"
 
-    def _keep(self, t: Try, state: JobState, reached: tuple[int, ...], words: bool) -> bool:
+    def _store(self, t: Try, state: JobState, reached: tuple[int, ...], replies_arrive: bool) -> bool:
         assert t.record is not None
         record = msgspec.structs.replace(t.record, state=state)
         if state is JobState.SENT:
             record = msgspec.structs.replace(record, sent=(*record.sent, SentAttempt("s", "a", 0, 0.0)))
         if state is JobState.ANSWERED:
             record = msgspec.structs.replace(record, answer=StoredAnswer(200, b"", b"done"))
-        good = None
-        for i, word in self._words(t.hand.keep(self.now, record), reached, words):
-            good = t.hand.count_kept(i, word) if good is None else good
-        if good:
+        stored = None
+        for i, reply in self._replies(t.session.keep(self.now, record), reached, replies_arrive):
+            stored = t.session.count_kept(i, reply) if stored is None else stored
+        if stored:
             t.record = record
-        return bool(good)
+        return bool(stored)
 
     def _do(self, t: Try) -> None:
         if t.end in ("killed", "served", "failed", "answered"):
             return
         match t.at:
             case "send":
-                if self.careless != "sends first" and not t.hand.may_send(self.now):
-                    t.at = "keep sent"               # it rested: the record is kept anew, or it is not sent
+                if self.omitted_step != "sends first" and not t.session.may_send(self.now):
+                    # The limiter was suspended past its lease: it stores the record again, or does not send.
+                    t.at = "keep sent"
                     assert t.record is not None
                     t.record = msgspec.structs.replace(t.record, sent=t.record.sent[:-1])
                     return
-                if not self.ran or self.now - self.ran[0] >= WINDOW:
-                    self.ran.append(self.now)
+                if not self.runs or self.now - self.runs[0] >= WINDOW_MS:
+                    self.runs.append(self.now)
                 t.at = "answer"
             case "answer":
-                t.at = "pass on" if self.careless == "passes on" else "keep answer"
+                t.at = "pass on" if self.omitted_step == "passes on" else "keep answer"
             case _:
                 t.end = "unkept" if t.end == "unkept" else "served"
 
-    # What holds ---------------------------------------------------------------------------
+    # Invariants ---------------------------------------------------------------------------
 
     def find_violation(self) -> str:
-        """What does not hold here, if anything."""
-        if self.fault:
-            return self.fault
-        if len(self.ran) > 1:
-            return f"the job ran {len(self.ran)} times"
+        """Returns the invariant that this state violates, or an empty string."""
+        if self.violation:
+            return self.violation
+        if len(self.runs) > 1:
+            return f"the job ran {len(self.runs)} times"
         ends = [t.end for t in self.tries]
         if "served" in ends and "failed" in ends and not self.restarted:
             return "one try was served, and another was told that the job failed"
         return ""
 
     def find_divergence(self) -> str:
-        """With all custodians there, a third try comes to an end."""
+        """Runs a third try with all custodians reachable and returns the violated invariant, if any."""
         for t in self.tries:
             t.end = t.end or "killed"
         for _ in range(3):
@@ -258,36 +270,37 @@
         return self.find_violation()
 
     def fingerprint(self) -> object:
-        """Worlds that look alike go on alike; times count in parts of a step."""
+        """Returns a value that is equal for equivalent states; times are compared in half steps."""
         def age(at: float) -> int:
-            return round(min(99.0, max(-99.0, (self.now - at) / STEP * 2)))
+            return round(min(99.0, max(-99.0, (self.now - at) / STEP_MS * 2)))
 
         def of(r: Record | None) -> object:
             return None if r is None else (r.term, r.step, r.holder, r.state,
-                                           tuple(round(s.age / STEP) for s in r.sent), r.answer is not None)
+                                           tuple(round(s.age / STEP_MS) for s in r.sent),
+                                           r.answer is not None)
 
         custodians = []
-        for c in self.of:
-            slot = c.keys.get(KEY)
+        for c in self.custodians:
+            job = c.keys.get(KEY)
             beats = tuple(sorted((w, age(b[1])) for w, b in c.heartbeats.items()))
             custodians.append(
                 (
                     age(c.started_at),
                     beats,
                     None
-                    if slot is None
+                    if job is None
                     else (
-                        slot.term,
-                        slot.holder,
-                        slot.start,
-                        age(slot.last_heard_at),
-                        age(slot.received_at),
-                        of(slot.record),
+                        job.term,
+                        job.holder,
+                        job.start,
+                        age(job.last_heard_at),
+                        age(job.received_at),
+                        of(job.record),
                     ),
                 )
             )
-        tries = tuple((t.at, t.end, t.hand.term, t.hand.step, age(t.hand.lease_until), of(t.record))
+        tries = tuple((t.at, t.end, t.session.term, t.session.step, age(t.session.lease_until), of(t.record))
                       for t in self.tries)
         late = tuple((i, type(a).__name__, getattr(a, "term", 0), of(getattr(a, "record", None)))
                      for i, a in self.late)
-        return tuple(custodians), tries, late, tuple(age(at) for at in self.ran), self.restarted
+        return tuple(custodians), tries, late, tuple(age(at) for at in self.runs), self.restarted
--- a/tests/test_custody.py
+++ b/tests/test_custody.py
@@ -89,12 +89,12 @@
 
 
 @pytest.mark.parametrize(("start", "fault"), [
-    ("about to send, and taken over", {"hand": IgnoresLease}),
-    ("about to send, and taken over", {"hand": ExtendsLease}),
+    ("about to send, and taken over", {"session_type": IgnoresLease}),
+    ("about to send, and taken over", {"session_type": ExtendsLease}),
     ("claimed", of(VotesTwice)), ("two claims", of(AcceptsAnyTerm)),
-    ("sent and long away", of(IgnoresRestart)), ("sent and long away", {"careless": "sends first"}),
-    ("answered", {"careless": "passes on"}),
-    ("sent and away", {"careless": "forgets"})])
+    ("sent and long away", of(IgnoresRestart)), ("sent and long away", {"omitted_step": "sends first"}),
+    ("answered", {"omitted_step": "passes on"}),
+    ("sent and away", {"omitted_step": "forgets"})])
 def test_the_exploration_finds_each_seeded_fault(start: str, fault: dict[str, Any]) -> None:
     with pytest.raises(InvariantViolationError, match="ran 2 times|two holders|another was told"):
         explore_states(4, lambda: World(start, **fault))
