--- a/larklb/lab/__init__.py
+++ b/larklb/lab/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins and experiments: what lets the program run, be tried and be measured on one machine."""
+"""Simulations, stand-ins and experiments: run, demonstrate and measure the program on one machine."""
--- a/larklb/lab/example.py
+++ b/larklb/lab/example.py
@@ -1,6 +1,6 @@
-"""The example under ``deploy/``: three instances, their plans and the operator's file, on loopback ports.
+"""Generates the example under ``deploy/``: three instances, their plans and the operator's file.
 
-The files there are what ``write`` writes; a test holds them to it.
+All addresses are loopback ports.  A test checks that the files under ``deploy/`` equal those of ``write``.
 """
 
 from __future__ import annotations
@@ -10,7 +10,8 @@
 
 from larklb.lab.cluster import ExecuteNode, configuration, free_port
 
-PORTS = 18100              # the first of the example's ports
+# First port of the example.
+FIRST_PORT = 18100
 INSTANCES, NODES = 3, 3
 PLANS = [{"name": "taller", "quota_rate": 1.4, "depth": 7.0, "pays": 1.1},
          {"name": "astillero", "quota_rate": 11.0, "depth": 24.0, "pays": 1.4}]
@@ -70,8 +71,8 @@
 """
 
 
-def write(folder: Path, base: int = PORTS) -> Path:
-    """The whole example with ports from ``base`` on; returns the operator's file."""
+def write(folder: Path, base: int = FIRST_PORT) -> Path:
+    """Writes all files of the example with ports from ``base`` on; returns the operator's file."""
     folder.mkdir(parents=True, exist_ok=True)
     nodes = [node.entry() for node in execute_nodes(base)]
     peers = [base + 10 + i for i in range(INSTANCES)]
@@ -88,20 +89,21 @@
 
 
 def execute_nodes(base: int) -> list[ExecuteNode]:
+    """Returns the execute nodes of the example, which are not started."""
     return [ExecuteNode(f"s-{i}", cell=i % 2, port=base + 31 + i) for i in range(NODES)]
 
 
-def free_base() -> int:
-    """The example's own ports where they are free, else others in one row."""
+def free_first_port() -> int:
+    """Returns the first port of the example, or of another range if one of its ports is in use."""
     import socket
-    base = PORTS
+    base = FIRST_PORT
     while True:
         try:
             for port in range(base, base + 40):
-                for kind in (socket.SOCK_STREAM, socket.SOCK_DGRAM):
-                    with socket.socket(socket.AF_INET, kind) as s:
-                        s.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-                        s.bind(("127.0.0.1", port))
+                for socket_type in (socket.SOCK_STREAM, socket.SOCK_DGRAM):
+                    with socket.socket(socket.AF_INET, socket_type) as probe:
+                        probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+                        probe.bind(("127.0.0.1", port))
             return base
         except OSError:
             base = free_port()
--- a/larklb/lab/trial.py
+++ b/larklb/lab/trial.py
@@ -1,4 +1,4 @@
-"""``larklb try``: the example, started and shown to a newcomer on one machine."""
+"""``larklb try``: starts the example on one machine and demonstrates it."""
 
 from __future__ import annotations
 
@@ -23,18 +23,20 @@
 from larklb.lab.cluster import ROOT, Discovery, ask, job
 
 CUSTOMER = 0x2A
-READY_S = 30.0
+# Time in which every instance must answer its health check.
+START_TIMEOUT_S = 30.0
 
 
-def say(text: str) -> None:
+def show(text: str) -> None:
+    """Prints a line and flushes it, so that the output appears while the demonstration runs."""
     print(text, flush=True)
 
 
 class Trial:
-    """One run; everything it started ends with it."""
+    """One run of the demonstration; ``stop`` ends the agent and ``failed`` counts the failed checks."""
 
     def __init__(self, folder: Path) -> None:
-        self.folder, self.base = folder, example.free_base()
+        self.folder, self.base = folder, example.free_first_port()
         self.operator = example.write(folder, self.base)
         self.nodes = example.execute_nodes(self.base)
         self.discovery = Discovery(self.base + 30)
@@ -46,6 +48,10 @@
             str(ROOT), os.environ.get("PYTHONPATH"))))}
 
     async def start(self) -> None:
+        """Starts the stand-ins and the agent and waits for all instances.
+
+        Raises ``RuntimeError`` if an instance does not become ready in time.
+        """
         await self.discovery.start()
         for node in self.nodes:
             await node.start()
@@ -53,46 +59,47 @@
         self.agent = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "larklb", "agent", str(self.operator), env=self._environment(), stdout=log,
             stderr=log)
-        until = asyncio.get_running_loop().time() + READY_S
+        deadline = asyncio.get_running_loop().time() + START_TIMEOUT_S
         for i in range(example.INSTANCES):
             while True:
                 with contextlib.suppress(OSError, asyncio.IncompleteReadError):
                     if (await ask(self.base + i, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 200:
                         break
-                if asyncio.get_running_loop().time() > until or self.agent.returncode is not None:
+                if asyncio.get_running_loop().time() > deadline or self.agent.returncode is not None:
                     raise RuntimeError(f"instance n{i} did not start: see {self.folder / 'agent.log'}")
                 await asyncio.sleep(0.05)
 
     async def stop(self) -> None:
+        """Terminates the agent and waits for it."""
         if self.agent is not None and self.agent.returncode is None:
             self.agent.send_signal(signal.SIGTERM)
             await self.agent.wait()
 
-    async def command(self, *words: str) -> str:
-        """One of our own commands, shown as one would type it, and what it says."""
-        say(f"\n    $ larklb {' '.join(words)}")
+    async def command(self, *arguments: str) -> str:
+        """Runs a larklb command, prints it with its output, and returns the output."""
+        show(f"\n    $ larklb {' '.join(arguments)}")
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "larklb", *words, env=self._environment(), stdout=asyncio.subprocess.PIPE,
-            stderr=asyncio.subprocess.STDOUT)
-        out = (await process.communicate())[0].decode()
-        for line in out.splitlines():
-            say(f"      {line}")
+            sys.executable, "-m", "larklb", *arguments, env=self._environment(),
+            stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.STDOUT)
+        output = (await process.communicate())[0].decode()
+        for line in output.splitlines():
+            show(f"      {line}")
         if process.returncode:
             self.failed += 1
-            say(f"      (ended with {process.returncode})")
-        return out
+            show(f"      (ended with {process.returncode})")
+        return output
 
-    async def jobs(self, count: int, account: int = CUSTOMER) -> Counter[int]:
-        """So many jobs of one customer over all instances in turn: how often each status came."""
+    async def send_orders(self, count: int, account: int = CUSTOMER) -> Counter[int]:
+        """Sends ``count`` orders of one customer to the instances in turn and counts the HTTP statuses."""
         statuses: Counter[int] = Counter()
         for i in range(count):
             text = job(service="place-order", plan="taller", account=account, spread=example.INSTANCES)
             statuses[(await ask(self.base + i % example.INSTANCES, text))[0]] += 1
         return statuses
 
-    async def questions(self, count: int, account: int) -> Counter[str]:
-        """The same over gRPC, where only the quota is asked."""
-        words: Counter[str] = Counter()
+    async def check_quota(self, count: int, account: int) -> Counter[str]:
+        """Sends ``count`` rate limit requests over gRPC to the instances in turn and counts the codes."""
+        codes: Counter[str] = Counter()
         entries = {"account": f"{account:016x}", "plan": "taller", "class": "place-order",
                    "set": f"spread={example.INSTANCES},first=0"}
         request = RateLimitRequest(domain="manta-yard", descriptors=[RateLimitDescriptor(
@@ -103,52 +110,59 @@
                 call = channel.unary_unary(f"/{SERVICE}/ShouldRateLimit",
                                            RateLimitRequest.SerializeToString, RateLimitResponse.FromString)
                 answer = await call(request, timeout=5, wait_for_ready=True)
-                words[RateLimitResponse.Code.Name(answer.overall_code)] += 1
-        return words
+                codes[RateLimitResponse.Code.Name(answer.overall_code)] += 1
+        return codes
 
-    def check(self, good: bool, text: str) -> None:
-        say(f"  {'as it should be' if good else 'NOT as it should be'}: {text}")
-        self.failed += not good
+    def check(self, passed: bool, text: str) -> None:
+        """Prints the result of a check and counts it if it failed."""
+        show(f"  {'as it should be' if passed else 'NOT as it should be'}: {text}")
+        self.failed += not passed
 
-    async def show(self) -> None:
-        say(f"Three instances run, on ports {self.base} to {self.base + 2}; execute nodes and discovery are "
+    async def demonstrate(self) -> None:
+        """Demonstrates quotas, a change of plans, reservations and the export of use, and checks each."""
+        show(f"Three instances run, on ports {self.base} to {self.base + 2}; execute nodes and discovery are "
             "stand-ins.\n\n1. One quota over all three: plan `taller` has a burst of 7 units.")
-        got = await self.jobs(12)
-        self.check(got[429] >= 4 and got[200] >= 7,
-                   f"12 orders over HTTP: {got[200]} served, {got[429]} beyond the quota (429)")
-        words = await self.questions(9, CUSTOMER + 1)
-        self.check(words["OVER_LIMIT"] >= 1 and words["OK"] >= 7,
-                   f"9 questions over gRPC for another customer: {words['OK']} OK, "
-                   f"{words['OVER_LIMIT']} OVER_LIMIT")
-        say("\n2. A plan changes in service: version 2 gives `taller` a burst of 20, filled at 20 a second.")
+        statuses = await self.send_orders(12)
+        self.check(statuses[429] >= 4 and statuses[200] >= 7,
+                   f"12 orders over HTTP: {statuses[200]} served, {statuses[429]} beyond the quota (429)")
+        codes = await self.check_quota(9, CUSTOMER + 1)
+        self.check(codes["OVER_LIMIT"] >= 1 and codes["OK"] >= 7,
+                   f"9 questions over gRPC for another customer: {codes['OK']} OK, "
+                   f"{codes['OVER_LIMIT']} OVER_LIMIT")
+        show("\n2. A plan changes in service: version 2 gives `taller` a burst of 20, filled at 20 a second.")
         now = datetime.now(UTC).isoformat(timespec="milliseconds").replace("+00:00", "Z")
-        new = self.folder / "plans-2.toml"
-        new.write_text(example.CATALOGUE + f'\n[[version]]\nnumber = 2\nfrom = {now}\nnote = "a busy week"\n'
-                       "plans.taller = { rate = 20.0, burst = 20.0 }\n")
-        await self.command("plans", "diff", str(new), str(self.operator))
-        self.failed -= 1                       # that they differ is its status 1
-        await self.command("plans", "apply", str(new), str(self.operator))
+        new_plans = self.folder / "plans-2.toml"
+        new_plans.write_text(
+            example.CATALOGUE + f'\n[[version]]\nnumber = 2\nfrom = {now}\nnote = "a busy week"\n'
+            "plans.taller = { rate = 20.0, burst = 20.0 }\n")
+        await self.command("plans", "diff", str(new_plans), str(self.operator))
+        # ``plans diff`` exits with 1 if the plans differ, which ``command`` counts as a failure.
+        self.failed -= 1
+        await self.command("plans", "apply", str(new_plans), str(self.operator))
         await asyncio.sleep(1.2)
-        got = await self.jobs(15)
-        self.check(got[200] == 15, f"15 orders of the first customer: {got[200]} served")
-        say("\n3. Allowance reserved ahead: 30 units for a refit, within two minutes.")
+        statuses = await self.send_orders(15)
+        self.check(statuses[200] == 15, f"15 orders of the first customer: {statuses[200]} served")
+        show("\n3. Allowance reserved ahead: 30 units for a refit, within two minutes.")
         customer = f"{CUSTOMER + 2:016x}"
         await self.command("reserve", "add", str(self.operator), "refit", "--customer", customer, "--plan",
                            "taller", "--units", "30", "--from", "now", "--until", "+120", "--set",
                            "spread=3,first=0")
-        got = await self.jobs(60, CUSTOMER + 2)
+        statuses = await self.send_orders(60, CUSTOMER + 2)
         await self.command("reserve", "list", str(self.operator))
-        self.check(got[200] >= 45, f"60 orders at once: {got[200]} served, of the bucket and the reservation")
-        say("\n4. Use, exported once and only once: into a folder here, to a billing receiver elsewhere.")
+        self.check(statuses[200] >= 45,
+                   f"60 orders at once: {statuses[200]} served, of the bucket and the reservation")
+        show("\n4. Use, exported once and only once: into a folder here, to a billing receiver elsewhere.")
         await self.command("usage", "export", str(self.operator))
         await self.command("usage", "verify", str(self.operator))
-        seen = sum(len(node.attempts) for node in self.nodes)
+        executed = sum(len(node.attempts) for node in self.nodes)
         billed = sum(event["data"]["tries"] for path in (self.folder / "billed").iterdir()
                      for event in json.loads(path.read_bytes()))
-        self.check(seen + words["OK"] == billed, f"the execute nodes saw {seen} orders and {words['OK']} "
+        self.check(executed + codes["OK"] == billed,
+                   f"the execute nodes saw {executed} orders and {codes['OK']} "
                    f"questions were granted; {billed} tries are in the exported files")
 
-    def words(self) -> str:
+    def instructions(self) -> str:
+        """Returns the commands with which a user can inspect the running example."""
         tool = "larklb" if sys.argv[0].endswith("larklb") else "python -m larklb"
         return (f"\nLook around, in another terminal:\n"
                 f"  {tool} status {self.operator}\n"
@@ -169,29 +183,32 @@
         asyncio.get_running_loop().add_signal_handler(name, stop.set)
     with tempfile.TemporaryDirectory(prefix="larklb-try-") as folder:
         trial = Trial(Path(folder))
-        shown = asyncio.ensure_future(_shown(trial))
+        task = asyncio.ensure_future(_run_demonstration(trial))
         stopped = asyncio.ensure_future(stop.wait())
         try:
-            await asyncio.wait((shown, stopped), return_when=asyncio.FIRST_COMPLETED)
-            if shown.done() and not once and not shown.exception():
-                say(trial.words() + "\nCtrl-C ends all of it.")
+            await asyncio.wait((task, stopped), return_when=asyncio.FIRST_COMPLETED)
+            if task.done() and not once and not task.exception():
+                show(trial.instructions() + "\nCtrl-C ends all of it.")
                 await stopped
         finally:
-            shown.cancel()
+            task.cancel()
             stopped.cancel()
             await trial.stop()
-        if shown.done() and not shown.cancelled() and (error := shown.exception()) is not None:
-            say(f"larklb: {error}")
+        if task.done() and not task.cancelled() and (error := task.exception()) is not None:
+            show(f"larklb: {error}")
             return 1
-        say("Ended: instances, stand-ins and files.")
-        return 1 if trial.failed and shown.done() and not stop.is_set() else 0
+        show("Ended: instances, stand-ins and files.")
+        return 1 if trial.failed and task.done() and not stop.is_set() else 0
 
 
-async def _shown(trial: Trial) -> None:
+async def _run_demonstration(trial: Trial) -> None:
     await trial.start()
-    await trial.show()
+    await trial.demonstrate()
 
 
 def run(once: bool) -> int:
-    """0 if all went as it should."""
+    """Runs the demonstration and returns the exit status: 0 if all checks passed.
+
+    Unless ``once`` is set, the example keeps running until SIGINT or SIGTERM.
+    """
     return asyncio.run(_run(once))
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""What a newcomer is shown runs as printed: the README's example, the files under deploy/, the trial."""
+"""The documented examples work as printed: the README's code, the files under deploy/ and ``larklb try``."""
 
 from __future__ import annotations
 
@@ -19,15 +19,16 @@
     assert printed.count("Send(") == 2 and printed.count("Refuse(") == 1
 
 
-def test_the_files_under_deploy_are_the_example_that_the_trial_starts(tmp_path: Path) -> None:
+def test_the_files_under_deploy_equal_the_generated_example(tmp_path: Path) -> None:
     example.write(tmp_path)
     written = {path.name: path.read_text() for path in tmp_path.iterdir()}
-    there = {path.name: path.read_text() for path in (ROOT / "deploy").iterdir() if path.is_file()}
-    del there["balancer.toml"], there["system.toml"]        # these two the platform reads
-    assert there == written and len(written) == 5
+    deployed = {path.name: path.read_text() for path in (ROOT / "deploy").iterdir() if path.is_file()}
+    # These two are read by the platform and are not part of the example.
+    del deployed["balancer.toml"], deployed["system.toml"]
+    assert deployed == written and len(written) == 5
 
 
-def test_the_trial_shows_what_it_should_and_ends_all_of_it() -> None:
+def test_try_passes_all_its_checks_and_stops_everything() -> None:
     done = subprocess.run([sys.executable, "-m", "larklb", "try", "--once"], cwd=ROOT, capture_output=True,
                           text=True, timeout=120)
     assert done.returncode == 0, done.stdout + done.stderr
