--- a/tests/test_daily.py
+++ b/tests/test_daily.py
@@ -278,7 +278,8 @@
                 await _reload(yard, text(config))
                 statistics = await figures(port)
                 assert (statistics["config_applied"], statistics["config_rejected"]) == (0, n), case
-            assert sorted(statistics["responses"]) == ["place-order", "stock-check"] and not other.watched_from
+            assert (sorted(statistics["responses"]) == ["place-order", "stock-check"]
+                    and not other.watched_from)
             assert (await ask(yard.limiters[0].port, job(service="extra")))[0] == 400
             assert (await ask(yard.limiters[0].port, job()))[0] == 200
             await yard.limiters[0].stop()
