--- a/larklb/lab/fleet.py
+++ b/larklb/lab/fleet.py
@@ -1,8 +1,8 @@
-"""The fleet rig: real limiters on loopback with faults between them, laid beside what should have come out.
+"""The fleet rig: real limiters on loopback under injected faults, compared with the expected outcome.
 
-Limiters are processes of the program.  Each has ways of its own to every other (``relay.py``) and to every
-node (``streams.py``), and a discovery of its own, so that any of them can fail alone.  An auditor counts at
-nodes and submitters, and never asks a limiter.
+Limiters are processes of the program.  Each has separate routes to every other (``relay.py``) and to every
+node (``streams.py``), and its own discovery service, so that each can fail independently.  The audit counts
+at nodes and clients and takes no figures from limiters.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from typing import Any, TypeVar
 
 from larklb.lab.cluster import Cluster, Discovery, Limiter, ask, job
-from larklb.lab.machines import COLD_SHARE, FALL_S, TIP, WARM_S, Cells, Machine
+from larklb.lab.machines import COLD_SHARE, CRASH_FACTOR, CRASH_WINDOW_S, WARM_S, Cells, Machine
 from larklb.lab.relay import Relay
 from larklb.lab.script import Fault, Script
 from larklb.lab.streams import Streams, Way
@@ -28,15 +28,15 @@
 from larklb.quota.ring import members
 
 T = TypeVar("T")
-PLENTY = 500.0             # units a second of a customer without a quota that binds
-AGAIN_S = 0.1              # a submitter that was refused or failed comes again after this ...
-AGAIN = 2                  # ... so often, within its time
-GRACE_S = 0.3              # after a job's deadline its answer is still waited for; then it is lost
-LAG_S = 0.05               # between looks at how late this process is
-WINDOW_S = 0.5             # figures over time are kept for such steps
+UNLIMITED_RATE = 500.0     # units per second of a customer whose quota should never be reached
+RETRY_DELAY_S = 0.1        # before a client retries a job that was refused or failed
+MAX_RETRIES = 2            # per job, before its deadline
+GRACE_S = 0.3              # wait for an answer after the deadline, before the try counts as lost
+LAG_INTERVAL_S = 0.05      # between measurements of the lag of the event loop
+WINDOW_S = 0.5             # step of the figures over time
 ENDS = {429: "refused", 503: "refused", 0: "lost", -1: "unreached", -2: "spoilt"}
 COLUMNS = ("s", "tries", "in time", "late", "refused", "failed", "unreached", "lost")
-AIMS = {"stock-check": 1500.0, "place-order": 2000.0}        # ms, as the yard's settings have them
+AIMS = {"stock-check": 1500.0, "place-order": 2000.0}        # ms, as in the cluster's settings
 DEADLINES = {"stock-check": 4.0, "place-order": 5.0}         # s
 
 
@@ -47,79 +47,81 @@
 
 @dataclass
 class Try:
-    """One try of a submitter, and how it ended: 0, no answer; -1, the limiter could not be reached."""
+    """One try of a client and its status.
+
+    Other than HTTP statuses: 0 for no answer, -1 if the limiter was unreachable, -2 for a wrong body.
+    """
 
     name: str
     customer: int
     limiter: int
     service: str
-    came: float                # s from the first try of the day
-    took: float = 0.0
+    submitted_at: float                # s from the start of the run
+    duration_s: float = 0.0
     status: int = 0
 
 
 @dataclass
 class Audit:
-    """What came out of a day."""
+    """The results of a run."""
 
     tries: list[Try] = field(default_factory=list)
     figures: dict[str, float] = field(default_factory=dict)
     windows: list[dict[str, Any]] = field(default_factory=list)
-    stderr: dict[str, str] = field(default_factory=dict)           # by limiter, what it wrote to stderr
+    stderr: dict[str, str] = field(default_factory=dict)         # of killed limiters, by name
 
     def violations(self, script: Script) -> list[str]:
-        """Figures that lie outside of what the script expects, a line each."""
+        """Returns one line for each figure outside of the bounds that the script expects."""
         return [f"{name} is {self.figures.get(name, float('nan')):.3f}, expected {low:g} to {high:g}"
                 for name, (low, high) in script.expect.items()
                 if not low <= self.figures.get(name, float("nan")) <= high]
 
 
 class Rig:
-    """One day; ``async with`` starts everything and ends it, ``play`` runs the day."""
+    """One run: ``async with`` starts and stops the processes, ``play`` runs load and faults."""
 
     def __init__(self, script: Script, folder: Path, seed: int = 1, operator: str = "",
                  environment: dict[str, str] | None = None) -> None:
-        """``folder`` takes configurations and sockets; ``operator`` is text for the operator's file, beside
-        the script's."""
+        """``folder`` receives configurations and sockets; ``operator`` extends the script's operator file."""
         self.script, self.seed = script, seed
-        self.chance = random.Random(seed)
+        self.random = random.Random(seed)
         self.cells = Cells()
         self.machines = {f"s{i}": Machine(i, script.zone(i), script.cores, script.work, self.cells, seed)
                          for i in range(script.nodes)}
         load = script.load
-        rate, burst = (load.quota, load.burst) if load.quota else (PLENTY, 2 * PLENTY)
-        self.yard = Cluster(folder, script.limiters, 0, more=script.operator + operator + "\n", plans=[
+        rate, burst = (load.quota, load.burst) if load.quota else (UNLIMITED_RATE, 2 * UNLIMITED_RATE)
+        self.cluster = Cluster(folder, script.limiters, 0, more=script.operator + operator + "\n", plans=[
             {"name": "wide", "quota_rate": rate, "depth": burst}])
-        self.yard.nodes = list(self.machines.values())
-        self.yard.environment.update(environment or {})
-        self.yard.settings = {
+        self.cluster.nodes = list(self.machines.values())
+        self.cluster.environment.update(environment or {})
+        self.cluster.settings = {
             "family_info": {"inbox_per_s": script.inbox}, "dcs": list(script.zones),
-            "safety": {"cold_share": COLD_SHARE, "warm_within": WARM_S * 1000.0, "tip_multiple": TIP,
-                       "fall": FALL_S * 1000.0, "drain_grace": 250.0}}
-        self.relay = Relay(self.yard.peers, seed)
+            "safety": {"cold_share": COLD_SHARE, "warm_within": WARM_S * 1000.0, "tip_multiple": CRASH_FACTOR,
+                       "fall": CRASH_WINDOW_S * 1000.0, "drain_grace": 250.0}}
+        self.relay = Relay(self.cluster.peers, seed)
         self.relay.loss = script.loss
         self.streams = Streams(script.limiters, {name: m.port for name, m in self.machines.items()})
-        # Limiters that have a link of their own meet at the ports by which they know each other.
-        linked = "[custody]" in self.yard.more
-        self.wires = {pair: Way(self.yard.peers[pair[1]], port)
+        # Custody uses TCP links between limiters, at the numbers of their peer ports.
+        linked = "[custody]" in self.cluster.more
+        self.peer_links = {pair: Way(self.cluster.peers[pair[1]], port)
                       for pair, port in self.relay.ports.items()} if linked else {}
-        self.lists = [Discovery() for _ in range(script.limiters)]
+        self.discoveries = [Discovery() for _ in range(script.limiters)]
         self.generation = 1
         self.listed = set(self.machines)
-        self.yard.peers_of = self.relay.peers
-        self.yard.discovery_of = lambda number: self.lists[number].port
-        self.yard.entries_of = self.entries
-        self.apart: list[tuple[set[int], set[int], float]] = []
-        self.relay.cut = self._lost
+        self.cluster.peers_of = self.relay.peers
+        self.cluster.discovery_of = lambda number: self.discoveries[number].port
+        self.cluster.entries_of = self.entries
+        self.partitions: list[tuple[set[int], set[int], float]] = []
+        self.relay.cut = self._is_dropped
         self.tasks: set[asyncio.Task[None]] = set()
         self.audit = Audit()
-        self.began = 0.0
-        self.lag = 0.0                         # s, the most by which this process was late
+        self.started_at = 0.0
+        self.lag = 0.0                         # s, the largest lag of this process's event loop
 
-    # Around the limiters ------------------------------------------------------------------
+    # Environment of the limiters ------------------------------------------------------------------
 
     def entries(self, number: int) -> list[dict[str, Any]]:
-        """The list as one limiter is told it: each node at the end of a way of its own."""
+        """Returns the node list for one limiter, with the addresses of its routes."""
         return [self._entry(number, name, "up") for name in self.machines if name in self.listed]
 
     def _entry(self, number: int, name: str, lifecycle: str) -> dict[str, Any]:
@@ -128,24 +130,24 @@
 
     def _list(self, names: list[str], lifecycle: str) -> None:
         self.generation += 1
-        for number, discovery in enumerate(self.lists):
+        for number, discovery in enumerate(self.discoveries):
             discovery.publish(self.generation, *(self._entry(number, name, lifecycle) for name in names))
 
-    def _lost(self, sender: int, to: int) -> bool:
-        return any(sender in a and to in b and self.chance.random() < part for a, b, part in self.apart)
+    def _is_dropped(self, sender: int, to: int) -> bool:
+        return any(sender in a and to in b and self.random.random() < part for a, b, part in self.partitions)
 
     async def __aenter__(self) -> Rig:
         try:
             await self.relay.start()
             await self.streams.start()
-            for wire in self.wires.values():
+            for wire in self.peer_links.values():
                 await wire.start()
-            for discovery in self.lists:
+            for discovery in self.discoveries:
                 await discovery.start()
             self._list(list(self.machines), "up")
-            await self.yard.__aenter__()
+            await self.cluster.__aenter__()
         except BaseException:
-            await asyncio.sleep(1.0)           # the others are starting still, and must not be left behind
+            await asyncio.sleep(1.0)           # other processes may be starting and must be stopped too
             await self.__aexit__()
             raise
         return self
@@ -153,27 +155,28 @@
     async def __aexit__(self, *_: object) -> None:
         for task in self.tasks:
             task.cancel()
-        for limiter in self.yard.limiters:
+        for limiter in self.cluster.limiters:
             process = limiter.process
             if process is not None and process.returncode is None:
                 process.send_signal(signal.SIGCONT)
-        await self.yard.__aexit__()
+        await self.cluster.__aexit__()
         self.relay.stop()
         self.streams.stop()
-        each(Way.stop, self.wires.values())
+        each(Way.stop, self.peer_links.values())
 
-    # The day ------------------------------------------------------------------------------
+    # Running ------------------------------------------------------------------------------
 
     def now(self) -> float:
-        return time.monotonic() - self.began
+        """Returns the seconds since the start of the run."""
+        return time.monotonic() - self.started_at
 
     async def play(self, watch: Callable[[float], Any] | None = None) -> Audit:
-        """The whole day, then its figures; ``watch`` is called with the time of day, every half second."""
-        self.began = time.monotonic()
-        days = [self._submit(), self._lags()] + [self._fault(f) for f in self.script.fault]
+        """Runs the script and computes the figures; ``watch`` is called with the time every ``WINDOW_S``."""
+        self.started_at = time.monotonic()
+        coroutines = [self._submit(), self._measure_lag()] + [self._fault(f) for f in self.script.fault]
         if watch is not None:
-            days.append(self._watch(watch))
-        await asyncio.gather(*days)
+            coroutines.append(self._watch(watch))
+        await asyncio.gather(*coroutines)
         while self.tasks:
             await asyncio.wait(self.tasks)
         self._figures()
@@ -186,35 +189,35 @@
             if asyncio.iscoroutine(found):
                 await found
 
-    async def _lags(self) -> None:
+    async def _measure_lag(self) -> None:
         while self.now() < self.script.length:
             before = time.monotonic()
-            await asyncio.sleep(LAG_S)
-            self.lag = max(self.lag, time.monotonic() - before - LAG_S)
+            await asyncio.sleep(LAG_INTERVAL_S)
+            self.lag = max(self.lag, time.monotonic() - before - LAG_INTERVAL_S)
 
     async def _until(self, at: float) -> None:
         await asyncio.sleep(max(0.0, at - self.now()))
 
     async def _submit(self) -> None:
         load, at, count = self.script.load, 0.0, 0
-        while (at := at + self.chance.expovariate(load.rate)) < self.script.length:
+        while (at := at + self.random.expovariate(load.rate)) < self.script.length:
             await self._until(at)
             count += 1
-            customer = self.chance.randrange(load.customers)
+            customer = self.random.randrange(load.customers)
             within = members(customer % self.script.limiters, load.spread, self.script.limiters)
             weights = [load.hot if m == 0 else 1.0 for m in within]
-            order = self.chance.choices(within, weights)
-            order += self.chance.sample([m for m in within if m != order[0]], len(within) - 1)
-            service = "place-order" if self.chance.random() < load.keyed else "stock-check"
+            order = self.random.choices(within, weights)
+            order += self.random.sample([m for m in within if m != order[0]], len(within) - 1)
+            service = "place-order" if self.random.random() < load.keyed else "stock-check"
             task = asyncio.ensure_future(self._client(count, customer, order, service))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
 
     async def _client(self, count: int, customer: int, order: list[int], service: str) -> None:
-        """One job and its tries: the next limiter of the set where one cannot be reached, as a front does."""
+        """Submits one job, retrying at the next limiter of its set as a front proxy does."""
         until = self.now() + DEADLINES[service]
         key = f"{count:032x}"
-        for again in range(1 + AGAIN):
+        for again in range(1 + MAX_RETRIES):
             left = until - self.now()
             if left <= 0.05:
                 return
@@ -222,10 +225,10 @@
                         self.now())
             await self._try(tried, left, key, again > 0)
             self.audit.tries.append(tried)
-            harmless = service == "stock-check" or tried.status in (-1, 429, 503)
-            if tried.status == 200 or not harmless:
+            retryable = service == "stock-check" or tried.status in (-1, 429, 503)
+            if tried.status == 200 or not retryable:
                 return
-            await asyncio.sleep(AGAIN_S)
+            await asyncio.sleep(RETRY_DELAY_S)
 
     async def _try(self, tried: Try, left: float, key: str, repeat: bool) -> None:
         text = job(tried.name, tried.service, "wide", tried.customer + 1, left, self.script.load.spread,
@@ -236,16 +239,16 @@
             text = "\r\n".join(marked if line.startswith("Idempotency-Key") else line for line in lines)
         try:
             async with asyncio.timeout(left + GRACE_S):
-                tried.status, _, body = await ask(self.yard.limiters[tried.limiter].port, text)
+                tried.status, _, body = await ask(self.cluster.limiters[tried.limiter].port, text)
                 if tried.status == 200 and not body.startswith(b"done "):
                     tried.status = -2
         except ConnectionRefusedError:
             tried.status = -1
         except (OSError, TimeoutError, asyncio.IncompleteReadError):
-            limiter = self.yard.limiters[tried.limiter]
+            limiter = self.cluster.limiters[tried.limiter]
             dead = limiter.process is None or limiter.process.returncode is not None
             tried.status = -1 if dead else 0
-        tried.took = self.now() - tried.came
+        tried.duration_s = self.now() - tried.submitted_at
 
     # Faults -------------------------------------------------------------------------------
 
@@ -259,13 +262,13 @@
                 await found
 
     async def _begin(self, f: Fault) -> Callable[[], Any]:
-        """Does it; what undoes it."""
+        """Injects the fault and returns the function that reverts it."""
         limiters, nodes = self.script.limiters_of(f.who), self.script.nodes_of(f.to)
         machines = [self.machines[name] for name in nodes]
         ways = [self.streams.ways[i, name] for i in limiters for name in nodes]
         match f.what:
             case "kill":
-                await asyncio.gather(*(self._kill(self.yard.limiters[i]) for i in limiters))
+                await asyncio.gather(*(self._kill(self.cluster.limiters[i]) for i in limiters))
                 return lambda: self._start(limiters)
             case "pause":
                 for i in limiters:
@@ -274,13 +277,13 @@
             case "apart":
                 some, others = set(limiters), set(self.script.limiters_of(f.to))
                 cuts = [(some, others, f.part)] + ([] if f.one_way else [(others, some, f.part)])
-                self.apart += cuts
-                silent = [wire for (a, b), wire in self.wires.items() if f.part >= 1.0 and any(
+                self.partitions += cuts
+                silent = [wire for (a, b), wire in self.peer_links.items() if f.part >= 1.0 and any(
                     a in here and b in there for here, there, _ in cuts)]
                 each(lambda wire: wire.set("silent"), silent)
 
                 def heal() -> None:
-                    each(self.apart.remove, cuts)
+                    each(self.partitions.remove, cuts)
                     each(lambda wire: wire.set("open"), silent)
                 return heal
             case "refused" | "silent":
@@ -293,35 +296,35 @@
                 return lambda: each(lambda way: setattr(way, "delay", 0.0), ways)
             case "failing":
                 for m in machines:
-                    m.fails, m.fails_for = True, f.service
-                return lambda: each(lambda m: setattr(m, "fails", False), machines)
+                    m.failing, m.failing_service = True, f.service
+                return lambda: each(lambda m: setattr(m, "failing", False), machines)
             case "slow":
                 for m in machines:
-                    m.times = f.times
-                return lambda: each(lambda m: setattr(m, "times", 1.0), machines)
+                    m.work_factor = f.times
+                return lambda: each(lambda m: setattr(m, "work_factor", 1.0), machines)
             case "restart":
-                mine = [way for (_, name), way in self.streams.ways.items() if name in nodes]
-                for way in mine:
+                routes = [way for (_, name), way in self.streams.ways.items() if name in nodes]
+                for way in routes:
                     way.set("refused")
-                return lambda: self._return(nodes, mine)
+                return lambda: self._return(nodes, routes)
             case "unlisted":
                 self.listed -= set(nodes)
                 self._list(nodes, "draining")
                 return lambda: self._relist(nodes)
             case "deaf":
                 for i in limiters:
-                    self.lists[i].muted = True
-                return lambda: each(self._hears, limiters)
+                    self.discoveries[i].muted = True
+                return lambda: each(self._unmute, limiters)
 
     async def _kill(self, limiter: Limiter) -> None:
         await limiter.stop(signal.SIGKILL)
         self.audit.stderr[limiter.name] = self.audit.stderr.get(limiter.name, "") + limiter.errors.decode()
 
     async def _start(self, numbers: list[int]) -> None:
-        await asyncio.gather(*(self.yard.limiters[i].start() for i in numbers))
+        await asyncio.gather(*(self.cluster.limiters[i].start() for i in numbers))
 
     def _signal(self, number: int, name: signal.Signals) -> None:
-        process = self.yard.limiters[number].process
+        process = self.cluster.limiters[number].process
         if process is not None:
             with suppress(ProcessLookupError):
                 process.send_signal(name)
@@ -337,12 +340,12 @@
         self.listed |= set(nodes)
         self._list(nodes, "up")
 
-    def _hears(self, number: int) -> None:
-        """Its watches end, and the next ones bring all that it missed."""
-        self.lists[number].muted = False
-        self.lists[number].disconnect_watchers()
+    def _unmute(self, number: int) -> None:
+        """Closes the watches of a limiter; the ones that it opens next deliver what it missed."""
+        self.discoveries[number].muted = False
+        self.discoveries[number].disconnect_watchers()
 
-    # What came out ------------------------------------------------------------------------
+    # Figures ------------------------------------------------------------------------
 
     def _figures(self) -> None:
         audit, script = self.audit, self.script
@@ -354,8 +357,8 @@
         reached: dict[str, float] = {}
         sends = 0
         for m in self.machines.values():
-            sends += len(m.ids)
-            for at, name in m.ids:
+            sends += len(m.accepted)
+            for at, name in m.accepted:
                 reached[name] = min(at, reached.get(name, at))
         opened = self.streams.opened()
         self.audit.figures = {
@@ -365,43 +368,44 @@
             "orders": sum(any(self._end(t) in ("in time", "late") for t in ts) for ts in jobs.values()
                           if ts[0].service == "place-order") / max(1, sum(
                               ts[0].service == "place-order" for ts in jobs.values())),
-            "spoilt": ends["spoilt"], "twice": len(self.cells.twice()),
+            "spoilt": ends["spoilt"], "twice": len(self.cells.executed_twice()),
             "wasted": sum(m.failed for m in self.machines.values()), "sends": sends,
-            # Attempts at nodes for each try that reached one, beyond its first.
+            # Attempts beyond the first for each try that reached a node.
             "further": sends / len(reached) - 1.0 if reached else 0.0,
-            "turned away": sum(m.turned_away for m in self.machines.values()),
-            "fallen": sum(m.fallen for m in self.machines.values()),
+            "turned away": sum(m.rejected for m in self.machines.values()),
+            "fallen": sum(m.crashes for m in self.machines.values()),
             "at once": max(m.max_concurrent_requests for m in self.machines.values()),
             "links": max(m.max_connections for m in self.machines.values()),
-            "cold times": max(m.most_times for m in self.machines.values()),
+            "cold times": max(m.max_cold_load for m in self.machines.values()),
             "opened": sum(opened.values()), "opened a try": sum(opened.values()) / max(1, len(audit.tries)),
-            "p50 ms": 1000 * statistics.median([t.took for t in audit.tries if t.status == 200] or [0.0]),
-            "over": self._over(reached), "messages": self.relay.forwarded,
+            "p50 ms": 1000 * statistics.median(
+                [t.duration_s for t in audit.tries if t.status == 200] or [0.0]),
+            "over": self._max_excess(reached), "messages": self.relay.forwarded,
             "messages a try": self.relay.forwarded / max(1, len(audit.tries))}
         steps = round(script.length / WINDOW_S)
         for n in range(steps):
-            came = [t for t in audit.tries if n <= t.came / WINDOW_S < n + 1]
-            found = Counter(self._end(t) for t in came)
-            audit.windows.append({"s": n * WINDOW_S, "tries": len(came), **found})
+            submitted = [t for t in audit.tries if n <= t.submitted_at / WINDOW_S < n + 1]
+            found = Counter(self._end(t) for t in submitted)
+            audit.windows.append({"s": n * WINDOW_S, "tries": len(submitted), **found})
 
     @staticmethod
     def _end(t: Try) -> str:
         if t.status == 200:
-            return "in time" if t.took * 1000.0 <= AIMS[t.service] else "late"
+            return "in time" if t.duration_s * 1000.0 <= AIMS[t.service] else "late"
         return ENDS.get(t.status, "failed")
 
-    def _over(self, reached: dict[str, float]) -> float:
-        """The most units by which what reached nodes led a perfect bucket of its customer."""
-        load, most = self.script.load, 0.0
+    def _max_excess(self, reached: dict[str, float]) -> float:
+        """Returns the largest excess in units of a customer's accepted jobs over an ideal token bucket."""
+        load, max_excess = self.script.load, 0.0
         if not load.quota:
             return 0.0
         by_name = {t.name: t for t in self.audit.tries}
         for customer in range(load.customers):
-            # One perfect bucket that may go below zero: how far it does is how far over.
+            # The ideal bucket may go below zero, and its deficit is the excess.
             bucket = TokenBucket(load.quota, load.burst, load.burst, 0.0)
-            mine = sorted(at for name, at in reached.items() if by_name[name].customer == customer)
-            for at in mine:
+            accepted = sorted(at for name, at in reached.items() if by_name[name].customer == customer)
+            for at in accepted:
                 bucket.fill(at * 1000.0)
                 bucket.tokens -= 1.0
-                most = max(most, -bucket.tokens)
-        return most
+                max_excess = max(max_excess, -bucket.tokens)
+        return max_excess
--- a/larklb/lab/machines.py
+++ b/larklb/lab/machines.py
@@ -1,4 +1,4 @@
-"""Execute nodes of the fleet rig: cores, a queue, a cold start, and a fall under too much when cold."""
+"""Execute nodes of the fleet rig: cores, a queue, a cold start, and a crash when overloaded while cold."""
 
 from __future__ import annotations
 
@@ -10,102 +10,107 @@
 
 from larklb.lab.cluster import ExecuteNode, http
 
-COLD_SHARE, WARM_S = 0.25, 16.0        # as the rig's settings tell the limiters
-TIP, FALL_S = 4.0, 1.0                 # times its present capacity, kept up for so long, and it falls over
-QUEUE_S = 2.0                          # s of work that may wait; more is turned away unprocessed
-SLACK = 10                             # arrivals that chance may add before a cold node falls
+# Share of its capacity that a node has at its start, and the time until it has all of it.
+COLD_SHARE, WARM_S = 0.25, 16.0
+# A cold node crashes at this multiple of its present capacity, measured over this window.
+CRASH_FACTOR, CRASH_WINDOW_S = 4.0, 1.0
+MAX_QUEUE_S = 2.0                      # work that may wait; more is rejected unprocessed
+RANDOM_ARRIVALS = 10                   # excess arrivals attributed to chance before a cold node crashes
 
 
 class Cells:
-    """Keys that have run: nodes of one cell drop each other's repeats."""
+    """Idempotency keys that have been executed, by cell: the nodes of one cell share them."""
 
     def __init__(self) -> None:
         self.ran: dict[int, dict[str, bytes]] = {}
         self.executions: dict[str, int] = {}
 
     def first(self, cell: int, key: str, answer: bytes) -> bytes:
-        """The answer of the first run of a key in its cell; it counts as run but once there."""
+        """Returns the answer of the key's first execution in its cell, and counts that execution once."""
         ran = self.ran.setdefault(cell, {})
         if key not in ran:
             ran[key] = answer
             self.executions[key] = self.executions.get(key, 0) + 1
         return ran[key]
 
-    def twice(self) -> list[str]:
+    def executed_twice(self) -> list[str]:
+        """Returns the keys that were executed in more than one cell."""
         return [key for key, n in self.executions.items() if n > 1]
 
 
 class Machine(ExecuteNode):
-    """One node; ``ids`` of the tries that reached it whole, with their times."""
+    """One execute node; ``accepted`` holds the time and the id of each request that it accepted."""
 
     def __init__(self, number: int, zone: str, cores: int, work: float, cells: Cells, seed: int) -> None:
         super().__init__(f"s{number}", cell=number % 3)
         self.zone, self.cores, self.work, self.cells = zone, cores, work, cells
-        self.chance = random.Random(seed * 7919 + number)
-        self.started = -1e9                            # long ago
-        self.fails, self.fails_for, self.times = False, "", 1.0
+        self.random = random.Random(seed * 7919 + number)
+        self.started = -1e9                            # long ago, so warm
+        self.failing, self.failing_service, self.work_factor = False, "", 1.0
         self.down = False
         self.busy, self.waiting = 0, 0
-        self.turn = asyncio.Condition()
+        self.core_free = asyncio.Condition()
         self.arrivals: deque[float] = deque()
-        self.ids: list[tuple[float, str]] = []
-        self.turned_away = self.failed = self.fallen = 0
-        self.most_times = 0.0                          # capacity that was sent at a time while cold
+        self.accepted: list[tuple[float, str]] = []
+        self.rejected = self.failed = self.crashes = 0
+        self.max_cold_load = 0.0                          # largest load while cold, relative to its capacity
         self.reply = self._reply
 
     def entry(self, lifecycle: str = "up") -> dict[str, Any]:
+        """Returns the node's entry in a discovery list, with its zone and start time."""
         started = int((time.time() - (time.monotonic() - self.started)) * 1000) if self.started > 0 else 0
         return super().entry(lifecycle) | {"zone": self.zone, "startedAtMs": started}
 
     def restart(self) -> None:
-        """It comes back with nothing but what its cell remembers, and cold."""
+        """Restarts the node cold; only the keys of its cell are kept."""
         self.started, self.down = time.monotonic(), False
         self.arrivals.clear()
 
     def warmth(self, now: float) -> float:
+        """Returns the share of its capacity that the node has at ``now``."""
         return min(1.0, COLD_SHARE + (1 - COLD_SHARE) * max(0.0, now - self.started) / WARM_S)
 
-    def _weigh(self, now: float) -> None:
+    def _check_overload(self, now: float) -> None:
         self.arrivals.append(now)
-        while self.arrivals[0] < now - FALL_S:
+        while self.arrivals[0] < now - CRASH_WINDOW_S:
             self.arrivals.popleft()
         warmth = self.warmth(now)
         if warmth < 1.0:
-            stands = self.cores * 1000.0 / self.work * warmth * FALL_S
-            self.most_times = max(self.most_times, (len(self.arrivals) - SLACK) / stands)
-            if len(self.arrivals) > TIP * stands + SLACK:
+            capacity = self.cores * 1000.0 / self.work * warmth * CRASH_WINDOW_S
+            self.max_cold_load = max(self.max_cold_load, (len(self.arrivals) - RANDOM_ARRIVALS) / capacity)
+            if len(self.arrivals) > CRASH_FACTOR * capacity + RANDOM_ARRIVALS:
                 self.down = True
-                self.fallen += 1
+                self.crashes += 1
 
     async def _reply(self, headers: dict[str, str], body: bytes) -> bytes | None:
         now = time.monotonic()
-        self._weigh(now)
+        self._check_overload(now)
         if self.down:
             return None
         name, key = headers["x-correlation-id"], headers.get("idempotency-key", "")
-        if self.waiting * self.work / 1000.0 / self.cores > QUEUE_S:
-            self.turned_away += 1
+        if self.waiting * self.work / 1000.0 / self.cores > MAX_QUEUE_S:
+            self.rejected += 1
             return http(503, b"", "X-Unprocessed: 1")
-        self.ids.append((now, name))
-        # The class stands in the path alone, which a node of the yard does not keep: the key tells it.
+        self.accepted.append((now, name))
+        # Only the path names the class, and ExecuteNode drops it; only orders have a key.
         kind = "place-order" if key else "stock-check"
-        if self.fails and self.fails_for in ("", kind):
+        if self.failing and self.failing_service in ("", kind):
             self.failed += 1
             return http(500)
-        async with self.turn:
+        async with self.core_free:
             self.waiting += 1
             try:
-                await self.turn.wait_for(lambda: self.busy < self.cores)
+                await self.core_free.wait_for(lambda: self.busy < self.cores)
             finally:
                 self.waiting -= 1
             self.busy += 1
         try:
-            took = self.work * self.chance.uniform(0.5, 1.5) * self.times / self.warmth(now)
-            await asyncio.sleep(took / 1000.0)
+            duration_ms = self.work * self.random.uniform(0.5, 1.5) * self.work_factor / self.warmth(now)
+            await asyncio.sleep(duration_ms / 1000.0)
         finally:
-            async with self.turn:
+            async with self.core_free:
                 self.busy -= 1
-                self.turn.notify()
+                self.core_free.notify()
         answer = http(200, b"done " + name.encode())
         if key:
             self.cells.first(self.cell, key, answer)
--- a/tests/test_custody.py
+++ b/tests/test_custody.py
@@ -439,7 +439,7 @@
 
     async def go() -> None:
         async with Rig(day, tmp_path, 1) as rig:
-            orders = Orders(rig.yard)
+            orders = Orders(rig.cluster)
             first_try = asyncio.ensure_future(orders.order(0, "a" * 32, 1))
             waits = asyncio.ensure_future(orders.order(0, "b" * 32, 2))
             await asyncio.sleep(0.35)
@@ -450,10 +450,10 @@
             ends = [status for status, _ in await asyncio.gather(first_try, waits, there, here)]
             heal()
             assert ends[2] == 200 and set(ends) <= {200, 502, 503}, ends
-            assert not rig.cells.twice()
+            assert not rig.cells.executed_twice()
             after = await orders.order(0, "a" * 32, 5, repeat=True)
             assert after[0] == 200, "the links are back: what was kept is given"
-            assert not rig.cells.twice()
+            assert not rig.cells.executed_twice()
     asyncio.run(go())
 
 
--- a/tests/test_lab_fleet.py
+++ b/tests/test_lab_fleet.py
@@ -37,7 +37,7 @@
 
 
 def outcomes_of(audit: Audit, numbers: set[int], since: float, until: float) -> list[str]:
-    return [Rig._end(t) for t in audit.tries if t.limiter in numbers and since <= t.came < until]
+    return [Rig._end(t) for t in audit.tries if t.limiter in numbers and since <= t.submitted_at < until]
 
 
 @pytest.mark.parametrize("name", ["calm", "one-class", "all-slow", "new-list", "hot-limiter"])
@@ -83,9 +83,9 @@
 def test_a_suspended_limiter_resumes_with_outdated_state(tmp_path: Path) -> None:
     """Its accepted jobs may be lost; after it resumes, it sends nothing to the node that was removed."""
     audit, rig = run_day("stopped", tmp_path)
-    # The limiter is resumed, and its sends are observed, with this delay.
-    resumed_at = rig.began + 12.0 + 0.3 + 2 * rig.lag
-    assert not [at for at, _ in rig.machines["s0"].ids if at > resumed_at]
+    # The resumed process and its sends are observed with a delay of up to twice the lag.
+    late = rig.started_at + 12.0 + 0.3 + 2 * rig.lag
+    assert not [at for at, _ in rig.machines["s0"].accepted if at > resumed_at]
     others = outcomes_of(audit, {1, 2, 3, 4, 5}, 0.0, 15.0)
     assert "lost" not in others and "failed" not in others
     resumed = outcomes_of(audit, {0}, 13.0, 15.0)
