--- a/benchmarks/ability.py
+++ b/benchmarks/ability.py
@@ -80,7 +80,7 @@
     """One day of a deployment, trouble, load, choice and seed."""
     deployment, trouble, load, who, seed = job
     d = MAKERS[deployment](load=load)
-    d, cls = evolve(d, troubles=troubles(trouble, d)), CHOICES[who]
+    d, cls = evolve(d, faults=troubles(trouble, d)), CHOICES[who]
 
     def make(number: int, zone: str, regions: dict[str, str], chance: int) -> ServerSelector:
         return cls(zone, regions, chance)
@@ -91,11 +91,13 @@
     """The means of some days."""
     def mean(of: Callable[[Figures], float]) -> float:
         return statistics.fmean(of(f) for f in figures)
-    routes = "  ".join(f"{r} {mean(lambda f, r=r: f.at(r, 0.5)):.0f}/{mean(lambda f, r=r: f.at(r, 0.99)):.0f}"  # type: ignore[misc]
-                       for r in figures[0].took)
-    placed = "  ".join(f"{s} {mean(lambda f, s=s: f.error(s)):.2f}/{mean(lambda f, s=s: f.weakest(s)):.2f}"  # type: ignore[misc]
-                       for s in figures[0].taken)
-    return f"{mean(lambda f: f.in_aim()):.4f}  {mean(lambda f: f.worst()):.3f}  {routes}  {placed}"
+    routes = "  ".join(f"{r} {mean(lambda f, r=r: f.quantile(r, 0.5)):.0f}/"  # type: ignore[misc]
+                       f"{mean(lambda f, r=r: f.quantile(r, 0.99)):.0f}"  # type: ignore[misc]
+                       for r in figures[0].latencies)
+    placed = "  ".join(f"{s} {mean(lambda f, s=s: f.misplaced_share(s)):.2f}/"  # type: ignore[misc]
+                       f"{mean(lambda f, s=s: f.weakest_share(s)):.2f}"  # type: ignore[misc]
+                       for s in figures[0].attempts)
+    return f"{mean(lambda f: f.in_aim()):.4f}  {mean(lambda f: f.worst_window()):.3f}  {routes}  {placed}"
 
 
 def cost_us() -> float:
@@ -148,8 +150,8 @@
                 missed.append(f"{d} {t} {load:.2f}: {aims['able']:.4f} in aim, the best rival {best:.4f}")
             if t == "calm":
                 missed += [f"{d} {load:.2f}: the weakest of {s} has {part:.2f} of its part"
-                           for s in found["able"][0].taken
-                           if (part := statistics.fmean(f.weakest(s) for f in found["able"])) < WEAKEST]
+                           for s in found["able"][0].attempts
+                           if (part := statistics.fmean(f.weakest_share(s) for f in found["able"])) < WEAKEST]
     cost = cost_us()
     print(f"\none choice among {SERVERS} servers: {cost:.1f} µs")
     if cost > COST_US:
--- a/larklb/lab/emulator.py
+++ b/larklb/lab/emulator.py
@@ -1,9 +1,9 @@
-"""Limiters, links and servers in simulated time, under the decision code that serves.
+"""Discrete-event emulator of limiters, links and servers that runs the production decision code.
 
-Servers have slots, a queue, speeds, a slow start and work by route; what they do when full is 'hang'
-(silence), 'reset' or 'refuse'.  Each limiter sees its own answers only, and what its peers share with
-it.  A day is the same for each seed, and arrivals are drawn apart from decisions, so that rivals meet
-the same clients.
+Servers have slots, a queue, speeds, a slow start and work by route; when full they 'hang' (give no answer),
+'reset' or 'refuse'. A limiter sees only its own answers and what its peers share with it. A run is
+deterministic for a seed. Arrivals and decisions have separate random sources, so that all selectors meet the
+same requests.
 """
 
 from __future__ import annotations
@@ -31,16 +31,26 @@
 from larklb.lab.emulator_deployment import Deployment, Fault, Route, Service
 from larklb.lab.emulator_figures import Figures
 
-CLIENT_TRIES = 3           # of a client's request, the first among them
-NOTICED_MS = 2_600.0       # from a server's silence until limiters are told that its heartbeats have ceased
-TOLD_MS = 150.0            # from any other news of a server until limiters have it, at the most
-DRAIN_MS = 2_500.0         # a leaving server serves on for so long
-GAP_MS = 500.0             # from a server's end to its successor's start
-SHARE_MS = 500.0           # between two messages of a limiter to its peers, by way of the home ...
-SHARE_WAY_MS = 25.0        # ... which takes so long
-SHARE_LOSS = 0.02          # of them
-IN_FLIGHT_MS = 25.0        # between two messages on what is in hand, to the peers of a limiter's zone ...
-IN_FLIGHT_WAY_MS = 3.0     # ... with the time until they are read
+# Tries of a client's request, including the first.
+MAX_CLIENT_TRIES = 3
+# From a server's silence until the limiters learn that its heartbeats have ceased.
+SILENCE_DETECTION_MS = 2_600.0
+# From any other change of a server until a limiter learns of it, at most.
+MAX_UPDATE_DELAY_MS = 150.0
+# Time that a draining server goes on serving.
+DRAIN_MS = 2_500.0
+# From a server's end to the start of its successor.
+RESTART_DELAY_MS = 500.0
+# Between two messages with a limiter's estimates to its peers, which travel by way of the home, and the mean
+# delay of such a message.
+ESTIMATES_INTERVAL_MS = 500.0
+ESTIMATES_DELAY_MS = 25.0
+# Fraction of the messages between limiters that is lost.
+MESSAGE_LOSS = 0.02
+# Between two messages with a limiter's requests in flight to the peers in its zone, and the time until such a
+# message is read.
+IN_FLIGHT_INTERVAL_MS = 25.0
+IN_FLIGHT_DELAY_MS = 3.0
 RETRY_RATIO, RETRY_WINDOW_MS, RETRY_SLACK = 0.2, 10_000.0, 64.0
 
 
@@ -48,8 +58,8 @@
 
 
 @runtime_checkable
-class Shares(Protocol):
-    """A choice that exchanges what it has learned: messages are JSON."""
+class ExchangingSelector(Protocol):
+    """A server selector that exchanges its estimates with other limiters as JSON messages."""
 
     def set_limiters(self, me: str, names: Sequence[tuple[str, str]]) -> None: ...
 
@@ -63,451 +73,473 @@
 
 
 class Server:
-    """One life of a server."""
+    """One incarnation of a server."""
 
-    __slots__ = ("id", "service", "zone", "speed", "slow", "cold_until", "dark", "gone", "draining",
-                 "running", "queue", "told", "taken")
+    __slots__ = ("id", "service", "zone", "speed", "slowdown", "cold_until", "unresponsive", "ended",
+                 "draining", "running", "queue", "last_load", "attempts_begun")
 
     def __init__(self, id: str, service: Service, zone: str, speed: float, cold_until: float) -> None:
         self.id, self.service, self.zone, self.speed, self.cold_until = id, service, zone, speed, cold_until
-        self.slow = 1.0
-        self.dark = self.gone = self.draining = False
+        self.slowdown = 1.0
+        self.unresponsive = self.ended = self.draining = False
         self.running: set[Attempt] = set()
         self.queue: deque[Attempt] = deque()
-        self.told: tuple[int, int, int] = (0, 0, service.slots)
-        self.taken = 0
+        self.last_load: tuple[int, int, int] = (0, 0, service.slots)
+        self.attempts_begun = 0
 
 
 class Request:
-    """One request of a client over all its tries."""
+    """A client's request over all its tries; `created_at` is in ms."""
 
-    __slots__ = ("route", "zone", "born", "tries")
+    __slots__ = ("route", "zone", "created_at", "tries")
 
-    def __init__(self, route: Route, zone: int, born: float) -> None:
-        self.route, self.zone, self.born, self.tries = route, zone, born, 0
+    def __init__(self, route: Route, zone: int, created_at: float) -> None:
+        self.route, self.zone, self.created_at, self.tries = route, zone, created_at, 0
 
 
-class Handled:
-    """One try at a limiter."""
+class Exchange:
+    """One try of a request at a limiter, with all attempts at servers that the limiter makes for it."""
 
-    __slots__ = ("request", "limiter", "due", "course", "tried", "last", "over", "out")
+    __slots__ = ("request", "limiter", "deadline", "history", "tried_servers", "last_step", "finished",
+                 "outstanding")
 
-    def __init__(self, request: Request, limiter: Limiter, due: float) -> None:
-        self.request, self.limiter, self.due = request, limiter, due
-        self.course = AttemptHistory(request.route.safe, request.route.tries)
-        self.tried: set[str] = set()
-        self.last, self.over, self.out = NextStep.REFUSE, False, 0
+    def __init__(self, request: Request, limiter: Limiter, deadline: float) -> None:
+        self.request, self.limiter, self.deadline = request, limiter, deadline
+        self.history = AttemptHistory(request.route.safe, request.route.tries)
+        self.tried_servers: set[str] = set()
+        self.last_step, self.finished, self.outstanding = NextStep.REFUSE, False, 0
 
 
 class Attempt:
-    """One attempt at a server."""
+    """One attempt of a limiter at a server."""
 
-    __slots__ = ("handled", "place", "server", "started", "over", "dropped")
+    __slots__ = ("exchange", "state", "server", "started", "finished", "cancelled")
 
-    def __init__(self, handled: Handled, place: ServerState, server: Server, started: float) -> None:
-        self.handled, self.place, self.server, self.started = handled, place, server, started
-        self.over = self.dropped = False
+    def __init__(self, exchange: Exchange, state: ServerState, server: Server, started: float) -> None:
+        self.exchange, self.state, self.server, self.started = exchange, state, server, started
+        self.finished = self.cancelled = False
 
 
 class Limiter:
-    """One limiter: its choice, its budget, its resting connections (by server, when each was last used)."""
+    """A limiter with its selector, retry budget and idle connections (time of last use, by server)."""
 
-    __slots__ = ("name", "zone", "choice", "budget", "rests")
+    __slots__ = ("name", "zone", "selector", "budget", "idle_connections")
 
-    def __init__(self, name: str, zone: str, choice: ServerSelector, budget: RetryBudget) -> None:
-        self.name, self.zone, self.choice, self.budget = name, zone, choice, budget
-        self.rests: dict[str, list[float]] = {}
+    def __init__(self, name: str, zone: str, selector: ServerSelector, budget: RetryBudget) -> None:
+        self.name, self.zone, self.selector, self.budget = name, zone, selector, budget
+        self.idle_connections: dict[str, list[float]] = {}
 
 
 class Emulator:
-    """One day of a deployment; ``run`` plays it."""
+    """One run of a deployment; `run` plays it.
+
+    :param deployment: Services, routes, limiters and faults.
+    :param make: Creates the server selector of a limiter.
+    :param seed: Seed of all random sources.
+    """
 
     def __init__(self, deployment: Deployment, make: SelectorFactory, seed: int) -> None:
-        self.d, self.make, self.seed = deployment, make, seed
-        self.now, self.order = 0.0, itertools.count()
+        self.deployment, self.make_selector, self.seed = deployment, make, seed
+        self.now, self.event_numbers = 0.0, itertools.count()
         self.events: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
-        self.clients, self.work = random.Random(f"clients {seed}"), random.Random(f"work {seed}")
-        self.links = random.Random(f"links {seed}")
+        self.arrival_rng, self.work_rng = random.Random(f"clients {seed}"), random.Random(f"work {seed}")
+        self.network_rng = random.Random(f"links {seed}")
         self.figures = Figures(aims={r.name: r.aim for r in deployment.routes},
-                               took={r.name: [] for r in deployment.routes})
+                               latencies={r.name: [] for r in deployment.routes})
         self.services = {s.name: s for s in deployment.services}
         self.servers: dict[str, Server] = {}
         for service in deployment.services:
             speeds = [service.speeds[i % len(service.speeds)] for i in range(service.servers)]
-            # Machines are spread over zones without regard to their speed.
+            # The assignment of machines to zones doesn't depend on their speed.
             random.Random(f"speeds {seed} {service.name}").shuffle(speeds)
             for i, speed in enumerate(speeds):
                 zone = deployment.zones[i % len(deployment.zones)]
-                self._server(f"{service.name}-{i}", service, zone, speed, -1.0)
-        self.limiters = [self._limiter(i, 0.0) for i in range(deployment.limiters)]
-        self.weights = [self.clients.gammavariate(6.0, 1.0) for _ in self.limiters]
+                self._add_server(f"{service.name}-{i}", service, zone, speed, -1.0)
+        self.limiters = [self._new_limiter(i, 0.0) for i in range(deployment.limiters)]
+        self.weights = [self.arrival_rng.gammavariate(6.0, 1.0) for _ in self.limiters]
         zones = deployment.zones
         self.by_zone = [[i for i, m in enumerate(self.limiters) if m.zone == zone] for zone in zones]
-        self._tell()
+        self._announce_servers()
         self.measured = False
 
     # Set-up ---------------------------------------------------------------------------------
 
-    def _server(self, id: str, service: Service, zone: str, speed: float, cold_until: float) -> None:
+    def _add_server(self, id: str, service: Service, zone: str, speed: float, cold_until: float) -> None:
         self.servers[id] = Server(id, service, zone, speed, cold_until)
 
-    def _limiter(self, i: int, now: float) -> Limiter:
-        zone = self.d.zones[i % len(self.d.zones)]
-        choice = self.make(i, zone, dict.fromkeys(self.d.zones, "region"), self.seed * 1_000 + i)
+    def _new_limiter(self, i: int, now: float) -> Limiter:
+        zone = self.deployment.zones[i % len(self.deployment.zones)]
+        selector = self.make_selector(
+            i, zone, dict.fromkeys(self.deployment.zones, "region"), self.seed * 1_000 + i)
         name = f"m{i}"
-        if isinstance(choice, Shares):
-            zones = self.d.zones
-            choice.set_limiters(name, [(f"m{k}", zones[k % len(zones)]) for k in range(self.d.limiters)])
-        budget = RetryBudget(RETRY_RATIO, RETRY_WINDOW_MS, RETRY_SLACK, self.d.limiters, now,
+        if isinstance(selector, ExchangingSelector):
+            zones = self.deployment.zones
+            selector.set_limiters(
+                name, [(f"m{k}", zones[k % len(zones)]) for k in range(self.deployment.limiters)])
+        budget = RetryBudget(RETRY_RATIO, RETRY_WINDOW_MS, RETRY_SLACK, self.deployment.limiters, now,
                              first_start=True, node=name)
-        return Limiter(name, zone, choice, budget)
+        return Limiter(name, zone, selector, budget)
 
-    def _places(self, silent: frozenset[str]) -> list[ServerState]:
+    def _server_states(self, silent: frozenset[str]) -> list[ServerState]:
         return [ServerState(s.id, s.service.name, "", s.zone, s.service.slots, cold_until=s.cold_until,
-                      draining=s.draining, silent=s.id in silent)
-                for s in self.servers.values() if not s.gone]
+                            draining=s.draining, silent=s.id in silent)
+                for s in self.servers.values() if not s.ended]
 
-    def _tell(self, silent: frozenset[str] = frozenset()) -> None:
+    def _announce_servers(self, silent: frozenset[str] = frozenset()) -> None:
         for limiter in self.limiters:
             if self.now == 0.0:
-                limiter.choice.update(self._places(silent))
+                limiter.selector.update(self._server_states(silent))
             else:
-                self._at(self.now + self.links.random() * TOLD_MS, self._told, limiter, self._places(silent))
+                self._schedule(self.now + self.network_rng.random() * MAX_UPDATE_DELAY_MS,
+                               self._update_servers, limiter, self._server_states(silent))
 
-    def _told(self, limiter: Limiter, places: list[ServerState]) -> None:
-        limiter.choice.update(places)
+    def _update_servers(self, limiter: Limiter, states: list[ServerState]) -> None:
+        limiter.selector.update(states)
 
-    def _at(self, when: float, do: Callable[..., None], *args: Any) -> None:
-        heapq.heappush(self.events, (when, next(self.order), do, args))
+    def _schedule(self, when: float, action: Callable[..., None], *args: Any) -> None:
+        heapq.heappush(self.events, (when, next(self.event_numbers), action, args))
 
-    # The day --------------------------------------------------------------------------------
+    # The run --------------------------------------------------------------------------------
 
     def run(self) -> Figures:
-        """Plays the day; what was measured after settling."""
-        d = self.d
+        """Process all events and return the figures measured after the settling time."""
+        d = self.deployment
         for service in d.services:
             routes = [r for r in d.routes if r.service == service.name]
-            able = sum(s.speed for s in self.servers.values() if s.service is service) * service.slots
-            scale = d.load * able * 1_000.0 / sum(r.rate * r.work for r in routes)
+            capacity = sum(s.speed for s in self.servers.values() if s.service is service) * service.slots
+            scale = d.load * capacity * 1_000.0 / sum(r.rate * r.work for r in routes)
             for route in routes:
                 per_ms = route.rate * scale / 1_000.0
-                self._at(self.clients.expovariate(per_ms * (1 + d.wave)), self._arrival, route, per_ms)
-        for trouble in d.troubles:
-            self._at(trouble.at, self._trouble, trouble)
+                self._schedule(self.arrival_rng.expovariate(per_ms * (1 + d.wave)), self._generate_arrival,
+                               route, per_ms)
+        for fault in d.faults:
+            self._schedule(fault.at, self._inject_fault, fault)
         for i in range(d.limiters):
-            if isinstance(self.limiters[i].choice, Shares):
-                self._at(SHARE_MS * (i + 1) / d.limiters, self._share, i)
-                self._at(IN_FLIGHT_MS * (i + 1) / d.limiters, self._in_flight, i)
-        self._at(d.settling, self._measure)
+            if isinstance(self.limiters[i].selector, ExchangingSelector):
+                self._schedule(ESTIMATES_INTERVAL_MS * (i + 1) / d.limiters, self._send_estimates, i)
+                self._schedule(IN_FLIGHT_INTERVAL_MS * (i + 1) / d.limiters, self._send_in_flight, i)
+        self._schedule(d.settling, self._start_measurement)
         events = self.events
         while events:
-            self.now, _, do, args = heapq.heappop(events)
-            do(*args)
+            self.now, _, action, args = heapq.heappop(events)
+            action(*args)
         self._sum_up()
         return self.figures
 
-    def _measure(self) -> None:
+    def _start_measurement(self) -> None:
         self.measured = True
         for server in self.servers.values():
-            server.taken = 0
-        if not self.d.know:
-            self.limiters = [self._limiter(i, self.now) for i in range(self.d.limiters)]
+            server.attempts_begun = 0
+        if not self.deployment.keep_limiters:
+            self.limiters = [self._new_limiter(i, self.now) for i in range(self.deployment.limiters)]
             for limiter in self.limiters:
-                limiter.choice.update(self._places(frozenset()))
+                limiter.selector.update(self._server_states(frozenset()))
 
     def _sum_up(self) -> None:
-        for service in self.d.services:
-            mine = [s for s in self.servers.values() if s.service is service and not s.gone]
-            self.figures.taken[service.name] = {s.id: s.taken for s in mine}
-            self.figures.able[service.name] = {s.id: s.speed * service.slots for s in mine}
-
-    def _share(self, i: int) -> None:
-        if self.now < self.d.length:
-            self._at(self.now + SHARE_MS, self._share, i)
+        for service in self.deployment.services:
+            candidates = [s for s in self.servers.values() if s.service is service and not s.ended]
+            self.figures.attempts[service.name] = {s.id: s.attempts_begun for s in candidates}
+            self.figures.capacity[service.name] = {s.id: s.speed * service.slots for s in candidates}
+
+    def _send_estimates(self, i: int) -> None:
+        if self.now < self.deployment.length:
+            self._schedule(self.now + ESTIMATES_INTERVAL_MS, self._send_estimates, i)
         limiter = self.limiters[i]
-        message = limiter.choice.estimates_message(self.now) if isinstance(limiter.choice, Shares) else {}
+        message = (limiter.selector.estimates_message(self.now)
+                   if isinstance(limiter.selector, ExchangingSelector) else {})
         for other in self.limiters:
-            if other is not limiter and self.links.random() > SHARE_LOSS:
-                way = SHARE_WAY_MS * (0.5 + self.links.random())
-                self._at(self.now + way, self._heard, other, limiter.name, message)
+            if other is not limiter and self.network_rng.random() > MESSAGE_LOSS:
+                delay = ESTIMATES_DELAY_MS * (0.5 + self.network_rng.random())
+                self._schedule(self.now + delay, self._receive_estimates, other, limiter.name, message)
 
-    def _in_flight(self, i: int) -> None:
-        if self.now < self.d.length:
-            self._at(self.now + IN_FLIGHT_MS, self._in_flight, i)
+    def _send_in_flight(self, i: int) -> None:
+        if self.now < self.deployment.length:
+            self._schedule(self.now + IN_FLIGHT_INTERVAL_MS, self._send_in_flight, i)
         limiter = self.limiters[i]
-        message = limiter.choice.in_flight_message(self.now) if isinstance(limiter.choice, Shares) else None
+        message = (limiter.selector.in_flight_message(self.now)
+                   if isinstance(limiter.selector, ExchangingSelector) else None)
         for other in self.limiters if message is not None else ():
             if other is not limiter and other.zone == limiter.zone:
                 self.figures.count["in flight messages"] += 1
-                if self.links.random() > SHARE_LOSS:
-                    self._at(self.now + IN_FLIGHT_WAY_MS, self._in_flight_heard, other, limiter.name, message)
-
-    def _in_flight_heard(self, limiter: Limiter, observer: str, message: Mapping[str, Any]) -> None:
-        if isinstance(limiter.choice, Shares):
-            limiter.choice.apply_in_flight(self.now, observer, message)
-
-    def _heard(self, limiter: Limiter, observer: str, message: Mapping[str, Any]) -> None:
-        if isinstance(limiter.choice, Shares):
-            limiter.choice.apply_estimates(self.now, observer, message)
-
-    def _trouble(self, trouble: Fault) -> None:
-        mine = [s for s in self.servers.values() if s.service.name == trouble.service and not s.gone]
-        if trouble.what == "release":
-            for i, server in enumerate(mine):
-                self._at(self.now + trouble.lasts * i / len(mine), self._leave, server)
+                if self.network_rng.random() > MESSAGE_LOSS:
+                    self._schedule(self.now + IN_FLIGHT_DELAY_MS, self._receive_in_flight, other,
+                                   limiter.name, message)
+
+    def _receive_in_flight(self, limiter: Limiter, observer: str, message: Mapping[str, Any]) -> None:
+        if isinstance(limiter.selector, ExchangingSelector):
+            limiter.selector.apply_in_flight(self.now, observer, message)
+
+    def _receive_estimates(self, limiter: Limiter, observer: str, message: Mapping[str, Any]) -> None:
+        if isinstance(limiter.selector, ExchangingSelector):
+            limiter.selector.apply_estimates(self.now, observer, message)
+
+    def _inject_fault(self, fault: Fault) -> None:
+        candidates = [s for s in self.servers.values() if s.service.name == fault.service and not s.ended]
+        if fault.kind == "release":
+            for i, server in enumerate(candidates):
+                self._schedule(self.now + fault.duration * i / len(candidates), self._drain_server, server)
             return
-        # The fast ones are hit: they carry the most.
-        mine.sort(key=lambda s: (-s.speed, s.id))
-        hit = mine[:max(1, round(trouble.part * len(mine)))]
-        if trouble.what == "slow":
-            for server in hit:
-                server.slow = trouble.times
-            self._at(self.now + trouble.lasts, self._well, hit)
-        elif trouble.what == "dark":
-            for server in hit:
-                server.dark = True
+        # The fastest servers are affected, because they carry most of the traffic.
+        candidates.sort(key=lambda s: (-s.speed, s.id))
+        affected = candidates[:max(1, round(fault.fraction * len(candidates)))]
+        if fault.kind == "slow":
+            for server in affected:
+                server.slowdown = fault.factor
+            self._schedule(self.now + fault.duration, self._recover, affected)
+        elif fault.kind == "dark":
+            for server in affected:
+                server.unresponsive = True
                 server.running.clear()
                 server.queue.clear()
-            self._at(self.now + min(NOTICED_MS, trouble.lasts), self._tell, frozenset(s.id for s in hit))
-            self._at(self.now + trouble.lasts, self._well, hit)
+            self._schedule(self.now + min(SILENCE_DETECTION_MS, fault.duration), self._announce_servers,
+                           frozenset(s.id for s in affected))
+            self._schedule(self.now + fault.duration, self._recover, affected)
         else:
-            raise ValueError(trouble.what)
-
-    def _well(self, hit: list[Server]) -> None:
-        dark = any(s.dark for s in hit)
-        for server in hit:
-            server.slow, server.dark = 1.0, False
-        if dark:
-            for limiter in self.limiters:      # connections to what was dark are gone
-                for server in hit:
-                    limiter.rests.pop(server.id, None)
-            self._at(self.now + 300.0, self._tell)
-
-    def _leave(self, server: Server) -> None:
+            raise ValueError(fault.kind)
+
+    def _recover(self, affected: list[Server]) -> None:
+        unresponsive = any(s.unresponsive for s in affected)
+        for server in affected:
+            server.slowdown, server.unresponsive = 1.0, False
+        if unresponsive:
+            # Connections to the unresponsive servers are lost.
+            for limiter in self.limiters:
+                for server in affected:
+                    limiter.idle_connections.pop(server.id, None)
+            self._schedule(self.now + 300.0, self._announce_servers)
+
+    def _drain_server(self, server: Server) -> None:
         server.draining = True
-        self._tell()
-        self._at(self.now + DRAIN_MS, self._end, server)
+        self._announce_servers()
+        self._schedule(self.now + DRAIN_MS, self._stop_server, server)
 
-    def _end(self, server: Server) -> None:
-        server.gone = True
+    def _stop_server(self, server: Server) -> None:
+        server.ended = True
         for attempt in [*server.running, *server.queue]:
-            self._at(self.now + self._way(attempt.handled.limiter, server), self._ended, attempt,
-                     AttemptOutcome.BROKEN)
+            self._schedule(self.now + self._one_way_delay(attempt.exchange.limiter, server),
+                           self._attempt_ended, attempt, AttemptOutcome.BROKEN)
         server.running.clear()
         server.queue.clear()
-        self._tell()
-        self._at(self.now + GAP_MS, self._successor, server)
+        self._announce_servers()
+        self._schedule(self.now + RESTART_DELAY_MS, self._start_successor, server)
 
-    def _successor(self, old: Server) -> None:
-        self._server(f"{old.id}'", old.service, old.zone, old.speed, self.now + self.d.cold_ms)
-        self._tell()
+    def _start_successor(self, old: Server) -> None:
+        self._add_server(f"{old.id}'", old.service, old.zone, old.speed, self.now + self.deployment.cold_ms)
+        self._announce_servers()
 
     # Clients --------------------------------------------------------------------------------
 
-    def _arrival(self, route: Route, per_ms: float) -> None:
-        d, rng = self.d, self.clients
+    def _generate_arrival(self, route: Route, per_ms: float) -> None:
+        d, rng = self.deployment, self.arrival_rng
         if self.now >= d.length:
             return
-        self._at(self.now + rng.expovariate(per_ms * (1 + d.wave)), self._arrival, route, per_ms)
+        self._schedule(self.now + rng.expovariate(per_ms * (1 + d.wave)), self._generate_arrival, route,
+                       per_ms)
         level = (1.0 + d.wave * math.sin(2 * math.pi * self.now / d.wave_ms)) / (1.0 + d.wave)
         zone = rng.randrange(len(d.zones))
         if rng.random() < level:
-            self._send(Request(route, zone, self.now), rng)
+            self._send_request(Request(route, zone, self.now), rng)
 
-    def _send(self, request: Request, rng: random.Random) -> None:
+    def _send_request(self, request: Request, rng: random.Random) -> None:
         request.tries += 1
         nodes = self.by_zone[request.zone]
         limiter = self.limiters[rng.choices(nodes, [self.weights[i] for i in nodes])[0]]
-        self._at(self.now + self.d.client, self._arrived, request, limiter)
+        self._schedule(self.now + self.deployment.client_delay, self._request_arrived, request, limiter)
 
-    def _arrived(self, request: Request, limiter: Limiter) -> None:
-        left = request.born + request.route.deadline - self.now
-        handled = Handled(request, limiter, self.now + left - RESPONSE_MARGIN_MS)
+    def _request_arrived(self, request: Request, limiter: Limiter) -> None:
+        left = request.created_at + request.route.deadline - self.now
+        exchange = Exchange(request, limiter, self.now + left - RESPONSE_MARGIN_MS)
         limiter.budget.record_request(self.now, request.route.service)
-        self._go(handled)
+        self._start_attempt(exchange)
 
-    def _client(self, handled: Handled, step: NextStep) -> None:
-        """What the client does with the answer, ``client`` ms later."""
-        request = handled.request
+    def _answer_client(self, exchange: Exchange, step: NextStep) -> None:
+        """Deliver the answer to the client after the client delay; the client retries it or gives up."""
+        request = exchange.request
         self.figures.count[step.value] += 1
-        at = self.now + self.d.client
+        at = self.now + self.deployment.client_delay
         if step is NextStep.FORWARD:
-            self._over(request, at - request.born)
+            self._record_outcome(request, at - request.created_at)
             return
-        left = request.born + request.route.deadline - at
-        again = request.tries < CLIENT_TRIES and (step is NextStep.REFUSE or request.route.safe)
-        pause = 0.0
+        left = request.created_at + request.route.deadline - at
+        can_retry = request.tries < MAX_CLIENT_TRIES and (step is NextStep.REFUSE or request.route.safe)
+        backoff = 0.0
         if step is NextStep.REFUSE:
-            pause = max(1.0, min(RETRY_AFTER_MS * (1 + self.links.random()), MAX_RETRY_AFTER_MS, left / 4.0))
-        if again and left > pause + 2 * self.d.client + RESPONSE_MARGIN_MS + MIN_TIME_LEFT_MS:
-            self._at(at + pause, self._send, request, self.links)
+            backoff = max(1.0, min(RETRY_AFTER_MS * (1 + self.network_rng.random()), MAX_RETRY_AFTER_MS,
+                                   left / 4.0))
+        if can_retry and left > (
+                backoff + 2 * self.deployment.client_delay + RESPONSE_MARGIN_MS + MIN_TIME_LEFT_MS):
+            self._schedule(at + backoff, self._send_request, request, self.network_rng)
         else:
-            self._over(request, math.inf)
+            self._record_outcome(request, math.inf)
 
-    def _over(self, request: Request, took: float) -> None:
-        if request.born >= self.d.settling:
-            self.figures.took[request.route.name].append(took)
-            window = self.figures.windows.setdefault(int(request.born // 1_000), [0, 0])
-            window[0] += took <= request.route.aim
+    def _record_outcome(self, request: Request, latency: float) -> None:
+        if request.created_at >= self.deployment.settling:
+            self.figures.latencies[request.route.name].append(latency)
+            window = self.figures.windows.setdefault(int(request.created_at // 1_000), [0, 0])
+            window[0] += latency <= request.route.aim
             window[1] += 1
 
-    # A limiter, as its front decides ----------------------------------------------------------
+    # Limiters -------------------------------------------------------------------------------
 
-    def _go(self, handled: Handled) -> None:
-        now, course, choice, route = self.now, handled.course, handled.limiter.choice, handled.request.route
-        if now >= handled.due - MIN_TIME_LEFT_MS:
-            self._own(handled, NextStep.TIME_OUT if course.may_have_run else NextStep.REFUSE)
+    def _start_attempt(self, exchange: Exchange) -> None:
+        now, history, selector, route = (
+            self.now, exchange.history, exchange.limiter.selector, exchange.request.route)
+        if now >= exchange.deadline - MIN_TIME_LEFT_MS:
+            self._answer_locally(exchange, NextStep.TIME_OUT if history.may_have_run else NextStep.REFUSE)
             return
-        place = choice.pick(now, route.service, route.name, route.aim, handled.tried)
-        if place is None \
-                or course.needs_budget() and not handled.limiter.budget.take_retry(now, place.target):
-            self._own(handled, handled.last)
+        state = selector.pick(now, route.service, route.name, route.aim, exchange.tried_servers)
+        if state is None \
+                or history.needs_budget() and not exchange.limiter.budget.take_retry(now, state.target):
+            self._answer_locally(exchange, exchange.last_step)
             return
-        self._attempt(handled, place)
-        patience = max(MIN_HEDGE_DELAY_SETPOINTS * route.aim,
-                       HEDGE_P95_FACTOR * choice.route_latency(route.name).p95)
-        if course.safe and course.sent + 1 < course.max_attempts \
-                and patience <= min(MAX_HEDGE_DELAY_SETPOINTS * route.aim, handled.due - now):
-            self._at(now + patience, self._hedge, handled, course.sent)
-
-    def _hedge(self, handled: Handled, sent: int) -> None:
-        if handled.over or not handled.out or handled.course.sent != sent:
+        self._send_attempt(exchange, state)
+        hedge_delay = max(MIN_HEDGE_DELAY_SETPOINTS * route.aim,
+                       HEDGE_P95_FACTOR * selector.route_latency(route.name).p95)
+        if history.safe and history.sent + 1 < history.max_attempts \
+                and hedge_delay <= min(MAX_HEDGE_DELAY_SETPOINTS * route.aim, exchange.deadline - now):
+            self._schedule(now + hedge_delay, self._send_hedge, exchange, history.sent)
+
+    def _send_hedge(self, exchange: Exchange, sent: int) -> None:
+        if exchange.finished or not exchange.outstanding or exchange.history.sent != sent:
             return
-        route, limiter = handled.request.route, handled.limiter
-        other = limiter.choice.pick(self.now, route.service, route.name, route.aim, handled.tried)
+        route, limiter = exchange.request.route, exchange.limiter
+        other = limiter.selector.pick(self.now, route.service, route.name, route.aim, exchange.tried_servers)
         if other is not None and limiter.budget.take_retry(self.now, route.service):
             self.figures.count["hedged"] += 1
-            handled.course.sent += 1
-            handled.course.may_have_run = True
-            self._attempt(handled, other)
-
-    def _own(self, handled: Handled, step: NextStep) -> None:
-        handled.over = True
-        self._client(handled, handled.course.without_false_refusal(step))
-
-    def _way(self, limiter: Limiter, server: Server) -> float:
-        return self.d.inside if limiter.zone == server.zone else self.d.between
-
-    def _attempt(self, handled: Handled, place: ServerState) -> None:
-        now, limiter = self.now, handled.limiter
-        handled.tried.add(place.id)
-        handled.out += 1
-        limiter.choice.record_start(place)
-        server = self.servers[place.id]
-        attempt, way = Attempt(handled, place, server, now), self._way(limiter, server)
-        rests = limiter.rests.get(place.id, [])
-        while rests and now - rests[0] > DEFAULT_IDLE_TIMEOUT_MS:
-            del rests[0]
-        if rests:
-            rests.pop()
-            self._at(now + way, self._reach, attempt)
-        elif server.dark:
-            self._at(min(handled.due, now + REGIONAL_DIAL_TIMEOUT_MS), self._ended, attempt,
-                     AttemptOutcome.UNSENT)
-        elif server.gone:
-            self._at(now + 2 * way, self._ended, attempt, AttemptOutcome.UNSENT)
+            exchange.history.sent += 1
+            exchange.history.may_have_run = True
+            self._send_attempt(exchange, other)
+
+    def _answer_locally(self, exchange: Exchange, step: NextStep) -> None:
+        exchange.finished = True
+        self._answer_client(exchange, exchange.history.without_false_refusal(step))
+
+    def _one_way_delay(self, limiter: Limiter, server: Server) -> float:
+        return self.deployment.zone_delay if limiter.zone == server.zone else self.deployment.region_delay
+
+    def _send_attempt(self, exchange: Exchange, state: ServerState) -> None:
+        now, limiter = self.now, exchange.limiter
+        exchange.tried_servers.add(state.id)
+        exchange.outstanding += 1
+        limiter.selector.record_start(state)
+        server = self.servers[state.id]
+        attempt, delay = Attempt(exchange, state, server, now), self._one_way_delay(limiter, server)
+        idle_connections = limiter.idle_connections.get(state.id, [])
+        while idle_connections and now - idle_connections[0] > DEFAULT_IDLE_TIMEOUT_MS:
+            del idle_connections[0]
+        if idle_connections:
+            idle_connections.pop()
+            self._schedule(now + delay, self._attempt_arrived, attempt)
+        elif server.unresponsive:
+            self._schedule(min(exchange.deadline, now + REGIONAL_DIAL_TIMEOUT_MS), self._attempt_ended,
+                           attempt, AttemptOutcome.UNSENT)
+        elif server.ended:
+            self._schedule(now + 2 * delay, self._attempt_ended, attempt, AttemptOutcome.UNSENT)
         else:
-            self._at(now + 3 * way, self._reach, attempt)
-        self._at(handled.due, self._ended, attempt, AttemptOutcome.TIMED_OUT)
+            self._schedule(now + 3 * delay, self._attempt_arrived, attempt)
+        self._schedule(exchange.deadline, self._attempt_ended, attempt, AttemptOutcome.TIMED_OUT)
 
-    def _ended(self, attempt: Attempt, end: AttemptOutcome, load: tuple[int, int, int] | None = None) -> None:
-        if attempt.over:
+    def _attempt_ended(self, attempt: Attempt, outcome: AttemptOutcome,
+                       load: tuple[int, int, int] | None = None) -> None:
+        if attempt.finished:
             return
-        attempt.over = True
-        now, handled, place, server = self.now, attempt.handled, attempt.place, attempt.server
-        limiter = handled.limiter
-        choice = limiter.choice
-        handled.out -= 1
-        if end is AttemptOutcome.ANSWER:
-            limiter.rests.setdefault(place.id, []).append(now)
-            choice.record_answer(now, place, handled.request.route.name, now - attempt.started, True)
+        attempt.finished = True
+        now, exchange, state, server = self.now, attempt.exchange, attempt.state, attempt.server
+        limiter = exchange.limiter
+        selector = limiter.selector
+        exchange.outstanding -= 1
+        if outcome is AttemptOutcome.ANSWER:
+            limiter.idle_connections.setdefault(state.id, []).append(now)
+            selector.record_answer(now, state, exchange.request.route.name, now - attempt.started, True)
             if load is not None:
-                choice.record_load(now, place, load[0], load[1])
-        elif end is AttemptOutcome.NOT_RUN:
-            limiter.rests.setdefault(place.id, []).append(now)
-            choice.record_rejection(now, place)
+                selector.record_load(now, state, load[0], load[1])
+        elif outcome is AttemptOutcome.NOT_RUN:
+            limiter.idle_connections.setdefault(state.id, []).append(now)
+            selector.record_rejection(now, state)
         else:
-            choice.record_failure(now, place, end in (AttemptOutcome.TIMED_OUT, AttemptOutcome.UNSENT))
-            if end is AttemptOutcome.TIMED_OUT:
-                self._at(now + self._way(limiter, server), self._drop, attempt)
-        self.figures.count[f"end.{end.value}"] += 1
-        if handled.over:
+            selector.record_failure(now, state, outcome in (AttemptOutcome.TIMED_OUT, AttemptOutcome.UNSENT))
+            if outcome is AttemptOutcome.TIMED_OUT:
+                self._schedule(now + self._one_way_delay(limiter, server), self._cancel, attempt)
+        self.figures.count[f"end.{outcome.value}"] += 1
+        if exchange.finished:
+            return
+        if outcome is AttemptOutcome.ANSWER:
+            exchange.finished = True
+            self._answer_client(exchange, NextStep.FORWARD)
             return
-        if end is AttemptOutcome.ANSWER:
-            handled.over = True
-            self._client(handled, NextStep.FORWARD)
+        if exchange.outstanding:
+            # Another attempt of a hedged request is still running.
             return
-        if handled.out:
-            return                             # the hedge goes on
-        step, otherwise = handled.course.record_outcome(end)
+        step, otherwise = exchange.history.record_outcome(outcome)
         if step is NextStep.RETRY:
-            handled.last = otherwise
-            self._go(handled)
+            exchange.last_step = otherwise
+            self._start_attempt(exchange)
         else:
-            self._own(handled, step)
+            self._answer_locally(exchange, step)
 
-    # A server -------------------------------------------------------------------------------
+    # Servers --------------------------------------------------------------------------------
 
-    def _reach(self, attempt: Attempt) -> None:
+    def _attempt_arrived(self, attempt: Attempt) -> None:
         server = attempt.server
-        if server.dark or attempt.over:
+        if server.unresponsive or attempt.finished:
             return
-        if server.gone:
-            self._back(attempt, AttemptOutcome.BROKEN)
+        if server.ended:
+            self._respond(attempt, AttemptOutcome.BROKEN)
         elif len(server.running) < server.service.slots:
-            self._begin(server, attempt)
+            self._begin_work(server, attempt)
         elif len(server.queue) < server.service.queue:
             server.queue.append(attempt)
         elif server.service.on_full == "refuse":
-            self._back(attempt, AttemptOutcome.NOT_RUN)
+            self._respond(attempt, AttemptOutcome.NOT_RUN)
         elif server.service.on_full == "reset":
-            self._back(attempt, AttemptOutcome.BROKEN)
+            self._respond(attempt, AttemptOutcome.BROKEN)
 
-    def _back(self, attempt: Attempt, end: AttemptOutcome, load: tuple[int, int, int] | None = None) -> None:
-        way = self._way(attempt.handled.limiter, attempt.server)
-        self._at(self.now + way, self._ended, attempt, end, load)
+    def _respond(self, attempt: Attempt, outcome: AttemptOutcome,
+                 load: tuple[int, int, int] | None = None) -> None:
+        delay = self._one_way_delay(attempt.exchange.limiter, attempt.server)
+        self._schedule(self.now + delay, self._attempt_ended, attempt, outcome, load)
 
-    def _begin(self, server: Server, attempt: Attempt) -> None:
-        route = attempt.handled.request.route
+    def _begin_work(self, server: Server, attempt: Attempt) -> None:
+        route = attempt.exchange.request.route
         server.running.add(attempt)
-        server.taken += 1
-        work = self.work.lognormvariate(math.log(route.work) - route.spread ** 2 / 2, route.spread)
+        server.attempts_begun += 1
+        work = self.work_rng.lognormvariate(math.log(route.work) - route.spread ** 2 / 2, route.spread)
         busy = len(server.running) / server.service.slots
-        work *= server.slow / server.speed * (1.0 + server.service.strain * busy * busy)
+        work *= server.slowdown / server.speed * (1.0 + server.service.contention * busy * busy)
         if self.now < server.cold_until:
-            work *= self.d.cold
-        self._at(self.now + work, self._done, server, attempt)
+            work *= self.deployment.cold_factor
+        self._schedule(self.now + work, self._finish_work, server, attempt)
 
-    def _free(self, server: Server, attempt: Attempt) -> bool:
+    def _release_slot(self, server: Server, attempt: Attempt) -> bool:
         if attempt not in server.running:
             return False
         server.running.discard(attempt)
         while server.queue and len(server.running) < server.service.slots:
-            self._begin(server, server.queue.popleft())
+            self._begin_work(server, server.queue.popleft())
         return True
 
-    def _done(self, server: Server, attempt: Attempt) -> None:
-        if self._free(server, attempt):
-            self._back(attempt, AttemptOutcome.ANSWER, self._load(server))
+    def _finish_work(self, server: Server, attempt: Attempt) -> None:
+        if self._release_slot(server, attempt):
+            self._respond(attempt, AttemptOutcome.ANSWER, self._reported_load(server))
 
-    def _drop(self, attempt: Attempt) -> None:
+    def _cancel(self, attempt: Attempt) -> None:
         server = attempt.server
-        if not self._free(server, attempt) and attempt in server.queue:
+        if not self._release_slot(server, attempt) and attempt in server.queue:
             server.queue.remove(attempt)
 
-    def _load(self, server: Server) -> tuple[int, int, int] | None:
-        slots, tells = server.service.slots, server.service.tells
-        load, before = (len(server.running), len(server.queue), slots), server.told
-        server.told = load
-        if tells == "absent":
+    def _reported_load(self, server: Server) -> tuple[int, int, int] | None:
+        slots, load_report = server.service.slots, server.service.load_report
+        load, before = (len(server.running), len(server.queue), slots), server.last_load
+        server.last_load = load
+        if load_report == "absent":
             return None
-        if tells == "zero":
+        if load_report == "zero":
             return 0, 0, slots
-        if tells == "full":
+        if load_report == "full":
             return slots, server.service.queue, slots
-        return before if tells == "stale" else load
+        return before if load_report == "stale" else load
 
 
 def play(deployment: Deployment, make: SelectorFactory, seed: int) -> Figures:
-    """One day under one way of choosing."""
+    """Run a deployment with one kind of selector and return its figures."""
     return Emulator(deployment, make, seed).run()
--- a/larklb/lab/emulator_deployment.py
+++ b/larklb/lab/emulator_deployment.py
@@ -1,4 +1,4 @@
-"""Deployments that the emulator plays: services, routes, limiters, and troubles between them."""
+"""Deployments for the emulator: services, routes, limiters and faults."""
 
 from __future__ import annotations
 
@@ -9,8 +9,11 @@
 
 @define(frozen=True)
 class Route:
-    """``rate`` a second before it is scaled to the load; ``work`` the mean ms at speed 1, ``spread`` the
-    standard deviation of its logarithm."""
+    """A kind of request.
+
+    `rate` is in requests a second before it is scaled to the load; `work` is the mean time in ms at speed 1
+    and `spread` the standard deviation of its logarithm. `aim` and `deadline` are in ms.
+    """
 
     name: str
     service: str
@@ -25,7 +28,11 @@
 
 @define(frozen=True)
 class Service:
-    """Servers of one kind.  ``strain``: times longer that work takes with all slots in use, less 1."""
+    """Servers of one kind.
+
+    `contention` is the relative increase of the work time with all slots in use. `on_full` is 'hang', 'reset'
+    or 'refuse'; `load_report`, the content of X-Load, is 'true', 'absent', 'zero', 'full' or 'stale'.
+    """
 
     name: str
     servers: int
@@ -33,48 +40,59 @@
     speeds: tuple[float, ...]
     queue: int = 16
     on_full: str = "hang"
-    strain: float = 0.0
-    tells: str = "true"            # X-Load: true, absent, zero, full or stale
+    contention: float = 0.0
+    load_report: str = "true"
 
 
 @define(frozen=True)
 class Fault:
-    """From ``at`` for ``lasts`` ms ``part`` of a service's servers (one at least) are 'slow' by ``times`` or
-    'dark'; or all are replaced one after another ('release'), evenly over ``lasts``."""
+    """A fault of a service, from `at` for `duration` ms.
 
-    what: str
+    Kind 'slow' slows the given fraction of the servers (at least one) down by `factor`; 'dark' makes them
+    unresponsive; 'release' replaces all servers one after another, evenly over the duration.
+    """
+
+    kind: str
     at: float
-    lasts: float
+    duration: float
     service: str
-    part: float = 0.0
-    times: float = 4.0
+    fraction: float = 0.0
+    factor: float = 4.0
 
 
 @define(frozen=True)
 class Deployment:
-    """Who there is, what is asked of them, and what befalls them."""
+    """Limiters, servers, traffic and faults of one run.
+
+    Delays are one way, in ms: `zone_delay` within a zone, `region_delay` between zones and `client_delay`
+    between clients and limiters. `load` is the offered work relative to the capacity; `wave` and `wave_ms`
+    are the amplitude and period of its variation. `length` and `settling` are in ms; requests that begin
+    before the end of the settling time aren't measured. The work of a new server takes `cold_factor` times as
+    long for `cold_ms`.
+    """
 
     name: str
     limiters: int
     zones: tuple[str, ...]
-    inside: float                  # ms one way in a zone ...
-    between: float                 # ... and between zones
-    client: float                  # ... and from clients
+    zone_delay: float
+    region_delay: float
+    client_delay: float
     services: tuple[Service, ...]
     routes: tuple[Route, ...]
     load: float = 0.47
     wave: float = 0.15
     wave_ms: float = 20_000.0
     length: float = 40_000.0
-    settling: float = 10_000.0     # not measured
+    settling: float = 10_000.0
     cold_ms: float = 3_000.0
-    cold: float = 2.0
-    troubles: tuple[Fault, ...] = ()
-    know: bool = True              # limiters start with the day; False: all restart at the end of settling
+    cold_factor: float = 2.0
+    faults: tuple[Fault, ...] = ()
+    # False: all limiters restart, without what they have learned, at the end of the settling time.
+    keep_limiters: bool = True
 
 
 def shop(**changes: Any) -> Deployment:
-    """Twelve limiters before 15 and 12 servers of four slots."""
+    """Return a deployment of 12 limiters with services of 15 and 12 servers of four slots each."""
     return evolve(Deployment(
         "A", 12, ("a", "b", "c"), 0.1, 0.5, 3.0,
         (Service("orders", 15, 4, (0.8, 1.0, 1.25)), Service("stock", 12, 4, (0.7, 1.0, 1.0, 1.5))),
@@ -85,7 +103,7 @@
 
 
 def flags(**changes: Any) -> Deployment:
-    """Fourteen limiters before 17 and 16 servers of two slots."""
+    """Return a deployment of 14 limiters with services of 17 and 16 servers of two slots each."""
     return evolve(Deployment(
         "B", 14, ("a", "b", "c"), 0.1, 1.4, 8.0,
         (Service("live", 17, 2, (0.8, 1.0, 1.25)), Service("history", 16, 2, (0.7, 1.0, 1.0, 1.5))),
--- a/larklb/lab/emulator_rivals.py
+++ b/larklb/lab/emulator_rivals.py
@@ -1,4 +1,4 @@
-"""Plain ways of choosing that the project's own is measured against; all heed what is known to be down."""
+"""Baseline server selectors for comparison; all of them avoid servers known to be down."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 
 @define
 class BaselineSelector(ServerSelector):
-    """The way of choosing differs; servers at rest are passed over alike."""
+    """Base of the selectors, which differ in `best` only; ejected and silent servers are skipped alike."""
 
-    turn: dict[str, int] = field(factory=dict)
+    next_turn: dict[str, int] = field(factory=dict)
 
     def ready(self, now: float, target: str, exclude: Collection[str]) -> list[ServerState]:
-        """Who may be chosen."""
-        most = self.in_flight_limit(target)
-        mine = [p for p in self.by_target.get(target, ())
-                if not p.draining and p.id not in exclude and p.in_flight < most]
-        return [p for p in mine if not (p.silent or p.probing or now < p.ejected_until)] or mine
+        """Return the servers that may be chosen."""
+        max_in_flight = self.in_flight_limit(target)
+        available = [p for p in self.by_target.get(target, ())
+                     if not p.draining and p.id not in exclude and p.in_flight < max_in_flight]
+        return [p for p in available if not (p.silent or p.probing or now < p.ejected_until)] or available
 
     def best(self, now: float, target: str, ready: list[ServerState]) -> ServerState:
-        """One of ``ready``, which isn't empty."""
+        """Return one of `ready`, which isn't empty."""
         raise NotImplementedError
 
     def pick(self, now: float, target: str, route: str, aim: float,
@@ -33,14 +33,14 @@
 
 
 class LeastConnections(BaselineSelector):
-    """The fewest requests in hand from here."""
+    """Selects the server with the fewest requests in flight from this limiter."""
 
     def best(self, now: float, target: str, ready: list[ServerState]) -> ServerState:
         return min(ready, key=lambda p: (p.in_flight, self.random.random()))
 
 
 class TwoChoices(BaselineSelector):
-    """The one with fewer in hand from here, of two by chance."""
+    """Selects the server with fewer requests in flight from this limiter, of two random ones."""
 
     def best(self, now: float, target: str, ready: list[ServerState]) -> ServerState:
         two = self.random.sample(ready, min(2, len(ready)))
@@ -48,7 +48,7 @@
 
 
 class LoadOnly(BaselineSelector):
-    """The least load for each slot as last told, with what has gone there from here."""
+    """Selects the lowest load per slot: the last reported load plus this limiter's requests in flight."""
 
     def best(self, now: float, target: str, ready: list[ServerState]) -> ServerState:
         return min(ready, key=lambda p: ((p.others_in_flight + p.in_flight) / max(1, p.slots),
@@ -56,11 +56,11 @@
 
 
 class RoundRobin(BaselineSelector):
-    """One after another, each limiter from its own place in the list."""
+    """Selects the servers in turn; each limiter begins at a random position."""
 
     def best(self, now: float, target: str, ready: list[ServerState]) -> ServerState:
-        turn = self.turn.setdefault(target, self.random.randrange(1 << 16)) + 1
-        self.turn[target] = turn
+        turn = self.next_turn.setdefault(target, self.random.randrange(1 << 16)) + 1
+        self.next_turn[target] = turn
         return ready[turn % len(ready)]
 
 
