--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -23,22 +23,21 @@
     return lambda number, zone, regions, seed: kind(zone, regions, seed)
 
 
-def overloaded(deployment: Deployment, on_full: str) -> Deployment:
-    """Return the deployment with few servers, short queues no retries and more load than capacity."""
-    services = tuple(evolve(s, servers=3, queue=1, on_full=on_full) for s in deployment.services)
-    return evolve(deployment, services=services, load=1.3,
-                  routes=tuple(evolve(r, tries=1) for r in deployment.routes))
+def overloaded(d: Deployment, on_full: str) -> Deployment:
+    """Return the deployment with few servers, short queues, no retries and more load than capacity."""
+    services = tuple(evolve(s, servers=3, queue=1, on_full=on_full) for s in d.services)
+    return evolve(d, services=services, load=1.3, routes=tuple(evolve(r, tries=1) for r in d.routes))
 
 
 @pytest.mark.parametrize("kind", [*RIVALS.values(), CapacityAwareSelector])
 def test_a_run_is_deterministic_and_every_request_ends_once(kind: type[ServerSelector]) -> None:
-    deployment = flags(**SHORT)
-    deployment = evolve(deployment, faults=(Fault("dark", 4_000.0, 3_000.0, "live", 0.2),
+    d = flags(**SHORT)
+    d = evolve(d, faults=(Fault("dark", 4_000.0, 3_000.0, "live", 0.2),
                             Fault("release", 3_000.0, 6_000.0, "history")))
-    emulator, repetition = (Emulator(deployment, selector_factory(kind), 7) for _ in range(2))
+    emulator, repetition = (Emulator(d, selector_factory(kind), 7) for _ in range(2))
     first = emulator.run()
     assert first.latencies == repetition.run().latencies
-    other = play(deployment, selector_factory(RIVALS["round robin"]), 7)
+    other = play(d, selector_factory(RIVALS["round robin"]), 7)
     assert {r: len(t) for r, t in first.latencies.items()} == {r: len(t) for r, t in other.latencies.items()}
     assert all(p.in_flight == 0 for m in emulator.limiters for p in m.selector.servers.values())
     assert not any(s.running or s.queue for s in emulator.servers.values())
@@ -55,32 +54,31 @@
 
 
 def test_work_takes_the_configured_time() -> None:
-    deployment = shop(load=0.05, wave=0.0, length=200_000.0)
-    deployment = evolve(deployment, services=tuple(evolve(s, speeds=(2.0,)) for s in deployment.services))
-    figures = play(deployment, selector_factory(RIVALS["X-Load only"]), 1)
-    durations = figures.latencies["pull"]
-    assert sum(durations) / len(durations) == pytest.approx(400.0 / 2.0 + 2 * deployment.client_delay, rel=0.05)
+    d = shop(load=0.05, wave=0.0, length=200_000.0)
+    d = evolve(d, services=tuple(evolve(s, speeds=(2.0,)) for s in d.services))
+    figures = play(d, selector_factory(RIVALS["X-Load only"]), 1)
+    pull = figures.latencies["pull"]
+    assert sum(pull) / len(pull) == pytest.approx(400.0 / 2.0 + 2 * d.client_delay, rel=0.05)
     median = math.exp(math.log(400.0) - 0.5 ** 2 / 2.0) / 2.0
-    assert figures.quantile("pull", 0.5) == pytest.approx(median + 2 * deployment.client_delay, rel=0.05)
+    assert figures.quantile("pull", 0.5) == pytest.approx(median + 2 * d.client_delay, rel=0.05)
 
 
 def test_capacity_aware_selection_gains_and_uses_the_weakest_servers() -> None:
-    deployment = flags(load=0.7, length=25_000.0, settling=5_000.0)
+    d = flags(load=0.7, length=25_000.0, settling=5_000.0)
     capacity_aware, baseline = (
-        play(deployment, selector_factory(kind), 4)
-                                for kind in (CapacityAwareSelector, ServerSelector))
+        play(d, selector_factory(kind), 4) for kind in (CapacityAwareSelector, ServerSelector))
     assert capacity_aware.in_aim() > baseline.in_aim() + 0.008
     assert all(capacity_aware.weakest_share(s) > 0.2 for s in capacity_aware.attempts)
 
 
 @pytest.mark.parametrize("load_report", ["absent", "zero", "full", "stale"])
-def test_false_or_missing_load_reports_cost_little(load_report: str) -> None:
-    deployment = flags(**SHORT)
-    misreporting = evolve(deployment, services=tuple(evolve(s, load_report=load_report) for s in deployment.services))
+def test_a_false_or_absent_load_costs_little(load_report: str) -> None:
+    d = flags(**SHORT)
+    misreporting = evolve(d, services=tuple(evolve(s, load_report=load_report) for s in d.services))
     assert play(misreporting, selector_factory(CapacityAwareSelector), 2).in_aim() > 0.95
 
 
 def test_a_release_with_cold_servers_causes_no_herding() -> None:
-    deployment = flags(length=30_000.0)
-    deployment = evolve(deployment, faults=(Fault("release", 10_000.0, 15_000.0, "live"),))
-    assert play(deployment, selector_factory(CapacityAwareSelector), 1).in_aim("lookup") > 0.93
+    d = flags(length=30_000.0)
+    d = evolve(d, faults=(Fault("release", 10_000.0, 15_000.0, "live"),))
+    assert play(d, selector_factory(CapacityAwareSelector), 1).in_aim("lookup") > 0.93
--- a/tests/test_lab_fleet.py
+++ b/tests/test_lab_fleet.py
@@ -84,7 +84,7 @@
     """Its accepted jobs may be lost; after it resumes, it sends nothing to the node that was removed."""
     audit, rig = run_day("stopped", tmp_path)
     # The resumed process and its sends are observed with a delay of up to twice the lag.
-    late = rig.started_at + 12.0 + 0.3 + 2 * rig.lag
+    resumed_at = rig.started_at + 12.0 + 0.3 + 2 * rig.lag
     assert not [at for at, _ in rig.machines["s0"].accepted if at > resumed_at]
     others = outcomes_of(audit, {1, 2, 3, 4, 5}, 0.0, 15.0)
     assert "lost" not in others and "failed" not in others
