--- a/tests/test_hardening.py
+++ b/tests/test_hardening.py
@@ -381,7 +381,7 @@
         requests = [io.Request(f"q{i}", "read", "rate", "c", core.wheel.now() + 3000.0, quota_only=True)
                     for i in range(2)]
         with pytest.raises(MemoryError):
-            await front._asked(requests)
+            await front._check(requests)
         assert not core.jobs and not core.gateway.pending
     asyncio.run(go())
 
