--- a/benchmarks/usage_export.py
+++ b/benchmarks/usage_export.py
@@ -84,7 +84,7 @@
                            for i, x in enumerate(yard.limiters)))
     stop.set()
     await asyncio.gather(*load)
-    receiver.moods = iter(())
+    receiver.behaviours = iter(())
     for limiter in yard.limiters:
         limiter.environment = {}
         await limiter.start()
--- a/benchmarks/zone_leave.py
+++ b/benchmarks/zone_leave.py
@@ -60,7 +60,7 @@
         "after": round(net.served_fraction(lost.at + lost.duration, day.length - END), 3),
         "into": net.attempts_during_fault["b"], "wasted": net.wasted,
         "fallen": net.overloaded_cold_nodes(), "alarms": net.false_departures,
-        "cold": round(max((n.most for n in net.nodes.values()), default=0.0), 2),
+        "cold": round(max((n.max_overload for n in net.nodes.values()), default=0.0), 2),
         "by_second": [round(net.served_fraction(1000.0 * s, 1000.0 * s + 1000.0), 3) for s in seconds],
         "cpu_s": round(time.process_time() - began, 1)}
 
--- a/larklb/lab/script.py
+++ b/larklb/lab/script.py
@@ -1,7 +1,7 @@
-"""What a day of the fleet rig is made of: its size, its load, its faults and what is expected of it, as TOML.
+"""Scenario files of the fleet rig in TOML: the size of the fleet, its load, its faults and expected figures.
 
-Who a fault meets is named by patterns: ``n3`` or ``n*`` are limiters, ``s2`` or ``s*`` are nodes, and ``@a``
-is what stands in zone ``a``.  Limiters and nodes are spread over the zones in turn.
+Patterns select the targets of a fault: ``n3`` or ``n*`` are limiters, ``s2`` or ``s*`` are nodes, and ``@a``
+is everything in zone ``a``.  Limiters and nodes are assigned to the zones in turn.
 """
 
 from __future__ import annotations
@@ -12,39 +12,44 @@
 
 import msgspec
 
-HERE = Path(__file__).parent / "scenarios"
+SCENARIOS_DIR = Path(__file__).parent / "scenarios"
 What = Literal["kill", "pause", "apart", "refused", "silent", "delayed", "failing", "slow", "restart",
                "unlisted", "deaf"]
 
 
 class ScriptError(Exception):
-    """The file cannot be used; the text is one line."""
+    """Raised when a scenario file is unusable; the message is one line."""
 
 
 class Load(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """Tries: ``rate`` a second over the whole fleet, ``customers`` with a set of ``spread`` limiters each;
-    ``hot`` times as many come by the first limiter as by another; ``keyed`` of them are orders."""
+    """The load: ``rate`` jobs per second over the whole fleet from ``customers`` customers.
+
+    Each customer uses a set of ``spread`` limiters, of which ``n0`` receives ``hot`` times as many jobs as
+    any other.  The fraction ``keyed`` of the jobs are orders with an idempotency key.
+    """
 
     rate: float = 80.0
     customers: int = 24
     spread: int = 3
     hot: float = 1.0
     keyed: float = 0.2
-    quota: float = 0.0         # of a customer in units a second, 0: more than it asks for
+    quota: float = 0.0         # units per second of a customer; 0: above its demand
     burst: float = 4.0
 
 
 class Fault(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """``at`` and ``lasts`` in seconds from the first try.
-
-    - ``kill``: limiters ``who`` die, and start anew when it ends; ``pause``: they stop, and go on.
-    - ``apart``: datagrams from ``who`` to limiters ``to`` are lost (``part`` of them), and back unless
-      ``one_way``; ``part`` below 1 with ``who`` and ``to`` alike is a fleet that loses messages.
-    - ``refused``, ``silent``, ``delayed`` (by ``ms``): ways from limiters ``who`` to nodes ``to``.
-    - ``failing``: nodes ``to`` answer 500, to ``service`` alone where one is named; ``slow``: their work
-      takes ``times`` as long; ``restart``: they die, and are back cold when it ends.
-    - ``unlisted``: nodes ``to`` drain and leave the list, and are in it again when it ends.
-    - ``deaf``: limiters ``who`` hear nothing from discovery.
+    """A fault that begins at ``at`` and lasts ``lasts``, in seconds; with ``lasts`` 0 it is never reverted.
+
+    - ``kill``: limiters ``who`` are killed, and restarted at the end; ``pause``: they are stopped and
+      resumed.
+    - ``apart``: the fraction ``part`` of datagrams from ``who`` to limiters ``to`` is lost, and also of those
+      in the other direction unless ``one_way``; ``part`` below 1 with equal ``who`` and ``to``
+      simulates random message loss.
+    - ``refused``, ``silent``, ``delayed`` (by ``ms``): routes from limiters ``who`` to nodes ``to``.
+    - ``failing``: nodes ``to`` answer 500, only to ``service`` if it is set; ``slow``: their work takes
+      ``times`` as long; ``restart``: they are unreachable, and return cold at the end.
+    - ``unlisted``: nodes ``to`` drain and leave the discovery list, and are listed again at the end.
+    - ``deaf``: limiters ``who`` receive no updates from discovery.
     """
 
     at: float
@@ -60,36 +65,39 @@
 
 
 class Script(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """A day; ``expect`` bounds its figures from below and above."""
+    """A scenario; ``expect`` holds the lower and upper bounds of its figures."""
 
     words: str
     limiters: int = 6
     nodes: int = 9
     zones: tuple[str, ...] = ("a", "b", "c")
-    length: float = 10.0                   # s of tries
-    inbox: float = 60.0                    # messages a second that a limiter takes
-    loss: float = 0.02                     # part of the datagrams that is lost on any day
-    work: float = 30.0                     # ms of a node's work on a job, on average
+    length: float = 10.0                   # s of load
+    inbox: float = 60.0                    # messages per second that a limiter accepts
+    loss: float = 0.02                     # fraction of datagrams lost without any fault
+    work: float = 30.0                     # mean service time of a job at a node, in ms
     cores: int = 4
-    operator: str = ""                     # text for the operator's file
+    operator: str = ""                     # text for the operator file
     load: Load = Load()
     fault: tuple[Fault, ...] = ()
     expect: dict[str, tuple[float, float]] = {}
 
     def zone(self, number: int) -> str:
+        """Returns the zone of the limiter or node with this number."""
         return self.zones[number % len(self.zones)]
 
     def limiters_of(self, patterns: tuple[str, ...]) -> list[int]:
-        return [i for i in range(self.limiters) if self._named(f"n{i}", i, patterns)]
+        """Returns the numbers of the limiters that match any of the patterns."""
+        return [i for i in range(self.limiters) if self._matches(f"n{i}", i, patterns)]
 
     def nodes_of(self, patterns: tuple[str, ...]) -> list[str]:
-        return [f"s{i}" for i in range(self.nodes) if self._named(f"s{i}", i, patterns)]
+        """Returns the names of the nodes that match any of the patterns."""
+        return [f"s{i}" for i in range(self.nodes) if self._matches(f"s{i}", i, patterns)]
 
-    def _named(self, name: str, number: int, patterns: tuple[str, ...]) -> bool:
+    def _matches(self, name: str, number: int, patterns: tuple[str, ...]) -> bool:
         return any(fnmatch.fnmatchcase(name, p) or p == f"@{self.zone(number)}" for p in patterns)
 
     def checked(self) -> str:
-        """What makes no sense in it, in one line; empty if all does."""
+        """Returns the first inconsistency found, in one line, or an empty string."""
         if not (1 <= self.limiters <= 32 and 1 <= self.nodes <= 64 and self.zones and 0 < self.length <= 600):
             return "1 to 32 limiters, 1 to 64 nodes, a zone and a length of 600 s at most are needed"
         x = self.load
@@ -107,19 +115,19 @@
 
 
 def load(name: str) -> Script:
-    """A scenario of the rig by its name, or one of the user's by its path; ScriptError where it is no use."""
-    path = HERE / f"{name}.toml" if "/" not in name and not name.endswith(".toml") else Path(name)
+    """Loads a built-in scenario by name, or a scenario file by path; raises ScriptError if it is unusable."""
+    path = SCENARIOS_DIR / f"{name}.toml" if "/" not in name and not name.endswith(".toml") else Path(name)
     try:
         script = msgspec.toml.decode(path.read_bytes(), type=Script)
     except OSError as error:
         raise ScriptError(f"{name}: {error.strerror}") from error
     except (msgspec.DecodeError, ValueError) as error:
         raise ScriptError(f"{name}: {str(error).splitlines()[0]}") from error
-    if why := script.checked():
-        raise ScriptError(f"{name}: {why}")
+    if problem := script.checked():
+        raise ScriptError(f"{name}: {problem}")
     return script
 
 
 def names() -> list[dict[str, Any]]:
-    """The rig's own scenarios."""
-    return [{"name": p.stem, "what": load(p.stem).words} for p in sorted(HERE.glob("*.toml"))]
+    """Returns the name and description of each built-in scenario."""
+    return [{"name": p.stem, "what": load(p.stem).words} for p in sorted(SCENARIOS_DIR.glob("*.toml"))]
--- a/larklb/lab/zones.py
+++ b/larklb/lab/zones.py
@@ -166,7 +166,7 @@
         self.at(now + limit, lambda: self._finish(name, io.Result.TIMEOUT))
         if self._cut_off(i, node):
             return
-        status, service_ms = node.ask(now + delay)
+        status, service_ms = node.submit(now + delay)
         if status == "ok":
             self.at(now + 2 * delay + service_ms, lambda: self._on_response(name, node, now))
         elif status != "silent":
@@ -206,7 +206,7 @@
             self.partitions.append(f)
         for node in self._affected_nodes(f):
             if f.what == "slow":
-                node.times = f.slowdown
+                node.work_factor = f.slowdown
             elif f.what in ("refusing", "silent"):
                 node.state = f.what
                 if f.what == "refusing":
@@ -220,7 +220,7 @@
             self.partitions.remove(f)
         for node in self._affected_nodes(f):
             if f.what == "slow":
-                node.times = 1.0
+                node.work_factor = 1.0
             elif f.what in ("refusing", "silent"):
                 node.start(self.now)
         if f.what in ("refusing", "silent"):
@@ -271,7 +271,7 @@
 
     def overloaded_cold_nodes(self) -> int:
         """Returns how often a cold node failed under load."""
-        return sum(n.fallen for n in self.nodes.values())
+        return sum(n.crashes for n in self.nodes.values())
 
 
 def simulate(day: Day, seed: int) -> ZoneNet:
--- a/tests/receiver.py
+++ b/tests/receiver.py
@@ -1,4 +1,4 @@
-"""A billing receiver: takes CloudEvents batches over HTTP, counts by event id, and misbehaves as told."""
+"""A billing receiver for CloudEvents batches over HTTP that deduplicates by event id and injects faults."""
 
 from __future__ import annotations
 
@@ -14,32 +14,35 @@
 
 
 class Receiver:
-    """Each delivery goes by the next word of ``moods``, then all are taken.
+    """Handles each delivery by the next entry of ``behaviours``, and accepts all deliveries after the last.
 
-    ``break``: stored, and the connection closed without an answer; ``500``: stored, and an error;
-    ``late``: stored, and answered after ``late_s``; ``reset``: reset in the middle of the body; ``old``:
-    not stored, and answered with the former delivery's answer; ``refuse``: 503, not stored.
+    ``break``: stored, and the connection is closed without an answer; ``500``: stored, answered with 500;
+    ``late``: stored, answered after ``late_s``; ``reset``: the connection is reset within the body; ``old``:
+    not stored, answered with the previous acknowledgement; ``refuse``: answered with 503, not stored.
     """
 
-    def __init__(self, moods: Iterable[str] = ()) -> None:
+    def __init__(self, behaviours: Iterable[str] = ()) -> None:
         self.port = free_port()
-        self.moods: Iterator[str] = iter(moods)
+        self.behaviours: Iterator[str] = iter(behaviours)
         self.late_s = 1.0
         self.events: dict[str, dict[str, Any]] = {}
         self.batches: dict[str, bytes] = {}
-        self.differing: list[str] = []        # batches that came again with other bytes
+        self.differing: list[str] = []        # batches delivered again with a different body
         self.deliveries = 0
-        self.last = b""
+        self.last_ack = b""
         self.server: asyncio.Server | None = None
 
     @property
     def url(self) -> str:
+        """The URL that takes deliveries."""
         return f"http://127.0.0.1:{self.port}/use"
 
     async def start(self) -> None:
+        """Starts to listen."""
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", self.port, limit=1 << 24)
 
     async def stop(self) -> None:
+        """Stops listening."""
         assert self.server is not None
         self.server.close()
 
@@ -48,8 +51,8 @@
             lines = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
             headers = {n.lower(): v.strip() for n, _, v in (line.partition(":") for line in lines[1:])}
             self.deliveries += 1
-            mood = next(self.moods, "ok")
-            if mood == "reset":
+            behaviour = next(self.behaviours, "ok")
+            if behaviour == "reset":
                 await reader.readexactly(10)
                 writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER,
                                                            struct.pack("ii", 1, 0))
@@ -57,18 +60,18 @@
                 return
             body = await reader.readexactly(int(headers["content-length"]))
             name = headers["larklb-batch"]
-            if mood not in ("old", "refuse"):
+            if behaviour not in ("old", "refuse"):
                 self._store(name, headers, body)
-            await self._answer(writer, mood, name)
+            await self._answer(writer, behaviour, name)
         writer.close()
 
-    async def _answer(self, writer: asyncio.StreamWriter, mood: str, name: str) -> None:
-        good = http(202, b"", f"Larklb-Batch: {name}")
-        if mood == "late":
+    async def _answer(self, writer: asyncio.StreamWriter, behaviour: str, name: str) -> None:
+        ack = http(202, b"", f"Larklb-Batch: {name}")
+        if behaviour == "late":
             await asyncio.sleep(self.late_s)
         answer = {"break": b"", "500": http(500, b"no"), "refuse": http(503, b"no"),
-                  "old": self.last or http(202, b"", "Larklb-Batch: n9-1-1")}.get(mood, good)
-        self.last = good if mood in ("ok", "late") else self.last
+                  "old": self.last_ack or http(202, b"", "Larklb-Batch: n9-1-1")}.get(behaviour, ack)
+        self.last_ack = ack if behaviour in ("ok", "late") else self.last_ack
         writer.write(answer)
         await writer.drain()
 
@@ -81,7 +84,9 @@
             self.events.setdefault(event["id"], event)
 
     def tries(self) -> int:
+        """Returns the sum of the tries over all events."""
         return sum(e["data"]["tries"] for e in self.events.values())
 
     def units(self) -> float:
+        """Returns the sum of the units over all events."""
         return sum(float(e["data"]["units"]) for e in self.events.values())
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -1,4 +1,4 @@
-"""What stands round the program in the socket tests, and a Redis stand-in."""
+"""Re-exports the test cluster for the socket tests, and provides a Redis server with the commands in use."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class RespServer:
-    """The few Redis commands that the store uses, over RESP; hashes only."""
+    """A Redis server that speaks RESP and supports only the commands of the store, on hashes."""
 
     def __init__(self) -> None:
         self.port = free_port()
@@ -33,9 +33,11 @@
         self.writers: set[asyncio.StreamWriter] = set()
 
     async def start(self) -> None:
+        """Starts to listen."""
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", self.port)
 
     async def stop(self) -> None:
+        """Stops listening and closes all connections."""
         assert self.server is not None
         self.server.close()
         for writer in self.writers:
@@ -45,26 +47,27 @@
         self.writers.add(writer)
         with suppress(asyncio.IncompleteReadError, ConnectionError):
             while True:
-                words = []
+                arguments = []
                 for _ in range(int((await reader.readuntil(b"\r\n"))[1:])):
                     size = int((await reader.readuntil(b"\r\n"))[1:])
-                    words.append((await reader.readexactly(size + 2))[:-2])
-                writer.write(self._answer(words[0].upper(), words[1:]))
+                    arguments.append((await reader.readexactly(size + 2))[:-2])
+                writer.write(self._answer(arguments[0].upper(), arguments[1:]))
         writer.close()
 
-    def _answer(self, name: bytes, words: list[bytes]) -> bytes:
+    def _answer(self, name: bytes, arguments: list[bytes]) -> bytes:
         if name == b"HGETALL":
-            pairs = self.hashes.get(words[0], {})
+            pairs = self.hashes.get(arguments[0], {})
             flat = [x for pair in pairs.items() for x in pair]
             return b"*%d\r\n" % len(flat) + b"".join(b"$%d\r\n%s\r\n" % (len(x), x) for x in flat)
         if name == b"HSET":
-            fields = dict(zip(words[1::2], words[2::2], strict=True))
-            self.hashes.setdefault(words[0], {}).update(fields)
+            fields = dict(zip(arguments[1::2], arguments[2::2], strict=True))
+            self.hashes.setdefault(arguments[0], {}).update(fields)
             return b":%d\r\n" % len(fields)
         if name == b"HDEL":
-            return b":%d\r\n" % sum(self.hashes.get(words[0], {}).pop(f, None) is not None for f in words[1:])
+            return b":%d\r\n" % sum(
+                self.hashes.get(arguments[0], {}).pop(f, None) is not None for f in arguments[1:])
         if name == b"EXPIRE":
-            return b":%d\r\n" % (words[0] in self.hashes)
+            return b":%d\r\n" % (arguments[0] in self.hashes)
         if name in (b"CLIENT", b"PING"):
             return b"+OK\r\n"
         return b"-ERR unknown command\r\n"
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -487,14 +487,14 @@
 def test_a_simulated_node_queues_warms_up_and_fails_under_overload() -> None:
     model = Model(work=100.0, cores=1, cold_share=0.5, warm_ms=1000.0, tip=2.0, tip_ms=1000.0)
     node = Node("s", "a", model, random.Random(1))
-    assert node.ask(0.0)[0] == "ok" and node.ask(0.0)[1] > 100.0
-    assert [node.ask(0.0)[0] for _ in range(30)].count("full") > 0
+    assert node.submit(0.0)[0] == "ok" and node.submit(0.0)[1] > 100.0
+    assert [node.submit(0.0)[0] for _ in range(30)].count("full") > 0
     node.start(10_000.0)
     assert node.warmth(10_000.0) == 0.5 and node.warmth(10_500.0) == 0.75 and node.warmth(11_000.0) == 1.0
-    said = [node.ask(10_000.0 + n)[0] for n in range(60)]
-    assert node.fallen == 1 and said[-1] == "refusing" and node.most > 1.0
+    said = [node.submit(10_000.0 + n)[0] for n in range(60)]
+    assert node.crashes == 1 and said[-1] == "refusing" and node.max_overload > 1.0
     node.state = "silent"
-    assert node.ask(20_000.0) == ("silent", 0.0)
+    assert node.submit(20_000.0) == ("silent", 0.0)
 
 
 # Real processes -----------------------------------------------------------------------------
