--- a/benchmarks/fleet_limits.py
+++ b/benchmarks/fleet_limits.py
@@ -89,15 +89,15 @@
     limiters, spaced, seed = asked
     scenario = net.Scenario("fleet", "", loss=LOSS)
     customers = net.customers_of(scenario, limiters, limiters * 6, min(3, limiters), seed)
-    all_ask = sum(c.asks(0.0) for c in customers)
+    all_ask = sum(c.demand(0.0) for c in customers)
     for c in customers:
-        rate = c.asks(0.0) * RATE * limiters / all_ask
-        c.asks = lambda now, rate=rate: rate         # type: ignore[misc]
+        rate = c.demand(0.0) * RATE * limiters / all_ask
+        c.demand = lambda now, rate=rate: rate         # type: ignore[misc]
     day = Waits(limiters, customers, net.link_of(scenario, limiters), seed, spaced)
     day.run(SECONDS * 1000.0)
-    tries = sum(c.tried for c in customers)
+    tries = sum(c.tries for c in customers)
     return Wait(statistics.mean(day.waits), sum(w > 500.0 for w in day.waits) / len(day.waits),
-                day.messages / limiters / SECONDS, day.bytes / tries, day.spent / tries * 1e6, day.late)
+                day.messages / limiters / SECONDS, day.bytes / tries, day.spent / tries * 1e6, day.overflowed)
 
 
 class Ages(NamedTuple):
--- a/benchmarks/quota_error.py
+++ b/benchmarks/quota_error.py
@@ -44,9 +44,9 @@
     played = net.play(name, seed, book=lambda number: Entitlements(net.PLANS, settle=settle, reserve=reserve))
     over, refused = net.totals(played)
     s = net.SCENARIOS[name]
-    parts = [max(c.most_over / b.over, c.most_under / b.under) for c in played.customers
+    parts = [max(c.max_over / b.over, c.max_under / b.under) for c in played.customers
              for b in (net.bound_of(s, c, reserve),)]
-    tries = sum(c.tried for c in played.customers)
+    tries = sum(c.tries for c in played.customers)
     return Figures(over, refused, max(c.over for c in played.customers),
                    max(c.refused for c in played.customers), max(parts), played.bytes / tries)
 
@@ -68,14 +68,14 @@
     found = net.customers_of(scenario, limiters, customers, 3, 5)
     for c in found:                          # most ask seldom: as many tries in all as a busy fleet has
         rate = c.plan.rate * chance.choice((0.01, 0.01, 0.01, 0.1, 1.2 if chance.random() < 0.02 else 0.02))
-        c.asks = lambda now, rate=rate: rate         # type: ignore[misc]
+        c.demand = lambda now, rate=rate: rate         # type: ignore[misc]
     before = memory_mb(os.getpid())
     began = time.process_time()
     played = net.Net(limiters, found, net.link_of(scenario, limiters), 5)
     played.run(seconds * 1000.0)
     spent = time.process_time() - began
     memory = memory_mb(os.getpid()) - before
-    tries = sum(c.tried for c in found)
+    tries = sum(c.tries for c in found)
     over, refused = net.totals(played)
     return (f"{limiters} limiters, {customers} customers, {seconds:g} s with a cut of {seconds / 5:g} s: "
             f"{tries} tries, over {over:.3%}, refused wrongly {refused:.3%}, "
@@ -93,7 +93,7 @@
             began = time.process_time()
             played = net.play("calm", seed, book=lambda number, on=settle: Entitlements(   # type: ignore[misc]
                 net.PLANS, settle=on))
-            spent[settle] = (time.process_time() - began) / sum(c.tried for c in played.customers)
+            spent[settle] = (time.process_time() - began) / sum(c.tries for c in played.customers)
         ratios.append(spent[True] / spent[False])
     return statistics.median(ratios)
 
--- a/larklb/lab/net.py
+++ b/larklb/lab/net.py
@@ -1,7 +1,7 @@
-"""Several limiters' modules in one process under a scripted network, in simulated time, the same for a seed.
+"""Deterministic simulation of several limiters in one process over a scripted network, in simulated time.
 
-Links lose, delay, repeat, reorder and cut messages as a scenario says; execute nodes answer soon and always.
-What the limiters let in is laid beside one perfect bucket per customer, which sees every try as it comes.
+Links lose, delay, duplicate, reorder and cut messages as a scenario says; execute nodes always answer soon.
+The admitted tries are compared with one ideal token bucket per customer that sees every try on arrival.
 """
 
 from __future__ import annotations
@@ -18,42 +18,43 @@
 from larklb.quota.ring import digest, members, ring_owner
 from larklb.quota.shares import ErrorBound, error_bound
 
-SERVE = 60.0               # ms for which an execute node works on a job
-DELAY = (1.0, 39.0)        # ms of a message, from the operators' brief
-LOOK, LOOK_SELDOM = 250.0, 5000.0      # ms between looks at what a customer asks for, often or seldom
-OFTEN = 0.1                # tries a second from which on a customer is looked at often
+SERVICE_TIME_MS = 60.0     # of a job at an execute node
+MESSAGE_DELAY_MS = (1.0, 39.0)         # range from the operators' requirements
+# Intervals at which the demand of a customer is read again: above and below the rate that counts as frequent.
+REFRESH_MS, SLOW_REFRESH_MS = 250.0, 5000.0
+FREQUENT_RATE = 0.1        # tries per second
 AIM, DEADLINE = 1500.0, 4000.0
 PLANS = (io.Plan("taller", rate=1.4, burst=6.0), io.Plan("astillero", rate=9.0, burst=16.0))
 CLASSES = (io.ServiceClass("stock-check", aim=AIM, deadline=DEADLINE),)
 
 
 @dataclass
-class Fate:
-    """What becomes of one message: each copy arrives after so many ms; none, and it is lost."""
+class Delivery:
+    """The delays in ms after which the copies of one message arrive; empty if it is lost."""
 
-    arrives: tuple[float, ...]
+    delays_ms: tuple[float, ...]
 
 
-Link = Callable[[float, int, int, random.Random], Fate]
-"""The network: time, sender, receiver and chance give the fate of a message."""
+Link = Callable[[float, int, int, random.Random], Delivery]
+"""The network: maps time, sender, receiver and random source to the delivery of a message."""
 
 
 @dataclass
 class Customer:
-    """One customer's demand; ``asks`` gives tries a second at a time, ``where`` the limiter for one."""
+    """The demand of one customer: ``demand`` is its rate in tries per second at a time."""
 
     name: str
     plan: io.Plan
     first: int
     spread: int
-    asks: Callable[[float], float]
-    where: Callable[[float, random.Random], int]
+    demand: Callable[[float], float]
+    choose_limiter: Callable[[float, random.Random], int]
     perfect: TokenBucket = field(init=False)
-    ideal: float = 0.0         # units that one perfect bucket has granted
-    let: float = 0.0           # units that the limiters have let in
-    tried: int = 0
-    most_over: float = 0.0     # the largest lead of ``let`` over ``ideal`` so far, in units
-    most_under: float = 0.0    # ... and of ``ideal`` over ``let``, judged when a try's fate is known
+    ideal: float = 0.0         # units granted by one ideal bucket
+    admitted: float = 0.0           # units admitted by the limiters
+    tries: int = 0
+    max_over: float = 0.0     # largest excess of ``admitted`` over ``ideal``, in units
+    max_under: float = 0.0    # the same for ``ideal`` over ``admitted``, when a try ends
 
     def __post_init__(self) -> None:
         self.perfect = TokenBucket(self.plan.rate, self.plan.burst, self.plan.burst, 0.0)
@@ -70,23 +71,23 @@
 
     @property
     def over(self) -> float:
-        """Part let in beyond what one perfect bucket grants."""
-        return max(0.0, self.let - self.ideal) / self.ideal if self.ideal else 0.0
+        """Units admitted beyond the ideal bucket, as a fraction of what it grants."""
+        return max(0.0, self.admitted - self.ideal) / self.ideal if self.ideal else 0.0
 
     @property
     def refused(self) -> float:
-        """Part of what one perfect bucket grants that was refused."""
-        return max(0.0, self.ideal - self.let) / self.ideal if self.ideal else 0.0
+        """Units refused although the ideal bucket grants them, as a fraction of what it grants."""
+        return max(0.0, self.ideal - self.admitted) / self.ideal if self.ideal else 0.0
 
 
 class Net:
-    """The whole of it; ``run`` plays until a time."""
+    """The simulation; ``run`` advances it to a given time."""
 
     def __init__(self, gateways: int, customers: list[Customer], link: Link, seed: int, *,
                  plans: tuple[io.Plan, ...] = PLANS, inbox: float = 60.0,
                  servers: tuple[io.Entry, ...] = (),
                  book: Callable[[int], Entitlements | None] = lambda number: None) -> None:
-        """``servers``: the list that all limiters start with; none: four for each limiter."""
+        """``servers`` is the initial list of all limiters; if empty, four servers for each limiter."""
         self.customers, self.link, self.book, self.inbox = customers, link, book, inbox
         self.chance = random.Random(seed)
         self.now = 0.0
@@ -97,7 +98,7 @@
         self.gateways: dict[int, Gateway] = {}
         self.starts = [0] * gateways
         self.of: dict[str, Customer] = {}
-        self.messages = self.bytes = self.late = 0
+        self.messages = self.bytes = self.overflowed = 0
         self.inboxes: dict[int, list[float]] = {}
         self.watch: Callable[[float], object] = bool          # called after each event, with the time
         self.servers = servers or tuple(io.Entry(f"s{i}") for i in range(4 * gateways))
@@ -111,11 +112,12 @@
                            inbox_per_s=self.inbox, max_attempts=4, max_retry_after=500.0, can_cancel=True)
 
     def at(self, when: float, act: Callable[[], object]) -> None:
+        """Schedules an action at a time in ms."""
         self.count += 1
         heapq.heappush(self.queue, (when, self.count, act))
 
     def begin(self, i: int) -> None:
-        """Starts a limiter, or starts it again from nothing."""
+        """Starts a limiter, or restarts it without state."""
         self.starts[i] += 1
         seed = self.chance.randrange(1 << 30)
         gateway = self.gateways[i] = Gateway(self.settings(i), seed, self.now, self.book(i))
@@ -127,6 +129,7 @@
         self.gateways.pop(i, None)
 
     def feed(self, i: int, event: io.Event) -> None:
+        """Passes an event to a limiter and carries out its actions; ignored if the limiter is down."""
         gateway = self.gateways.get(i)
         if gateway is not None:
             self._carry_out(i, gateway.handle(self.now, event))
@@ -136,7 +139,7 @@
         start = self.starts[i]
 
         def later(delay: float, event: io.Event) -> None:
-            # What was meant for a process that has died reaches nobody.
+            # Events for a process that has ended are dropped.
             self.at(self.now + delay, lambda: self.feed(i, event) if self.starts[i] == start else None)
 
         for a in actions:
@@ -153,48 +156,49 @@
                     self._cancel(a, later)
                 case io.Refuse() | io.Fail() if a.request in self.of:
                     c = self.of.pop(a.request)
-                    c.most_under = max(c.most_under, c.ideal - c.let)
+                    c.max_under = max(c.max_under, c.ideal - c.admitted)
 
     def _send(self, i: int, a: io.Send, later: Callable[[float, io.Event], None]) -> None:
-        """An attempt of limiter ``i``; here each is answered soon."""
+        """Performs an attempt of limiter ``i``; here each succeeds after the service time."""
         self._let(a.request)
-        later(SERVE, io.Outcome(a.request, 0, a.server, io.Result.OK, SERVE, True))
+        later(SERVICE_TIME_MS, io.Outcome(a.request, 0, a.server, io.Result.OK, SERVICE_TIME_MS, True))
 
     def _cancel(self, a: io.Cancel, later: Callable[[float, io.Event], None]) -> None:
-        """An attempt is called off; here none lasts long enough."""
+        """Cancels an attempt; a no-op here, because attempts end too soon to be cancelled."""
 
     def _let(self, request: str) -> None:
         c = self.of.pop(request, None)
         if c is not None:
-            c.let += 1.0
-            c.most_over = max(c.most_over, c.let - c.ideal)
+            c.admitted += 1.0
+            c.max_over = max(c.max_over, c.admitted - c.ideal)
 
     def _tell(self, sender: int, peer: int, data: bytes) -> None:
         self.messages += 1
         self.bytes += len(data)
-        for delay in self.link(self.now, sender, peer, self.chance).arrives:
+        for delay in self.link(self.now, sender, peer, self.chance).delays_ms:
             self.at(self.now + delay, lambda: self._arrive(sender, peer, data))
 
     def _arrive(self, sender: int, peer: int, data: bytes) -> None:
         inbox = self.inboxes.setdefault(peer, [])
         inbox[:] = [t for t in inbox if t > self.now - 1000.0]
-        if len(inbox) >= self.inbox * 1.5:         # what exceeds an inbox is lost, uneven moments apart
-            self.late += 1
+        if len(inbox) >= self.inbox * 1.5:         # the excess is lost, with a margin for bursts
+            self.overflowed += 1
             return
         inbox.append(self.now)
         self.feed(peer, io.PeerMessage(sender, data))
 
     def _next_try(self, c: Customer) -> None:
-        rate = c.asks(self.now)
-        look = LOOK if rate >= OFTEN else LOOK_SELDOM          # a rate may have changed by then
-        wait = self.chance.expovariate(rate) * 1000.0 if rate > 0 else look + 1.0
-        self.at(self.now + min(wait, look), lambda: self._try(c, wait <= look))
+        rate = c.demand(self.now)
+        # The rate may change before the next try, so it is read again after this time.
+        refresh_ms = REFRESH_MS if rate >= FREQUENT_RATE else SLOW_REFRESH_MS
+        wait = self.chance.expovariate(rate) * 1000.0 if rate > 0 else refresh_ms + 1.0
+        self.at(self.now + min(wait, refresh_ms), lambda: self._try(c, wait <= refresh_ms))
 
     def _try(self, c: Customer, real: bool) -> None:
         if real:
-            c.tried += 1
-            name = f"{c.name}-{c.tried}"
-            i = c.where(self.now, self.chance)
+            c.tries += 1
+            name = f"{c.name}-{c.tries}"
+            i = c.choose_limiter(self.now, self.chance)
             if i in self.gateways:
                 c.perfect.fill(self.now)
                 if c.perfect.tokens >= 1.0 - 1e-9:
@@ -206,6 +210,7 @@
         self._next_try(c)
 
     def run(self, until: float) -> None:
+        """Processes all events up to a time in ms."""
         while self.queue and self.queue[0][0] <= until:
             self.now, _, act = heapq.heappop(self.queue)
             act()
@@ -217,17 +222,17 @@
 
 @dataclass(frozen=True)
 class Scenario:
-    """A day: how messages fare, what is restarted when, where traffic goes."""
+    """A scenario: message faults, restarts of limiters and shifts of traffic."""
 
     name: str
     words: str
     loss: float = 0.02
-    cuts: tuple[tuple[float, float], ...] = ()         # ms from and to; the halves do not hear each other
-    one_way: bool = False                              # ... and only the first half's words are lost
-    repeats: float = 0.0                               # part of the messages that come twice
-    spread_ms: float = 0.0                             # further delay at random: reorders
-    moved: tuple[float, float] | None = None           # all customers' traffic goes to the side without owner
-    restarts: tuple[tuple[float, float, int], ...] = ()        # ms, ms down, limiter (by rank: 0 may own)
+    cuts: tuple[tuple[float, float], ...] = ()         # start and end in ms of partitions between the halves
+    one_way: bool = False                              # only messages from the first half are lost
+    repeats: float = 0.0                               # fraction of duplicated messages
+    spread_ms: float = 0.0                             # maximum extra random delay, which reorders
+    moved: tuple[float, float] | None = None           # traffic goes to the side without the owner
+    restarts: tuple[tuple[float, float, int], ...] = ()        # time in ms, downtime in ms, limiter
     length: float = 60000.0
 
 
@@ -260,22 +265,22 @@
 
 
 def link_of(s: Scenario, gateways: int) -> Link:
-    """The network of a scenario; the halves are the lower and the upper numbers."""
+    """Returns the network of a scenario; the halves are the lower and the upper limiter numbers."""
     half = gateways // 2
 
-    def link(now: float, sender: int, to: int, chance: random.Random) -> Fate:
+    def link(now: float, sender: int, to: int, chance: random.Random) -> Delivery:
         apart = (sender < half) != (to < half) and any(a <= now < b for a, b in s.cuts)
         if apart and (not s.one_way or sender < half) or chance.random() < s.loss:
-            return Fate(())
-        delays = [chance.uniform(*DELAY) + chance.uniform(0.0, s.spread_ms)]
+            return Delivery(())
+        delays = [chance.uniform(*MESSAGE_DELAY_MS) + chance.uniform(0.0, s.spread_ms)]
         if chance.random() < s.repeats:
             delays.append(delays[0] + chance.uniform(0.0, 300.0))
-        return Fate(tuple(delays))
+        return Delivery(tuple(delays))
     return link
 
 
 def customers_of(s: Scenario, gateways: int, count: int, spread: int, seed: int) -> list[Customer]:
-    """Demand from well under to several times the quota, uneven over the limiters, as the brief has it."""
+    """Returns customers whose demand is 0.3 to 3 times their quota, unevenly spread over the limiters."""
     chance = random.Random(seed * 1000003 + 17)
     half, found = gateways // 2, []
     for n in range(count):
@@ -295,14 +300,14 @@
                 return chance.choice(away)
             return chance.choices(within, ranks)[0]
 
-        c.where = where
+        c.choose_limiter = where
         found.append(c)
     return found
 
 
 def play(name: str, seed: int, *, gateways: int = 4, count: int = 24, spread: int = 3,
          book: Callable[[int], Entitlements | None] = lambda number: None) -> Net:
-    """One day of a scenario."""
+    """Runs a scenario to its end."""
     s = SCENARIOS[name]
     net = Net(gateways, customers_of(s, gateways, count, spread, seed), link_of(s, gateways), seed, book=book)
     for at, down, i in s.restarts:
@@ -313,28 +318,28 @@
 
 
 def totals(net: Net) -> tuple[float, float]:
-    """Parts of all that perfect buckets grant: let in beyond it, and refused of it, summed by customer."""
+    """Returns the totals over all customers of excess and of wrongly refused units, relative to the ideal."""
     ideal = sum(c.ideal for c in net.customers)
-    return (sum(max(0.0, c.let - c.ideal) for c in net.customers) / ideal,
-            sum(max(0.0, c.ideal - c.let) for c in net.customers) / ideal)
+    return (sum(max(0.0, c.admitted - c.ideal) for c in net.customers) / ideal,
+            sum(max(0.0, c.ideal - c.admitted) for c in net.customers) / ideal)
 
 
 def bound_of(s: Scenario, c: Customer, reserve: float) -> ErrorBound:
-    """The bound stated in advance for a customer of a scenario, in units."""
+    """Returns the a-priori error bound in units for a customer of a scenario."""
     apart = max((b - a for a, b in s.cuts), default=0.0) / 1000.0
     return error_bound(c.plan.rate, c.plan.burst, c.spread, loss=s.loss, apart_s=apart, reserve=reserve,
                        restarts=len(s.restarts), cuts=len(s.cuts))
 
 
 def rows(net: Net, s: Scenario, reserve: float) -> list[dict[str, object]]:
-    """Each customer of a day, for a table."""
+    """Returns one table row for each customer."""
     found: list[dict[str, object]] = []
     for c in net.customers:
         b = bound_of(s, c, reserve)
         found.append({"customer": c.name.lstrip("0") or "0", "plan": c.plan.name,
-                      "load": f"{c.asks(0.0) / c.plan.rate:.2f}", "owner": c.owner(net.number),
-                      "tried": c.tried, "perfect": round(c.ideal), "let in": round(c.let),
+                      "load": f"{c.demand(0.0) / c.plan.rate:.2f}", "owner": c.owner(net.number),
+                      "tried": c.tries, "perfect": round(c.ideal), "let in": round(c.admitted),
                       "over": f"{c.over:.1%}", "refused": f"{c.refused:.1%}",
-                      "most over": round(c.most_over, 1), "bound over": round(b.over, 1),
-                      "most under": round(c.most_under, 1), "bound under": round(b.under, 1)})
+                      "most over": round(c.max_over, 1), "bound over": round(b.over, 1),
+                      "most under": round(c.max_under, 1), "bound under": round(b.under, 1)})
     return found
--- a/larklb/lab/zones.py
+++ b/larklb/lab/zones.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field, replace
 
 from larklb import interface as io
-from larklb.lab.net import Customer, Fate, Net
+from larklb.lab.net import Customer, Delivery, Net
 from larklb.lab.nodes import Model, Node
 
 # Target and deadline of a request, in ms.
@@ -110,7 +110,7 @@
         rate = day.rate * rng.uniform(0.5, 1.5)
         c = Customer(f"{i:016x}", io.Plan("taller", rate=6.0 * day.rate, burst=12.0 * day.rate), i, spread,
                      lambda now: rate, lambda now, rng: 0)
-        c.where = lambda now, rng: rng.choice(c.members(day.limiters))
+        c.choose_limiter = lambda now, rng: rng.choice(c.members(day.limiters))
         return c
 
     def settings(self, number: int) -> io.Settings:
@@ -132,12 +132,12 @@
 
     # The network --------------------------------------------------------------------------
 
-    def _link(self, now: float, sender: int, to: int, rng: random.Random) -> Fate:
+    def _link(self, now: float, sender: int, to: int, rng: random.Random) -> Delivery:
         partitioned = any(f.fraction >= 1.0 and (self.zone(sender) == f.zone) != (self.zone(to) == f.zone)
                     for f in self.partitions)
         if rng.random() < self.day.loss or partitioned:
-            return Fate(())
-        return Fate((rng.uniform(*MESSAGE_DELAY_MS),))
+            return Delivery(())
+        return Delivery((rng.uniform(*MESSAGE_DELAY_MS),))
 
     def _cut_off(self, limiter: int, node: Node) -> bool:
         return any((self.zone(limiter) == f.zone) != (node.zone == f.zone) and (
@@ -148,7 +148,7 @@
 
     def _try(self, c: Customer, real: bool) -> None:
         if real:
-            self.arrived_at[f"{c.name}-{c.tried + 1}"] = self.now
+            self.arrived_at[f"{c.name}-{c.tries + 1}"] = self.now
             self.arrivals[int(self.now // 1000)] += 1
         super()._try(c, real)
 
--- a/tests/test_settling.py
+++ b/tests/test_settling.py
@@ -243,7 +243,7 @@
     day, s = played(name, 1), net.SCENARIOS[name]
     for c in day.customers:
         b = net.bound_of(s, c, 1.0)
-        assert c.most_over <= b.over and c.most_under <= b.under
+        assert c.max_over <= b.over and c.max_under <= b.under
         assert c.over <= most_over and c.refused <= most_refused
     assert max(g for g in (len(x.fallback.settlement.local_counts) for x in day.gateways.values())) <= 10
 
@@ -261,7 +261,7 @@
 
 def test_simulated_day_is_determined_by_its_seed() -> None:
     one, two = played("flapping", 3), played("flapping", 3)
-    assert [(c.let, c.ideal) for c in one.customers] == [(c.let, c.ideal) for c in two.customers]
+    assert [(c.admitted, c.ideal) for c in one.customers] == [(c.admitted, c.ideal) for c in two.customers]
     assert (one.messages, one.bytes) == (two.messages, two.bytes)
     assert played("flapping", 4).messages != one.messages
 
@@ -281,7 +281,7 @@
 
 def test_messages_stay_within_their_size_and_the_inbox() -> None:
     day = played("flapping", 2)
-    assert day.late == 0 and day.bytes / day.messages < 128
+    assert day.overflowed == 0 and day.bytes / day.messages < 128
     longest = pw.pack_item(pw.Count(1 << 63, 255, 1 << 31, 1e6, 1e5))
     assert len(longest) == COUNT_BYTES and len(pw.pack_item(pw.BucketCopy(1, 1, 1.0))) == COPY_BYTES
     assert pw.unpack(bytes([pw.VERSION]) + longest) == [
@@ -298,7 +298,7 @@
     text = version(1, 25000.0, "[version.plans.astillero]\nrate = 4.5\nburst = 8.0")
     s = net.SCENARIOS["split"]
     customers = net.customers_of(s, 4, 8, 3, 3)
-    who = next(c for c in customers if c.plan.name == "taller" and c.asks(0.0) > c.plan.rate)
+    who = next(c for c in customers if c.plan.name == "taller" and c.demand(0.0) > c.plan.rate)
 
     def book(number: int) -> Entitlements:
         held = Reservations(Held(), 4, number)
@@ -311,8 +311,8 @@
     for c in customers:
         b = error_bound(c.plan.rate, c.plan.burst, 3, loss=s.loss, apart_s=15.0, reserve=1.0)
         extra = 12.0 * (2 - 1 / 3) if c is who else 0.0
-        assert c.let - c.ideal <= b.over + extra
-    assert who.let - who.ideal > 5.0, "reserved units were drawn"
+        assert c.admitted - c.ideal <= b.over + extra
+    assert who.admitted - who.ideal > 5.0, "reserved units were drawn"
     reserved = day.gateways[who.owner(4)].entitlements.reservations
     assert reserved is not None
     drawn = reserved.by_name["refit"]
