--- a/benchmarks/quota_error.py
+++ b/benchmarks/quota_error.py
@@ -41,7 +41,8 @@
 def day(asked: tuple[str, int, str]) -> Figures:
     name, seed, mode = asked
     settle, reserve = MODES[mode]
-    played = net.play(name, seed, book=lambda number: Entitlements(net.PLANS, settle=settle, reserve=reserve))
+    played = net.play(
+        name, seed, entitlements_of=lambda number: Entitlements(net.PLANS, settle=settle, reserve=reserve))
     over, refused = net.totals(played)
     s = net.SCENARIOS[name]
     parts = [max(c.max_over / b.over, c.max_under / b.under) for c in played.customers
@@ -91,7 +92,7 @@
         spent = {}
         for settle in ((False, True), (True, False))[seed % 2]:
             began = time.process_time()
-            played = net.play("calm", seed, book=lambda number, on=settle: Entitlements(   # type: ignore[misc]
+            played = net.play("calm", seed, entitlements_of=lambda number, on=settle: Entitlements(   # type: ignore[misc]
                 net.PLANS, settle=on))
             spent[settle] = (time.process_time() - began) / sum(c.tries for c in played.customers)
         ratios.append(spent[True] / spent[False])
--- a/larklb/cli/lab.py
+++ b/larklb/cli/lab.py
@@ -55,7 +55,7 @@
     if scenario not in net.SCENARIOS:
         raise exit_error(f"there is no scenario {scenario!r}: see --scenario list")
     day = net.play(scenario, seed,
-                   book=lambda number: Entitlements(net.PLANS, settle=settle, reserve=reserve))
+                   entitlements_of=lambda number: Entitlements(net.PLANS, settle=settle, reserve=reserve))
     print_rows(net.rows(day, net.SCENARIOS[scenario], reserve),
                ("customer", "plan", "load", "owner", "tried", "perfect", "let in", "over", "refused",
                 "most over", "bound over", "most under", "bound under"), as_json)
--- a/larklb/lab/net.py
+++ b/larklb/lab/net.py
@@ -86,10 +86,10 @@
     def __init__(self, gateways: int, customers: list[Customer], link: Link, seed: int, *,
                  plans: tuple[io.Plan, ...] = PLANS, inbox: float = 60.0,
                  servers: tuple[io.Entry, ...] = (),
-                 book: Callable[[int], Entitlements | None] = lambda number: None) -> None:
+                 entitlements_of: Callable[[int], Entitlements | None] = lambda number: None) -> None:
         """``servers`` is the initial list of all limiters; if empty, four servers for each limiter."""
-        self.customers, self.link, self.book, self.inbox = customers, link, book, inbox
-        self.chance = random.Random(seed)
+        self.customers, self.link, self.entitlements_of, self.inbox = customers, link, entitlements_of, inbox
+        self.random_source = random.Random(seed)
         self.now = 0.0
         self.queue: list[tuple[float, int, Callable[[], object]]] = []
         self.count = 0
@@ -97,7 +97,7 @@
         self.number = gateways
         self.gateways: dict[int, Gateway] = {}
         self.starts = [0] * gateways
-        self.of: dict[str, Customer] = {}
+        self.customer_by_request: dict[str, Customer] = {}
         self.messages = self.bytes = self.overflowed = 0
         self.inboxes: dict[int, list[float]] = {}
         self.watch: Callable[[float], object] = bool          # called after each event, with the time
@@ -119,8 +119,8 @@
     def begin(self, i: int) -> None:
         """Starts a limiter, or restarts it without state."""
         self.starts[i] += 1
-        seed = self.chance.randrange(1 << 30)
-        gateway = self.gateways[i] = Gateway(self.settings(i), seed, self.now, self.book(i))
+        seed = self.random_source.randrange(1 << 30)
+        gateway = self.gateways[i] = Gateway(self.settings(i), seed, self.now, self.entitlements_of(i))
         self._carry_out(i, gateway.start(self.now))
         self.feed(i, io.ServerList(io.ListKind.CACHED, 1, self.servers))
 
@@ -154,8 +154,8 @@
                     self._tell(i, a.peer, a.data)
                 case io.Cancel():
                     self._cancel(a, later)
-                case io.Refuse() | io.Fail() if a.request in self.of:
-                    c = self.of.pop(a.request)
+                case io.Refuse() | io.Fail() if a.request in self.customer_by_request:
+                    c = self.customer_by_request.pop(a.request)
                     c.max_under = max(c.max_under, c.ideal - c.admitted)
 
     def _send(self, i: int, a: io.Send, later: Callable[[float, io.Event], None]) -> None:
@@ -167,7 +167,7 @@
         """Cancels an attempt; a no-op here, because attempts end too soon to be cancelled."""
 
     def _let(self, request: str) -> None:
-        c = self.of.pop(request, None)
+        c = self.customer_by_request.pop(request, None)
         if c is not None:
             c.admitted += 1.0
             c.max_over = max(c.max_over, c.admitted - c.ideal)
@@ -175,7 +175,7 @@
     def _tell(self, sender: int, peer: int, data: bytes) -> None:
         self.messages += 1
         self.bytes += len(data)
-        for delay in self.link(self.now, sender, peer, self.chance).delays_ms:
+        for delay in self.link(self.now, sender, peer, self.random_source).delays_ms:
             self.at(self.now + delay, lambda: self._arrive(sender, peer, data))
 
     def _arrive(self, sender: int, peer: int, data: bytes) -> None:
@@ -191,20 +191,20 @@
         rate = c.demand(self.now)
         # The rate may change before the next try, so it is read again after this time.
         refresh_ms = REFRESH_MS if rate >= FREQUENT_RATE else SLOW_REFRESH_MS
-        wait = self.chance.expovariate(rate) * 1000.0 if rate > 0 else refresh_ms + 1.0
+        wait = self.random_source.expovariate(rate) * 1000.0 if rate > 0 else refresh_ms + 1.0
         self.at(self.now + min(wait, refresh_ms), lambda: self._try(c, wait <= refresh_ms))
 
     def _try(self, c: Customer, real: bool) -> None:
         if real:
             c.tries += 1
             name = f"{c.name}-{c.tries}"
-            i = c.choose_limiter(self.now, self.chance)
+            i = c.choose_limiter(self.now, self.random_source)
             if i in self.gateways:
                 c.perfect.fill(self.now)
                 if c.perfect.tokens >= 1.0 - 1e-9:
                     c.perfect.tokens -= 1.0
                     c.ideal += 1.0
-                self.of[name] = c
+                self.customer_by_request[name] = c
                 self.feed(i, io.Request(name, "stock-check", c.plan.name, c.name, self.now + DEADLINE,
                                         first=c.first, spread=c.spread))
         self._next_try(c)
@@ -237,9 +237,9 @@
 
 
 def _flaps() -> Iterator[tuple[float, float]]:
-    chance, at = random.Random(7), 15000.0
+    random_source, at = random.Random(7), 15000.0
     while at < 45000.0:
-        cut, up = chance.uniform(1000.0, 3000.0), chance.uniform(1000.0, 3000.0)
+        cut, up = random_source.uniform(1000.0, 3000.0), random_source.uniform(1000.0, 3000.0)
         yield at, at + cut
         at += cut + up
 
@@ -268,48 +268,49 @@
     """Returns the network of a scenario; the halves are the lower and the upper limiter numbers."""
     half = gateways // 2
 
-    def link(now: float, sender: int, to: int, chance: random.Random) -> Delivery:
+    def link(now: float, sender: int, to: int, random_source: random.Random) -> Delivery:
         apart = (sender < half) != (to < half) and any(a <= now < b for a, b in s.cuts)
-        if apart and (not s.one_way or sender < half) or chance.random() < s.loss:
+        if apart and (not s.one_way or sender < half) or random_source.random() < s.loss:
             return Delivery(())
-        delays = [chance.uniform(*MESSAGE_DELAY_MS) + chance.uniform(0.0, s.spread_ms)]
-        if chance.random() < s.repeats:
-            delays.append(delays[0] + chance.uniform(0.0, 300.0))
+        delays = [random_source.uniform(*MESSAGE_DELAY_MS) + random_source.uniform(0.0, s.spread_ms)]
+        if random_source.random() < s.repeats:
+            delays.append(delays[0] + random_source.uniform(0.0, 300.0))
         return Delivery(tuple(delays))
     return link
 
 
 def customers_of(s: Scenario, gateways: int, count: int, spread: int, seed: int) -> list[Customer]:
     """Returns customers whose demand is 0.3 to 3 times their quota, unevenly spread over the limiters."""
-    chance = random.Random(seed * 1000003 + 17)
+    random_source = random.Random(seed * 1000003 + 17)
     half, found = gateways // 2, []
     for n in range(count):
         plan = PLANS[n % len(PLANS)]
-        first = chance.randrange(gateways)
-        load = chance.choice((0.3, 0.6, 0.9, 0.97, 1.5, 3.0))
-        ranks = [chance.uniform(0.3, 1.5) for _ in range(spread)]
+        first = random_source.randrange(gateways)
+        load = random_source.choice((0.3, 0.6, 0.9, 0.97, 1.5, 3.0))
+        ranks = [random_source.uniform(0.3, 1.5) for _ in range(spread)]
         c = Customer(f"{n:016x}", plan, first, spread, lambda now, r=plan.rate * load: r,   # type: ignore[misc]
-                     lambda now, chance: 0)
+                     lambda now, random_source: 0)
         within = c.members(gateways)
         owner = c.owner(gateways)
         away = [m for m in within if (m < half) != (owner < half)] or within
 
-        def where(now: float, chance: random.Random, within: list[int] = within, ranks: list[float] = ranks,
-                  away: list[int] = away) -> int:
+        def choose_limiter(now: float, random_source: random.Random, within: list[int] = within,
+                           ranks: list[float] = ranks, away: list[int] = away) -> int:
             if s.moved is not None and s.moved[0] <= now < s.moved[1]:
-                return chance.choice(away)
-            return chance.choices(within, ranks)[0]
+                return random_source.choice(away)
+            return random_source.choices(within, ranks)[0]
 
-        c.choose_limiter = where
+        c.choose_limiter = choose_limiter
         found.append(c)
     return found
 
 
 def play(name: str, seed: int, *, gateways: int = 4, count: int = 24, spread: int = 3,
-         book: Callable[[int], Entitlements | None] = lambda number: None) -> Net:
+         entitlements_of: Callable[[int], Entitlements | None] = lambda number: None) -> Net:
     """Runs a scenario to its end."""
     s = SCENARIOS[name]
-    net = Net(gateways, customers_of(s, gateways, count, spread, seed), link_of(s, gateways), seed, book=book)
+    net = Net(gateways, customers_of(s, gateways, count, spread, seed), link_of(s, gateways), seed,
+              entitlements_of=entitlements_of)
     for at, down, i in s.restarts:
         net.at(at, lambda i=i: net.end(i))                     # type: ignore[misc]
         net.at(at + down, lambda i=i: net.begin(i))            # type: ignore[misc]
--- a/larklb/lab/zones.py
+++ b/larklb/lab/zones.py
@@ -158,7 +158,7 @@
         self.attempts[a.request] += 1
         node, now = self.nodes[a.server], self.now
         self.outstanding[name] = i, now, later, a.server
-        delay = self.chance.uniform(*NODE_DELAY_MS)
+        delay = self.random_source.uniform(*NODE_DELAY_MS)
         if self._has_fault(node.zone):
             self.attempts_during_fault[node.zone] += 1
         time_left = max(0.0, self.arrived_at[a.request] + DEADLINE - now)
@@ -232,7 +232,7 @@
 
     def _announce(self, nodes: list[Node]) -> None:
         for i in range(self.number):
-            self.at(self.now + self.chance.uniform(MAX_LIST_DELAY_MS / 3, MAX_LIST_DELAY_MS),
+            self.at(self.now + self.random_source.uniform(MAX_LIST_DELAY_MS / 3, MAX_LIST_DELAY_MS),
                     lambda i=i: self._deliver_list(i, nodes))                         # type: ignore[misc]
 
     def _deliver_list(self, i: int, nodes: list[Node]) -> None:
--- a/tests/test_settling.py
+++ b/tests/test_settling.py
@@ -230,7 +230,7 @@
 
 def played(name: str, seed: int, settle: bool = True, reserve: float = 1.0) -> net.Net:
     return net.play(name, seed, count=10,
-                    book=lambda i: Entitlements(net.PLANS, settle=settle, reserve=reserve))
+                    entitlements_of=lambda i: Entitlements(net.PLANS, settle=settle, reserve=reserve))
 
 
 @pytest.mark.parametrize("name,most_over,most_refused", [
@@ -306,7 +306,7 @@
                                 who.owner(4) == number))
         return Entitlements(net.PLANS, parse(text.encode(), net.PLANS) if number < 2 else None, held)
 
-    day = net.Net(4, customers, net.link_of(s, 4), 3, book=book)
+    day = net.Net(4, customers, net.link_of(s, 4), 3, entitlements_of=book)
     day.run(60000.0)
     for c in customers:
         b = error_bound(c.plan.rate, c.plan.burst, 3, loss=s.loss, apart_s=15.0, reserve=1.0)
