--- a/larklb/export/exporter.py
+++ b/larklb/export/exporter.py
@@ -151,6 +151,6 @@
                     log.exception("the export failed")
                 self.counters.add("errors.export")
                 if not self.failures:
-                    log.warning("a batch of use could not be delivered and is kept: %s", error)
+                    log.warning("use could not be delivered, and is kept: %s", error)
                 self.failures, self.last_error = self.failures + 1, str(error)
                 await sleep(self.pause())
--- a/larklb/export/ledger.py
+++ b/larklb/export/ledger.py
@@ -201,7 +201,7 @@
                 self.tally.apply(r)
             self.unsynced = self.unsynced or bool(records)
             if records and self.failing:
-                log.warning("the ledger can be written again")
+                log.warning("the ledger is written again")
                 self.failing = False
         finally:
             # Waiters are released after a failure too, so that no job is blocked forever.
--- a/larklb/net/handover.py
+++ b/larklb/net/handover.py
@@ -149,7 +149,7 @@
         # Where Unix sockets are forbidden (ENOSYS under a system call filter), no handover is possible.
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     except OSError as error:
-        log.warning("no handover from an earlier process is possible: %s", error)
+        log.warning("no process before this one can be met: %s", error)
         return None
     try:
         sock.setblocking(False)
--- a/larklb/operator_services.py
+++ b/larklb/operator_services.py
@@ -199,7 +199,7 @@
             # The request is served and the draw written later.  If the process is killed before that, the
             # same units can be drawn twice.
             self.counters.add("errors.reserved")
-            log.error("a draw on a reservation is kept in memory only: %s", error)
+            log.error("a draw is kept in memory alone: %s", error)
 
     async def stop(self) -> None:
         """Stops the tasks and the administrative address and closes the logs."""
@@ -227,8 +227,7 @@
             self.apply_catalogue(read_catalogue(self.plans_file, self.config.settings.plans))
         except (ConfigError, cat.CatalogueError) as error:
             self.counters.add("errors.plans")
-            log.error("the catalogue was not reloaded and stays at version %d: %s",
-                      self.entitlements.catalogue.newest.number, error)
+            log.error("the plans stay at version %d: %s", self.entitlements.catalogue.newest.number, error)
 
     def apply_catalogue(self, new: cat.Catalogue) -> None:
         """Replaces the catalogue; raises CatalogueError if ``new`` is no valid successor."""
--- a/larklb/serve.py
+++ b/larklb/serve.py
@@ -180,7 +180,7 @@
         parcel = await receive_state(channel)
         state = unpack(parcel.state)
     except (HandoverError, HandoverStateError) as error:
-        log.warning("the running process does not hand over (%s): sharing its addresses", error)
+        log.warning("the process that has our place does not give it (%s): its addresses are shared", error)
         if channel is not None:
             channel.close()
         return Handover(shared=True)
--- a/larklb/takeover.py
+++ b/larklb/takeover.py
@@ -91,7 +91,7 @@
         self.nodes.share_descriptors(True)
         self.predecessor = channel
         channel.listen(self._receive_connections, self._predecessor_ended)
-        log.info("took over from the previous process, with %d buckets", len(state.buckets))
+        log.info("took the place of another process, with %d buckets", len(state.buckets))
 
     def _receive_connections(self, packet: bytes, fds: list[int]) -> None:
         for fd in fds:
