--- a/larklb/admission/quota_records.py
+++ b/larklb/admission/quota_records.py
@@ -58,7 +58,7 @@
 
 
 @define
-class Verdict:
+class QuotaDecision:
     """The decision on one request.
 
     ``retry_after_ms`` is 0 if the request is allowed.  ``decided_by`` tells what the decision is based on:
--- a/larklb/admission/quotas.py
+++ b/larklb/admission/quotas.py
@@ -43,8 +43,8 @@
     OwnedBucket,
     OwnerPeer,
     PendingAsk,
+    QuotaDecision,
     Slice,
-    Verdict,
 )
 from larklb.quota.breaker import CircuitBreaker
 from larklb.quota.bucket import TokenBucket
@@ -88,7 +88,7 @@
 # One token, less the rounding error of sums of fractions.
 ONE_TOKEN = 1.0 - 1e-9
 
-# Values of ``Verdict.decided_by``.
+# Values of ``QuotaDecision.decided_by``.
 OWNER: Final = "owner"
 ASKED: Final = "asked"
 COPY: Final = "copy"
@@ -183,14 +183,14 @@
             if allowance is not None:
                 tenant_slice.rate, tenant_slice.burst = allowance.rate, allowance.burst
 
-    def request(self, now: float, allowance: Allowance) -> Verdict | Ask:
+    def request(self, now: float, allowance: Allowance) -> QuotaDecision | Ask:
         """Decide on one request of a tenant, or return an ask to be sent to the owner.
 
         The decision on an ask is returned by ``handle_reply``, or by ``handle_timeout``, which is to be
         called at the ask's deadline.
         """
         if allowance.rate <= 0:
-            return Verdict(True, 0.0, OWNER)
+            return QuotaDecision(True, 0.0, OWNER)
         tenant = allowance.tenant
         owner = self._owner(tenant)
         if owner is not None and owner == self._own_number:
@@ -237,7 +237,7 @@
         except InvalidMessageError:
             return None
 
-    def handle_reply(self, now: float, message: dict[str, Any]) -> tuple[int, Verdict] | None:
+    def handle_reply(self, now: float, message: dict[str, Any]) -> tuple[int, QuotaDecision] | None:
         """Handle the reply to an earlier message.
 
         Returns the number of the ask and its verdict, or None if the reply carries no verdict, is invalid, or
@@ -295,13 +295,13 @@
         if ask.timed_out:
             return None
         self._pending_count -= 1
-        return number, Verdict(ok, 0.0 if ok else max(1.0, wait), ASKED)
+        return number, QuotaDecision(ok, 0.0 if ok else max(1.0, wait), ASKED)
 
-    def handle_timeout(self, now: float, number: int) -> Verdict:
+    def handle_timeout(self, now: float, number: int) -> QuotaDecision:
         """Decide by the slice on an ask without an answer in time; refuse if its number is unknown."""
         ask = self._pending.get(number)
         if ask is None or ask.timed_out:
-            return Verdict(False, MAX_TIMEOUT_MS, SLICE)
+            return QuotaDecision(False, MAX_TIMEOUT_MS, SLICE)
         ask.timed_out = True
         self._pending_count -= 1
         self._peer(now, ask.owner).breaker.record_failure(now, self._random.random())
@@ -480,17 +480,17 @@
             tenant_slice.rate, tenant_slice.burst = allowance.rate, allowance.burst
         return tenant_slice
 
-    def _decide_by_slice(self, now: float, tenant_slice: Slice) -> Verdict:
+    def _decide_by_slice(self, now: float, tenant_slice: Slice) -> QuotaDecision:
         """Decide on one request without the owner."""
         rate = tenant_slice.fill(now, self._limiter_count())
         decided_by = COPY if now - tenant_slice.copied_at <= RECENT_COPY_MS else SLICE
         if tenant_slice.tokens < ONE_TOKEN:
-            return Verdict(
+            return QuotaDecision(
                 False, max(1.0, (1.0 - tenant_slice.tokens) / max(rate, 1e-6) * 1000.0), decided_by
             )
         tenant_slice.tokens -= 1.0
         tenant_slice.spent += 1
-        return Verdict(True, 0.0, decided_by)
+        return QuotaDecision(True, 0.0, decided_by)
 
     def _release_confirmed(self, tenant: str, number: int) -> None:
         """Drop the copy of a slice after the owner has confirmed its release."""
@@ -574,16 +574,16 @@
             else tokens_left / self._limiter_count()
         )
         self._apply_usage(now, owned, sender, incarnation, spent, acknowledged, held_tokens)
-        verdict = self._take_token(now, owned, ASKED)
+        decision = self._take_token(now, owned, ASKED)
         tokens = owned.bucket.tokens
         if sender in owned.askers:
             owned.askers[sender].tokens_reported = tokens
         return {
             "k": "verdict",
             "n": number,
-            "ok": verdict.allowed,
+            "ok": decision.allowed,
             "left": tokens,
-            "wait": verdict.retry_after_ms,
+            "wait": decision.retry_after_ms,
             "spent": spent,
         }
 
@@ -643,14 +643,14 @@
             bucket.change(now, allowance.rate, allowance.burst)
         bucket.version = version
 
-    def _take_token(self, now: float, owned: OwnedBucket, decided_by: str) -> Verdict:
+    def _take_token(self, now: float, owned: OwnedBucket, decided_by: str) -> QuotaDecision:
         """Decide on one request by the bucket."""
         self._refresh(now, owned)
         bucket = owned.bucket
         if bucket.tokens < ONE_TOKEN:
-            return Verdict(False, max(1.0, bucket.wait_for(1.0) / max(bucket.part, 0.01)), decided_by)
+            return QuotaDecision(False, max(1.0, bucket.wait_for(1.0) / max(bucket.part, 0.01)), decided_by)
         bucket.tokens -= 1.0
-        return Verdict(True, 0.0, decided_by)
+        return QuotaDecision(True, 0.0, decided_by)
 
     def _refresh(self, now: float, owned: OwnedBucket, *, force: bool = False) -> None:
         """Fill the bucket by its share and reserve the slices of askers that have become silent.
--- a/larklb/gateway/data_plane.py
+++ b/larklb/gateway/data_plane.py
@@ -18,7 +18,7 @@
 from larklb.admission.budget import RetryBudget
 from larklb.admission.cancellation import Cause
 from larklb.admission.choice import ServerSelector, ServerState
-from larklb.admission.quota_records import Verdict
+from larklb.admission.quota_records import QuotaDecision
 from larklb.admission.tries import AttemptHistory, AttemptOutcome, NextStep
 from larklb.assignment.assignment import caller_key
 from larklb.gateway.request_work import RequestWork
@@ -46,7 +46,7 @@
 _LIMITER_HEADERS = frozenset((b"x-tenant", b"x-time-left", b"x-target-instance", b"expect"))
 _LIMITER_AND_KEY_HEADERS = _LIMITER_HEADERS | {b"authorization"}
 
-QuotaRequest = Callable[[Tenant], Awaitable[Verdict | None]]
+QuotaRequest = Callable[[Tenant], Awaitable[QuotaDecision | None]]
 
 
 @define(frozen=True)
@@ -101,7 +101,7 @@
     selector: ServerSelector
     budget: RetryBudget
     # Returns the decision on a tenant's quota, or None if there is none and none can be had.
-    request_verdict: QuotaRequest
+    request_decision: QuotaRequest
     random: random.Random
     count: Counter[str] = field(factory=Counter)
     active: ActiveConfiguration | None = None
@@ -178,11 +178,11 @@
     async def _admit(self, request: ClientRequest, work: RequestWork) -> Reply:
         tenant = request.tenant
         if work.may_attempt and tenant is not None and not request.route.unkeyed and tenant.rate_per_s > 0:
-            verdict = await work.run_unless_ended(self.request_verdict(tenant))
-            if work.may_attempt and verdict is not None and not verdict.allowed:
+            decision = await work.run_unless_ended(self.request_decision(tenant))
+            if work.may_attempt and decision is not None and not decision.allowed:
                 self.count["refused.quota"] += 1
                 return refusal(
-                    429, self._retry_after_ms(request.deadline, max(RETRY_AFTER_MS, verdict.retry_after_ms))
+                    429, self._retry_after_ms(request.deadline, max(RETRY_AFTER_MS, decision.retry_after_ms))
                 )
         # If the client's close arrived together with the request, it is read in the next iteration of the
         # event loop, before anything is sent.
--- a/larklb/gateway/main.py
+++ b/larklb/gateway/main.py
@@ -180,7 +180,7 @@
             self.server_connections,
             self.choice,
             self.budget,
-            self.quota_exchange.request_verdict,
+            self.quota_exchange.request_decision,
             self.random,
             self.count,
             caller_affinity=startup_options.caller_affinity,
--- a/larklb/gateway/quota_exchange.py
+++ b/larklb/gateway/quota_exchange.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from larklb.admission.quota_records import Allowance, Ask, Verdict
+from larklb.admission.quota_records import Allowance, Ask, QuotaDecision
 from larklb.admission.quotas import Quotas
 from larklb.gateway.messages import Message, QuotaMessage
 from larklb.schema.configuration import Tenant
@@ -29,7 +29,7 @@
         # Addresses of limiters by ring number.
         self.addresses: dict[int, str] = {}
         # Requests that await a reply, with their timeouts, by the number of the request.
-        self.pending: dict[int, tuple[asyncio.Future[Verdict], Timer]] = {}
+        self.pending: dict[int, tuple[asyncio.Future[QuotaDecision], Timer]] = {}
         self.last_messages = -1e18
 
     def set_members(
@@ -40,13 +40,13 @@
         self.addresses = dict(addresses)
         self.quotas.set_limiters(now, nodes, local_number if local_number >= 0 else None)
 
-    async def request_verdict(self, tenant: Tenant) -> Verdict | None:
+    async def request_decision(self, tenant: Tenant) -> QuotaDecision | None:
         """Returns the verdict on a request of a tenant, None if it may proceed without one."""
         now = self.wheel.now()
         request = self.quotas.request(now, Allowance(tenant.name, tenant.rate_per_s, tenant.burst))
         if not isinstance(request, Ask):
             return request
-        future: asyncio.Future[Verdict] = asyncio.get_running_loop().create_future()
+        future: asyncio.Future[QuotaDecision] = asyncio.get_running_loop().create_future()
         timer = self.wheel.after(request.deadline - now, self._time_out, request.number)
         self.pending[request.number] = (future, timer)
         self._send(request.owner, request.message)
@@ -76,10 +76,10 @@
         self.count["quota.given_up"] += 1
         self._decide(number, self.quotas.handle_timeout(self.wheel.now(), number))
 
-    def _decide(self, number: int, verdict: Verdict) -> None:
+    def _decide(self, number: int, decision: QuotaDecision) -> None:
         if (pending := self.pending.pop(number, None)) is None:
             return
         future, timer = pending
         timer.cancel()
         if not future.done():
-            future.set_result(verdict)
+            future.set_result(decision)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -20,7 +20,7 @@
 
 from larklb.admission import quotas
 from larklb.admission.budget import RetryBudget
-from larklb.admission.quota_records import Allowance, Ask, Verdict
+from larklb.admission.quota_records import Allowance, Ask, QuotaDecision
 from larklb.admission.quotas import Quotas
 from larklb.quota.breaker import CircuitBreaker
 from larklb.quota.ring import digest, ring_owner
@@ -87,15 +87,15 @@
             if (reply := limiter.handle_request(self.now, sender, message)) is not None:
                 self.send(receiver, sender, reply)
         elif (decision := limiter.handle_reply(self.now, message)) is not None:
-            self.record_verdict(decision[1])
+            self.record_decision(decision[1])
 
     def request(self, i: int) -> None:
         if (limiter := self.limiters[i]) is None:
             return
         self.requests += 1
         result = limiter.request(self.now, self.allowance)
-        if isinstance(result, Verdict):
-            return self.record_verdict(result)
+        if isinstance(result, QuotaDecision):
+            return self.record_decision(result)
         self.asks.append((self.now, i))
         self.schedule(result.deadline, lambda: self.time_out(i, result))
         self.send(i, result.owner, result.message)
@@ -104,11 +104,11 @@
         limiter = self.limiters[i]
         if limiter is not None and (pending := limiter._pending.get(ask.number)) is not None \
                 and not pending.timed_out:
-            self.record_verdict(limiter.handle_timeout(self.now, ask.number))
+            self.record_decision(limiter.handle_timeout(self.now, ask.number))
 
-    def record_verdict(self, verdict: Verdict) -> None:
-        self.decisions[verdict.decided_by] = self.decisions.get(verdict.decided_by, 0) + 1
-        if verdict.allowed:
+    def record_decision(self, decision: QuotaDecision) -> None:
+        self.decisions[decision.decided_by] = self.decisions.get(decision.decided_by, 0) + 1
+        if decision.allowed:
             self.admitted_at.append(self.now)
         else:
             self.refused += 1
@@ -268,7 +268,7 @@
 
     reply = owner.handle_request(0.0, 1 - owner_number, ask(0.0).message)
     assert reply is not None and tokens(0.0) == 40 * quotas.MOVED_BURST_FRACTION - 1
-    assert asker.handle_reply(1.0, reply) == (1, Verdict(True, 0.0, "asked"))
+    assert asker.handle_reply(1.0, reply) == (1, QuotaDecision(True, 0.0, "asked"))
     assert asker.handle_reply(1.0, reply) is None
     first, second = ask(2.0), ask(2.0)
     assert asker.handle_timeout(70.0, first.number).allowed \
--- a/tests/test_gateway_process.py
+++ b/tests/test_gateway_process.py
@@ -19,7 +19,7 @@
 
 from larklb.admission.budget import RetryBudget
 from larklb.admission.choice import ServerSelector, ServerState
-from larklb.admission.quota_records import Verdict
+from larklb.admission.quota_records import QuotaDecision
 from larklb.gateway import servers as servers_module
 from larklb.gateway.data_plane import DataPlane, prepare_configuration
 from larklb.gateway.listener import Listener, RequestLimits
@@ -146,7 +146,7 @@
     tenants: bool = False
     behaviors: list[Behavior] = field(factory=list)
     received: list[ParsedMessage] = field(factory=list)
-    verdict: Verdict | None = None
+    decision: QuotaDecision | None = None
     stopped: asyncio.Event = field(factory=asyncio.Event)
     working: asyncio.Event = field(factory=asyncio.Event)
     proceed: asyncio.Event = field(factory=asyncio.Event)
@@ -166,8 +166,8 @@
         self.servers = ServerConnections(self.wheel, self.choice, 20, count)
         budget = RetryBudget(0.2, 10_000, 100, 1, self.wheel.now(), first_start=True)
 
-        async def quota(tenant: Tenant) -> Verdict | None:
-            return self.verdict
+        async def quota(tenant: Tenant) -> QuotaDecision | None:
+            return self.decision
         self.data_plane = DataPlane(
             self.wheel, self.servers, self.choice, budget, quota, random.Random(1), count)
         self.data_plane.active = prepare_configuration(schema.check(document(self.tenants), 0))
@@ -471,10 +471,10 @@
         assert not env.received
         assert (await env.send("open", headers=bearer % b"k2" + b"X-Tenant: evil\r\n")).status == 200
         assert not {b"authorization", b"x-tenant"} & set(env.received[0].header_names)
-        env.verdict = Verdict(False, 50.0, "owner")
+        env.decision = QuotaDecision(False, 50.0, "owner")
         got = await env.send("unsafe", headers=bearer % b"k1")
         assert got.status == 429 and float(got.headers[b"retry-after"]) >= 0.05 and len(env.received) == 1
-        env.verdict = Verdict(True, 0.0, "owner")
+        env.decision = QuotaDecision(True, 0.0, "owner")
         assert (await env.send("unsafe", headers=bearer % b"k1")).status == 200
         env.data_plane.active = None
         got = await env.send("unsafe", headers=bearer % b"k1")
--- a/tests/test_request_cancellation.py
+++ b/tests/test_request_cancellation.py
@@ -18,7 +18,7 @@
 
 from larklb.admission.cancellation import Action, Cause, Phase, action_for
 from larklb.admission.choice import ServerSelector, ServerState
-from larklb.admission.quota_records import Verdict
+from larklb.admission.quota_records import QuotaDecision
 from larklb.balancing.choice import CapacityAwareSelector
 from larklb.gateway import servers as servers_module
 from larklb.net.http import Link, dial
@@ -174,12 +174,12 @@
     async def test(env: Environment) -> None:
         asked = asyncio.Event()
 
-        async def quota(tenant: Tenant) -> Verdict | None:
+        async def quota(tenant: Tenant) -> QuotaDecision | None:
             asked.set()
             await env.proceed.wait()
             return None
 
-        env.data_plane.request_verdict = quota
+        env.data_plane.request_decision = quota
         _, writer = await env.connect()
         writer.write(request(route, headers=b"Authorization: Bearer k1\r\n"))
         await asked.wait()
@@ -270,11 +270,11 @@
 def test_unanswered_quota_request_ends_at_the_deadline() -> None:
     """The request has not run, and its client is told so while it still waits."""
     async def test(env: Environment) -> None:
-        async def quota(tenant: Tenant) -> Verdict | None:
+        async def quota(tenant: Tenant) -> QuotaDecision | None:
             await env.proceed.wait()
             return None
 
-        env.data_plane.request_verdict = quota
+        env.data_plane.request_decision = quota
         got = await env.send("unsafe", headers=b"Authorization: Bearer k1\r\n", time_left=200)
         assert got.status == 503 and b"retry-after" in got.headers and not env.received
     run_scenario(test, tenants=True)
