--- a/larklb/admission/budget.py
+++ b/larklb/admission/budget.py
@@ -125,7 +125,7 @@
         """Return whether one more retry now keeps every window within the bound."""
         sums = [0, *accumulate(counts.requests)]
         slack, retries, end = self._slack_share(now), 1, _RETAINED_SLOTS
-        # ``start`` is the slot in which the window begins.
+        # ``start`` is the slot in which the window begins; ``retries`` includes the one to be allowed.
         for start in range(_RETAINED_SLOTS - 1, _RETAINED_SLOTS - 2 - SLOTS_PER_WINDOW, -1):
             retries += counts.retries[start]
             current = sums[min(end, start + SLOTS_PER_WINDOW)] - sums[min(end, start + 1)]
--- a/larklb/admission/cancellation.py
+++ b/larklb/admission/cancellation.py
@@ -1,8 +1,8 @@
 """Rules for ending a request early: which causes there are, and what each does to work in progress.
 
-This module does no input or output; ``RequestWork`` in the gateway carries out its decisions.  A route is
-safe or unsafe.  Answers are buffered until their last byte has arrived, so a large answer is treated like any
-other answer of its route.
+This module does no input or output; ``larklb.gateway.request_work`` carries out its decisions.  A request is
+safe or unsafe, by its route; only a safe one may run more than once.  Answers are buffered until their last
+byte has arrived, so a large answer is treated like any other answer of its route.
 """
 
 from __future__ import annotations
--- a/larklb/admission/choice.py
+++ b/larklb/admission/choice.py
@@ -92,9 +92,10 @@
     samples: int = 0
 
     def add(self, latency_ms: float) -> None:
-        """Add the latency of one answer."""
+        """Add the latency of one answer in milliseconds."""
         self.samples += 1
         self.mean += max(MIN_LATENCY_WEIGHT, 1.0 / (1 + self.samples)) * (latency_ms - self.mean)
+        # Steps of 19 up and 1 down are in balance when 5% of the latencies are above the estimate.
         step = P95_STEP * self.mean
         self.p95 = max(self.mean, self.p95 + (step * 19 if latency_ms > self.p95 else -step))
 
@@ -104,7 +105,7 @@
     """Selects a server for each request from the states of all servers that one limiter observes.
 
     ``regions`` maps zones to regions; ``zone`` is the limiter's own zone.  A *target* is the name of a
-    service. ``assignments`` holds the assignment of callers to servers for targets with caller affinity.
+    service.  ``assignments`` holds the assignment of callers to servers for targets with caller affinity.
     ``in_flight_limit`` returns how many requests this limiter may have in flight at one server of a target.
     """
 
@@ -132,6 +133,7 @@
             if old is None:
                 updated[new.id] = new
                 continue
+            # The server sends heartbeats again: its failures are forgotten.
             if new.silent < old.silent:
                 old.ejected_until, old.consecutive_failures, old.probing = -math.inf, 0, False
             old.address, old.slots, old.cold_until = new.address, new.slots, new.cold_until
@@ -243,6 +245,7 @@
                 impaired.append(server)
                 continue
             cost = self.cost(now, server, mean_latency, setpoint) * (1.0 + COST_JITTER * self.random.random())
+            # For four requests of five, a server that has just failed costs four times as much.
             if server.consecutive_failures and self.random.random() > 0.2:
                 cost *= 4.0
             if cost < min_cost:
--- a/larklb/admission/quota_messages.py
+++ b/larklb/admission/quota_messages.py
@@ -1,4 +1,19 @@
-"""Strict readers for the values of quota messages.
+"""Strict readers for the values of quota messages, which are JSON objects with these keys:
+
+    k      kind: "ask" and its reply "verdict", "back" (release of a slice) and "backed", "hello" and "hi"
+    n      number of the ask; in "hi" the ring number of the sender
+    t      tenant
+    r, b   rate in requests per second and burst in requests
+    v      version of the configuration that rate and burst are from
+    life   incarnation of the asker's process
+    spent  requests that the asker's slice has admitted; a verdict repeats the number
+    heard  the part of them that an owner has acknowledged
+    left   tokens of the owner's bucket, in an ask as the asker estimates them
+    age    time in ms since the ask that brought the asker's bucket copy
+    of     ring number of the limiter that the bucket copy came from
+    ok     whether the request is allowed
+    wait   time in ms after which a refused request may be sent again
+    ring   digest of the ring
 
 Each reader raises InvalidMessageError with the name of the key if the value is missing, has the wrong type or
 is out of range.
--- a/larklb/admission/quota_records.py
+++ b/larklb/admission/quota_records.py
@@ -16,7 +16,7 @@
 MIN_TIMEOUT_MS = 25.0
 # Upper bound of the timeout: the request is held up for this long.
 MAX_TIMEOUT_MS = 120.0
-# How long a slice remains valid after the last copy from the owner.
+# How long a slice is valid, counted from the ask that brought its bucket copy.
 SLICE_VALID_MS = 110_000.0
 # Time until a release of a slice is repeated if it is not answered; doubled with each repetition.
 RELEASE_BACKOFF_MS = 500.0
@@ -28,9 +28,9 @@
 SILENCE_MAX_MS = 2000.0
 # Time until a hello is repeated to a limiter that has not confirmed the ring; doubled with each repetition.
 HELLO_BACKOFF_MS = 200.0
-# Fraction of its slice of the rate that a limiter may use without a valid copy.
+# Fraction of its slice of the rate that a limiter may use without a valid bucket copy.
 NO_COPY_RATE_FRACTION = 0.1
-# Fraction of the slack that the slices may use; the rest covers events that are noticed late.
+# Fraction of ``OvershootBound.slack`` that the slices may use; the rest covers events that are noticed late.
 SLACK_FRACTION = 0.75
 
 
@@ -62,8 +62,8 @@
     """The decision on one request.
 
     ``retry_after_ms`` is 0 if the request is allowed.  ``decided_by`` tells what the decision is based on:
-    the bucket of this limiter ("owner"), an answer of the owner ("asked"), a recent copy of the owner's
-    bucket ("copy") or a slice with an older copy or none ("slice").
+    the bucket of this limiter ("owner"), an answer of the owner ("asked"), a slice with a recent bucket copy
+    ("copy"), or a slice with an older copy or none ("slice").
     """
 
     allowed: bool
@@ -94,7 +94,10 @@
 
 @define
 class Slice:
-    """The part of a tenant's quota that this limiter may use without asking the owner."""
+    """The part of a tenant's quota that this limiter may use without asking the owner.
+
+    ``rate`` and ``burst`` are those of the whole quota; ``tokens`` are those of the slice alone.
+    """
 
     rate: float
     burst: float
@@ -103,11 +106,11 @@
     # Time of the last request of the tenant.
     last_used_at: float
     bound: OvershootBound
-    # Time at which the ask was sent whose answer brought the copy.
+    # Time at which the ask was sent whose answer brought the bucket copy.
     copied_at: float = -math.inf
-    # Number of that ask; -1 if there is no copy.
+    # Number of that ask; -1 without a bucket copy, or if it is that of this limiter's own former bucket.
     ask_number: int = -1
-    # Ring number of the limiter whose bucket was copied.
+    # Ring number of the limiter whose bucket was copied; -1 if none was or it was this limiter's own.
     owner: int = -1
     # Requests admitted by the slice since this process started, and how many of them an owner has
     # acknowledged.
@@ -119,8 +122,8 @@
     def capacity(self, limiters: int) -> float:
         """Return the largest number of tokens the slice may hold when ``limiters`` share the quota.
 
-        It is bounded by the permitted overshoot, as a copy may date from just before the owner's burst was
-        spent.
+        All slices together are bounded by the permitted overshoot, as a bucket copy may date from just before
+        the owner's burst was spent.
         """
         bound = self.bound
         spare = bound.overshoot * (bound.window_s * self.rate + self.burst) + bound.slack * SLACK_FRACTION
@@ -147,11 +150,11 @@
     spent: int
     # Moving average of the time between its asks.
     mean_gap_ms: float
-    # Tokens of the bucket in the last verdict that was sent to it.
+    # Tokens of the owner's bucket in the last reply that was sent to it.
     tokens_reported: float = 0.0
     # Whether the asker is silent and its slice is therefore reserved in the owner's bucket.
     reserved: bool = False
-    # Tokens of the reserved slice as of ``last_heard_at``.
+    # Tokens that the reserved slice may have held at ``last_heard_at``.
     reserved_tokens: float = 0.0
 
     def silence_timeout(self) -> float:
@@ -165,14 +168,14 @@
 
     bucket: TokenBucket
     last_used_at: float
-    # The bucket was created when another limiter may have been the owner, which some limiters may still ask.
+    # The bucket may have had another owner shortly before, which some limiters may still ask.
     recently_moved: bool
     # Another limiter owns the tenant now.
     ownership_lost: bool = False
     askers: dict[int, Asker] = field(factory=dict)
-    # Before this time no asker becomes silent and the share of the bucket doesn't change.
+    # Before this time no asker becomes silent and ``bucket.part`` doesn't change.
     next_check_at: float = -math.inf
-    # Number of limiters whose slices are reserved.
+    # Number of limiters whose slices are reserved in this bucket.
     reserved_slices: int = 0
 
 
--- a/larklb/admission/quotas.py
+++ b/larklb/admission/quotas.py
@@ -1,19 +1,25 @@
 """Tenant quotas across all limiters: the owner's token bucket, asks to the owner, decisions without it.
 
-The owner of a tenant is found by consistent hashing on the ring of limiters and keeps the tenant's token
-bucket.  Every other limiter, an *asker*, asks the owner once per request.  Each verdict carries the number of
-tokens in the owner's bucket.  From this copy the asker sets its *slice*: rate, burst and tokens divided by
-the number of limiters.  The slice decides while the owner can't be asked or doesn't answer.
-
-No token may be spent on both sides of a partition, so the owner accounts for the slices.  An asker holds its
-slice by the verdicts it has received.  When an asker is silent for longer than its previous asks suggest, the
-owner reserves its slice: it deducts the slice from its own bucket, counted from the asker's last message, and
-restores what was not used when the asker is heard again.  An asker that merely has no more requests releases
-its slice by a message (``pending_messages``).  Limiters that leave the ring may be on the other side of a
-partition with an owner of their own, so their share of rate and burst stays reserved for some time as well.
-A new or restarted owner has the shares of those limiters that ask it or have confirmed its ring (``hello``):
-the others may still ask the previous owner or decide by their slices.  A limiter without a valid copy holds
-no slice that the owner knows of, and admits little (``NO_COPY_RATE_FRACTION``).
+The *owner* of a tenant is found by consistent hashing on the ring of limiters and keeps the tenant's token
+bucket.  Every other limiter, an *asker*, asks the owner once per request.  Each reply carries the number of
+tokens in the owner's bucket, the *bucket copy*.  From it the asker sets its *slice* of the quota: rate, burst
+and tokens divided by the number of limiters.  The slice decides while the owner can't be asked or doesn't
+answer.  A bucket copy may be out of date, so the tokens of a slice are also capped: all slices of a tenant
+together hold no more than the overshoot that ``OvershootBound`` permits, except that each may hold one token
+(``Slice.capacity``).
+
+During a network partition an owner and its askers may decide independently, and must not spend the same
+tokens.  The owner therefore keeps an account of each asker (``Asker``).  When an asker is silent for longer
+than its previous asks suggest, the owner *reserves* the asker's slice: it deducts from its own bucket what
+the slice may have admitted since the asker's last message, and fills its bucket without the slice's part of
+the rate.  When the asker is heard again, the owner adds what the slice has not used to its bucket.  An asker
+that merely has no more requests releases its slice by a message (``pending_messages``).
+
+Limiters that leave the ring may be on the other side of a partition, where another limiter owns the tenant.
+Their part of rate and burst is reserved for ``RESERVATION_MS``.  A new or restarted owner also reserves the
+part of each limiter that has neither asked it nor confirmed its ring (``hello``), as such a limiter may still
+ask the previous owner or decide by its slice.  A limiter without a valid bucket copy may have no account at
+the owner, so it admits little (``NO_COPY_RATE_FRACTION``).
 
 In the worst case this admits, in excess of a single bucket, the slices of limiters that have become silent
 until that is noticed (``SILENCE_*``), ``NO_COPY_RATE_FRACTION`` of the rate, one token for each limiter, and
@@ -52,16 +58,16 @@
 
 # Tenants tracked at the same time, in each table.
 MAX_TENANTS = 200_000
-# Asks waiting for a verdict; beyond this number the slice decides.
+# Asks waiting for a reply; beyond this number the slice decides.
 MAX_PENDING_ASKS = 4096
 # Askers tracked for one tenant.
 MAX_ASKERS = 1024
-# A verdict that arrives this long after the timeout still yields a round-trip time and a copy.
+# A reply that arrives up to this long after the timeout still yields a round-trip time and a bucket copy.
 LATE_REPLY_MS = 2000.0
-# Up to this age of the copy a decision by the slice is reported as COPY, afterwards as SLICE.
+# Up to this age of the bucket copy a decision by the slice is reported as COPY, afterwards as SLICE.
 RECENT_COPY_MS = 1000.0
 # How long the slice of a silent asker, or of a limiter that left the ring, stays reserved.  This is longer
-# than a slice is valid at the asker.
+# than a slice is valid at the asker.  What is known of a peer outside the ring is kept for the same time.
 RESERVATION_MS = 120_000.0
 # A slice without a request for this long is released.
 SLICE_IDLE_MS = 1500.0
@@ -72,16 +78,20 @@
 INITIAL_GAP_MS = 500.0
 # Weight of the last gap in the moving average.
 GAP_WEIGHT = 0.125
-# A bucket created this soon after a change of the ring may have had another owner.
+# A bucket created this soon after a change of the ring may have had another owner.  Also the idle time after
+# which the bucket of a tenant that this limiter doesn't own any more is dropped.
 RING_CHANGE_MS = 3000.0
-# A bucket created this soon after a restart may have existed before the restart.
+# A bucket created this soon after a restart may have existed before the restart.  Also the idle time after
+# which a full bucket of an owned tenant is dropped; a slice without a valid bucket copy from another limiter
+# is dropped after this time and the time in which the burst fills.
 RESTART_MS = 10_000.0
-# Such a bucket starts with at most this fraction of its burst.
+# A bucket that may have had another owner or existed before starts with at most this fraction of its burst.
 MOVED_BURST_FRACTION = 0.25
-# For this long asks may lower the tokens of a new bucket to the number that the asker knows of.
+# Asks may lower the tokens of such a bucket to those of the asker's bucket copy for this long, during which
+# the bucket counts as recently moved.
 NEW_BUCKET_MS = 1000.0
 MAX_HELLO_BACKOFF_MS = 4000.0
-# Initial tokens of all limiters without a copy together.
+# Initial tokens of all limiters without a bucket copy together.
 NO_COPY_TOKENS = 10.0
 # Number of limiters assumed while the ring is unknown.
 ASSUMED_LIMITERS = 16
@@ -151,7 +161,7 @@
         }
         changed = ring != self._ring or own_number != self._own_number
         for number in set(numbers) - set(self._nodes):
-            # A new incarnation: failures of the previous one say nothing about it.
+            # A new incarnation: what was recorded of the previous one says nothing about it.
             self._peers.pop(number, None)
         self._nodes, self._ring, self._own_number = dict(numbers), ring, own_number
         if changed:
@@ -166,7 +176,7 @@
                 owned.next_check_at = -math.inf
                 if not owned.ownership_lost and self._owner(tenant) != own_number:
                     owned.ownership_lost = True
-                    # The bucket is more accurate than any copy an asker holds.
+                    # The bucket is more accurate than the bucket copy of any asker.
                     self._copy_to_slice(now, tenant, owned)
 
     def set_allowances(self, now: float, version: int, allowances: dict[str, Allowance]) -> None:
@@ -240,8 +250,9 @@
     def handle_reply(self, now: float, message: dict[str, Any]) -> tuple[int, QuotaDecision] | None:
         """Handle the reply to an earlier message.
 
-        Returns the number of the ask and its verdict, or None if the reply carries no verdict, is invalid, or
-        belongs to an ask that is unknown or has timed out.
+        Returns the number of the ask and the decision on it, or None if the reply carries no decision, is
+        invalid, or belongs to an ask that is unknown or has timed out.  A reply after the timeout still
+        updates the slice.
         """
         try:
             kind, number = message.get("k"), read_integer(message, "n")
@@ -254,13 +265,13 @@
                 return None
             if kind != "verdict":
                 raise InvalidMessageError("not a reply")
-            ok, tokens_left, wait = (
+            allowed, tokens_left, retry_after_ms = (
                 message.get("ok"),
                 read_number(message, "left", -MAX_NUMBER),
                 read_number(message, "wait"),
             )
             spent = read_integer(message, "spent")
-            if not isinstance(ok, bool):
+            if not isinstance(allowed, bool):
                 raise InvalidMessageError("ok")
         except InvalidMessageError:
             return None
@@ -273,7 +284,7 @@
         tenant_slice = self._slice(now, ask.allowance)
         tenant_slice.acknowledged = max(tenant_slice.acknowledged, min(spent, tenant_slice.spent))
         if number > tenant_slice.ask_number:
-            # Requests that the slice has admitted since the ask are not included in the owner's number yet.
+            # The owner has not yet deducted the requests that the slice has admitted since the ask.
             count = self._limiter_count()
             tokens = max(0.0, tokens_left) / count - (tenant_slice.spent - min(spent, tenant_slice.spent))
             tenant_slice.tokens, tenant_slice.updated_at = (
@@ -295,10 +306,13 @@
         if ask.timed_out:
             return None
         self._pending_count -= 1
-        return number, QuotaDecision(ok, 0.0 if ok else max(1.0, wait), ASKED)
+        return number, QuotaDecision(allowed, 0.0 if allowed else max(1.0, retry_after_ms), ASKED)
 
     def handle_timeout(self, now: float, number: int) -> QuotaDecision:
-        """Decide by the slice on an ask without an answer in time; refuse if its number is unknown."""
+        """Decide by the slice on an ask that was not answered in time.
+
+        Refuses if the number is unknown, or if that ask has timed out before.
+        """
         ask = self._pending.get(number)
         if ask is None or ask.timed_out:
             return QuotaDecision(False, MAX_TIMEOUT_MS, SLICE)
@@ -310,10 +324,10 @@
     def pending_messages(self, now: float) -> list[tuple[int, dict[str, Any]]]:
         """Return the messages that are due, each with the ring number of its receiver.
 
-        They release unused slices and ask the other limiters to confirm the ring of a new owner.  To be
-        called a few times a second; the replies go to ``handle_reply``.  Messages may be lost and are
-        repeated until they are answered.  Without them owners would keep the slices of idle askers reserved
-        and refuse requests of tenants whose load is near their rate.
+        They release unused slices and, if this limiter is a new owner, ask the others to confirm its ring.
+        To be called a few times a second; the replies go to ``handle_reply``.  Messages may be lost and are
+        repeated until they are answered.  Without them owners would reserve the slices of idle askers and
+        refuse requests of tenants whose load is near their rate.
         """
         messages: list[tuple[int, dict[str, Any]]] = []
         if any(owned.recently_moved and not owned.ownership_lost for owned in self._owned.values()):
@@ -365,16 +379,19 @@
         return messages
 
     def expire(self, now: float) -> None:
-        """Drop idle buckets, expired slices, asks that will not be answered, and peers that are gone."""
+        """Drop idle buckets, slices out of use, asks that will not be answered, and peers out of the ring.
+
+        To be called about once a second.
+        """
         for number in [
             n for n, ask in self._pending.items() if now - ask.sent_at > LATE_REPLY_MS + MAX_TIMEOUT_MS
         ]:
             if not self._pending.pop(number).timed_out:
                 self._pending_count -= 1
-        before = len(self._departed)
+        departed_count = len(self._departed)
         self._departed = {n: at for n, at in self._departed.items() if now - at <= RESERVATION_MS}
         for tenant, owned in list(self._owned.items()):
-            if len(self._departed) != before:
+            if len(self._departed) != departed_count:
                 owned.next_check_at = -math.inf
             idle = now - owned.last_used_at
             if self._owner(tenant) != self._own_number and idle > RING_CHANGE_MS:
@@ -429,7 +446,10 @@
         return rows
 
     def _limiter_count(self) -> int:
-        """Return the number of limiters that may be admitting requests, with those that left recently."""
+        """Return the number of limiters that share each quota, with those that left the ring recently.
+
+        It is ASSUMED_LIMITERS while the ring is unknown.
+        """
         return max(1, len(self._nodes) + len(self._departed)) if self._nodes else ASSUMED_LIMITERS
 
     def _owner(self, tenant: str) -> int | None:
@@ -447,7 +467,7 @@
         return digest(" ".join(map(str, self._ring))) >> 16
 
     def _record_ring_agreement(self, now: float, number: int) -> None:
-        """Record that a limiter has confirmed the ring, so that its share need not be reserved any more."""
+        """Record that a limiter has confirmed the ring: a new owner need not reserve its part any more."""
         peer = self._peer(now, number)
         peer.breaker = CircuitBreaker()
         if not peer.ring_agreed:
@@ -465,7 +485,10 @@
     # Asker side --------------------------------------------------------------------------
 
     def _slice(self, now: float, allowance: Allowance) -> Slice:
-        """Return the tenant's slice, created if there is none, with the rate and burst of ``allowance``."""
+        """Return the tenant's slice, with the rate and burst of ``allowance``.
+
+        A slice that doesn't exist is created without a bucket copy, with at most one token.
+        """
         tenant_slice = self._slices.get(allowance.tenant)
         if tenant_slice is None:
             if len(self._slices) >= MAX_TENANTS:
@@ -481,7 +504,7 @@
         return tenant_slice
 
     def _decide_by_slice(self, now: float, tenant_slice: Slice) -> QuotaDecision:
-        """Decide on one request without the owner."""
+        """Decide on one request by the slice; take one of its tokens if the request is allowed."""
         rate = tenant_slice.fill(now, self._limiter_count())
         decided_by = COPY if now - tenant_slice.copied_at <= RECENT_COPY_MS else SLICE
         if tenant_slice.tokens < ONE_TOKEN:
@@ -493,14 +516,20 @@
         return QuotaDecision(True, 0.0, decided_by)
 
     def _release_confirmed(self, tenant: str, number: int) -> None:
-        """Drop the copy of a slice after the owner has confirmed its release."""
+        """Invalidate the bucket copy of a slice whose release the owner has confirmed; limit its tokens.
+
+        ``number`` is that of the released ask.  Nothing changes if a later ask has brought another copy.
+        """
         tenant_slice = self._slices.get(tenant)
         if tenant_slice is not None and tenant_slice.ask_number == number:
             tenant_slice.ask_number, tenant_slice.copied_at = -1, -math.inf
             tenant_slice.tokens = min(tenant_slice.tokens, NO_COPY_TOKENS / self._limiter_count())
 
     def _copy_to_slice(self, now: float, tenant: str, owned: OwnedBucket) -> None:
-        """Set the tenant's slice from a bucket that this limiter no longer owns."""
+        """Set the tenant's slice from this limiter's own bucket, which it no longer owns.
+
+        The slice has a valid bucket copy then, but no ask that brought it, and so is not released.
+        """
         self._refresh(now, owned)
         bucket = owned.bucket
         tenant_slice = self._slice(now, Allowance(tenant, bucket.rate, bucket.burst))
@@ -515,7 +544,16 @@
     # Owner side --------------------------------------------------------------------------
 
     def _answer(self, now: float, sender: int, message: dict[str, Any]) -> dict[str, Any] | None:
-        """Answer a message; raises InvalidMessageError."""
+        """Apply a message of another limiter to the bucket and to the sender's account; return the reply.
+
+        A "hello" changes no account; the reply tells this limiter's ring.  A "back" releases the sender's
+        slice: the usage that it reports is deducted from the bucket and the sender's account is closed, so
+        that the slice isn't reserved later.  An "ask" reports usage in the same way and then takes one token
+        from the bucket.  The reply carries the remaining tokens.  They are stored in the sender's account
+        (``tokens_reported``), as the sender sets its slice from them.
+
+        Returns None if there is no reply.  Raises InvalidMessageError.
+        """
         kind = message.get("k")
         if sender in self._peers:
             # Any message from a peer resets its circuit breaker.
@@ -566,7 +604,7 @@
             and copy_owner != self._own_number
         ):
             owned.bucket.fill(now)
-            # The asker's copy includes requests that another owner admitted.
+            # The tokens in the asker's bucket copy are less those that the previous owner has spent.
             owned.bucket.tokens = min(owned.bucket.tokens, tokens_left)
         held_tokens = (
             None
@@ -592,7 +630,7 @@
     ) -> OwnedBucket:
         """Return the bucket of a tenant, created if there is none.
 
-        A new bucket starts with at most ``tokens_left``, the number of tokens that an asker knows of.
+        A new bucket starts with at most ``tokens_left``, the tokens in an asker's bucket copy.
         """
         owned = self._owned.get(allowance.tenant)
         if owned is None:
@@ -601,7 +639,7 @@
             tokens = min(tokens, self._take_own_copy(now, allowance.tenant))
             if tokens_left is not None:
                 tokens = min(tokens, tokens_left)
-            # Limiters that left the ring may still use their shares on the other side of a partition.
+            # Limiters that left the ring may still use their slices on the other side of a partition.
             tokens *= 1.0 - len(self._departed) / self._limiter_count()
             if len(self._owned) >= MAX_TENANTS:
                 del self._owned[next(iter(self._owned))]
@@ -624,9 +662,9 @@
         return owned
 
     def _take_own_copy(self, now: float, tenant: str) -> float:
-        """Return the tokens known from the slice that this limiter held as an asker, and invalidate its copy.
+        """Estimate the tokens of the tenant's bucket from the slice that this limiter held as an asker.
 
-        Returns infinity if there is no valid copy.
+        The bucket copy of the slice is invalidated.  Returns infinity if it was not valid before.
         """
         tenant_slice = self._slices.get(tenant)
         if tenant_slice is None or now - tenant_slice.copied_at > SLICE_VALID_MS:
@@ -636,7 +674,7 @@
         return tenant_slice.tokens * self._limiter_count()
 
     def _apply_allowance(self, now: float, owned: OwnedBucket, allowance: Allowance, version: int) -> None:
-        """Set the rate and burst of a bucket from version ``version`` of the configuration."""
+        """Set the rate and burst of a bucket as in configuration version ``version``."""
         bucket = owned.bucket
         if (bucket.rate, bucket.burst) != (allowance.rate, allowance.burst):
             self._refresh(now, owned)
@@ -644,7 +682,7 @@
         bucket.version = version
 
     def _take_token(self, now: float, owned: OwnedBucket, decided_by: str) -> QuotaDecision:
-        """Decide on one request by the bucket."""
+        """Decide on one request by the bucket; take one of its tokens if the request is allowed."""
         self._refresh(now, owned)
         bucket = owned.bucket
         if bucket.tokens < ONE_TOKEN:
@@ -653,9 +691,9 @@
         return QuotaDecision(True, 0.0, decided_by)
 
     def _refresh(self, now: float, owned: OwnedBucket, *, force: bool = False) -> None:
-        """Fill the bucket by its share and reserve the slices of askers that have become silent.
+        """Fill the bucket at its part of the rate, and reserve the slices of askers that have become silent.
 
-        ``force`` checks the askers even if no change is due yet.
+        ``force`` checks the askers even if none can have become silent yet.
         """
         bucket = owned.bucket
         bucket.fill(now)
@@ -666,9 +704,20 @@
         bucket.tokens = min(bucket.tokens, max(1.0, bucket.burst * bucket.part))
 
     def _reserve_silent(self, now: float, owned: OwnedBucket) -> None:
-        """Reserve the slices of silent, departed and unconfirmed limiters, and set the bucket's share."""
+        """Reserve the slices of limiters that may be deciding without this owner.
+
+        These are the askers that have become silent, the limiters that left the ring, and, while the bucket
+        is recently moved, the limiters that have neither asked nor confirmed the ring.  The bucket's part of
+        the quota (``bucket.part``) is reduced by one slice for each of them.
+
+        When an asker becomes silent, the bucket is also charged with all that the slice may have admitted
+        since the asker's last message: its part of the tokens in the owner's last reply, and of the rate
+        since that message.  The debt is limited to one burst.  An account is dropped after
+        ``RESERVATION_MS``, when the slice is no longer valid at the asker; nothing is added to the bucket
+        then.
+        """
         bucket, count = owned.bucket, self._limiter_count()
-        reserved, next_check_at = set(self._departed), math.inf
+        reserved_limiters, next_check_at = set(self._departed), math.inf
         for number, asker in list(owned.askers.items()):
             silent_ms = now - asker.last_heard_at
             if silent_ms > RESERVATION_MS:
@@ -679,7 +728,7 @@
                 possibly_used = asker.reserved_tokens + silent_ms * bucket.rate / count / 1000.0
                 bucket.tokens = max(min(bucket.tokens, -bucket.burst), bucket.tokens - possibly_used)
             if asker.reserved:
-                reserved.add(number)
+                reserved_limiters.add(number)
             next_check_at = min(
                 next_check_at,
                 asker.last_heard_at + (RESERVATION_MS if asker.reserved else asker.silence_timeout()),
@@ -692,11 +741,14 @@
                 and n not in owned.askers
                 and not ((peer := self._peers.get(n)) and peer.ring_agreed)
             }
-            reserved |= unconfirmed
+            reserved_limiters |= unconfirmed
             owned.recently_moved = bool(unconfirmed) or now - bucket.born <= NEW_BUCKET_MS
             next_check_at = min(next_check_at, now + SILENCE_MIN_MS)
-        owned.reserved_slices = len(reserved)
-        bucket.part, owned.next_check_at = max(1.0 / count, 1.0 - len(reserved) / count), next_check_at
+        owned.reserved_slices = len(reserved_limiters)
+        bucket.part, owned.next_check_at = (
+            max(1.0 / count, 1.0 - len(reserved_limiters) / count),
+            next_check_at,
+        )
 
     def _apply_usage(
         self,
@@ -708,11 +760,17 @@
         acknowledged: int,
         held_tokens: float | None = None,
     ) -> None:
-        """Account for the usage that an asker reports in a message.
+        """Account for the usage that an asker reports, in the bucket and in the asker's account.
+
+        ``spent`` is the number of requests that the asker's slice has admitted since its process
+        (``incarnation``) started, and ``acknowledged`` the part of it that an owner has accounted for.  The
+        rest is deducted from the bucket, whose debt is limited to one burst.  A limiter of the ring that has
+        no account gets one (``MAX_ASKERS`` at most), and nothing is deducted.
 
-        What its slice has admitted is deducted from the bucket.  If the slice was reserved, the unused rest
-        of it is restored, but no more than the asker still has (``held_tokens``) if it has been in contact
-        with another owner since.
+        If the slice was reserved, the bucket was charged with all of it already.  In this case the unused
+        rest is added to the bucket and the reservation ends.  It is not more than ``held_tokens``, the tokens
+        that the slice still has, which is given if the asker's bucket copy is that of another owner.  Nothing
+        is added if the asker has restarted, as what its previous process admitted is unknown.
         """
         self._refresh(now, owned)
         bucket, count = owned.bucket, self._limiter_count()
@@ -724,17 +782,19 @@
                 owned.next_check_at = min(owned.next_check_at, now + SILENCE_MIN_MS)
                 if owned.recently_moved:
                     self._refresh(now, owned, force=True)
-            # Nothing is deducted for an unknown asker: another owner had reserved its slice.
+            # Nothing is deducted for an asker without an account: the previous owner had reserved its slice.
             return
         accounted = max(asker.spent, acknowledged) if incarnation == asker.incarnation else 0
         unaccounted = max(0, spent - accounted)
         if asker.reserved:
-            # While it is reserved, a slice fills no further than its burst.  A short silence costs nothing.
-            per_ms = bucket.rate / count / 1000.0
-            reserved_tokens = asker.reserved_tokens + (now - asker.last_heard_at) * per_ms
-            max_restored = bucket.burst / count + SILENCE_MAX_MS * per_ms
+            # Without the reservation the bucket would have stopped filling at its burst, so no more than the
+            # slice's part of the burst is added.  What accrues in SILENCE_MAX_MS comes on top, so that all of
+            # a short silence is restored.
+            tokens_per_ms = bucket.rate / count / 1000.0
+            withheld_tokens = asker.reserved_tokens + (now - asker.last_heard_at) * tokens_per_ms
+            max_restored = bucket.burst / count + SILENCE_MAX_MS * tokens_per_ms
             restored = (
-                0.0 if incarnation != asker.incarnation else min(reserved_tokens - unaccounted, max_restored)
+                0.0 if incarnation != asker.incarnation else min(withheld_tokens - unaccounted, max_restored)
             )
             if held_tokens is not None:
                 restored = min(restored, held_tokens)
--- a/larklb/balancing/choice.py
+++ b/larklb/balancing/choice.py
@@ -34,31 +34,31 @@
 MISS_COST = 0.5
 # Part of the service time by which a server costs less that this limiter prefers to its peers.
 PREFERRED_DISCOUNT = 0.12
-# Part of its standard error by which the logarithm of a slowdown is reduced, so that servers with little
-# evidence are tried.
+# Part of the standard error of a server's slowdown by which its logarithm is reduced, so that servers with
+# little evidence are tried.
 UNCERTAINTY_DISCOUNT = 0.25
 # Factor on the time after which a request is overdue, since the slowdown of the server is uncertain.
 OVERDUE_MARGIN = 1.5
-# A server counts as overdue too if more other limiters than this have an overdue request there.
+# A server also counts as one with an overdue request if more other limiters than this report one.
 MAX_OVERDUE_OBSERVERS = 1
 # Standard deviations (of the logarithm) above the usual service time from which a request is overdue.
 OVERDUE_DEVIATIONS = 2.3
 # Factors on the cost of a server with an overdue request, and of one that has just failed.
 OVERDUE_COST_FACTOR = 4.0
 FAILED_COST_FACTOR = 4.0
-# Part of the requests for which a recent failure doesn't count.
+# Part of the requests for which FAILED_COST_FACTOR doesn't apply.
 FAILED_EXEMPT_SHARE = 0.2
 # Weight of one answer in the usual service time of a route.
 ROUTE_SAMPLE_WEIGHT = 0.03
 # Standard deviation of the logarithm of a route's service times that is assumed before many answers.
 INITIAL_LOG_DEVIATION = 0.7
-# Weight of a sample that waited in a queue or came from a cold server.
+# Weight of a sample that waited in a queue or came from a server that was warming up.
 QUEUED_SAMPLE_WEIGHT = 0.3
 # Part of the cost that is random.
 COST_JITTER = 0.04
 # Where all servers report that they are full, one whose report is older than this is tried: it may be wrong.
 FULL_RETRY_MS = 1_000.0
-# Requests in flight per server whose start is recorded.
+# Upper bound of the requests in flight at one server whose start is recorded.
 MAX_PENDING = 4_096
 
 
@@ -95,7 +95,7 @@
     reported_load: LoadOfOthers = field(factory=LoadOfOthers)
     estimate: Estimate = field(factory=Estimate)
     slowdown: float = 1.0  # of the estimate, reduced by its uncertainty
-    shared_mean: float | None = None  # requests of the others by their reports, None without recent reports
+    shared_mean: float | None = None  # mean requests of the others by their reports, None without recent ones
     mean_load: float = 0.0  # mean requests of the limiters without a valid report of requests in flight
     overdue_observers: int = 0  # other limiters with an overdue request at the server
     # When the server was last added, warmed up or recovered; -inf for those present at the start.
@@ -105,7 +105,7 @@
     preferred: bool = False  # by this limiter, see ``_assign_preferred``
     zone_cost: float = 0.0  # part of the latency setpoint
     pending: list[tuple[float, str]] = field(factory=list)  # start and route of the requests in flight
-    # When the first pending request is overdue that started after all answered ones.
+    # When the first of the pending requests becomes overdue that started after all answered ones.
     overdue_at: float = math.inf
     # Pending requests that are overdue while later ones were answered; they no longer count as load.
     dropped: int = 0
@@ -114,9 +114,10 @@
 
 @define
 class CapacityAwareSelector(ServerSelector):
-    """All servers as one limiter sees them, with what the other limiters report.
+    """Selects a server for each request by its estimated capacity and the load that other limiters report.
 
-    ``exchange_enabled``: whether near peers report their requests in flight.
+    *Near peers* are the other limiters of this zone.  ``exchange_enabled``: whether they report their
+    requests in flight and estimates; without these reports the base class selects the server.
     """
 
     own_name: str = ""
@@ -181,11 +182,11 @@
             return
         rank, count = zone_limiters.index(self.own_name), len(zone_limiters)
         for servers in self.by_target.values():
-            near = sorted((p for p in servers if p.zone == self.zone), key=lambda p: digest(p.id))
+            zone_servers = sorted((p for p in servers if p.zone == self.zone), key=lambda p: digest(p.id))
             for server in servers:
                 self.statistics[server.id].preferred = False
-            servers_each = len(near) / count
-            for i, server in enumerate(near):
+            servers_each = len(zone_servers) / count
+            for i, server in enumerate(zone_servers):
                 self.statistics[server.id].preferred = (
                     i < (rank + 1) * servers_each and i + 1 > rank * servers_each
                 )
@@ -200,6 +201,7 @@
         return service_time
 
     def _update_estimate(self, now: float, server: ServerState, stats: ServerStatistics) -> None:
+        """Updates ``stats`` from the evidence and the reports, and with it the usual load of the service."""
         stats.estimated_at = now
         stats.estimate = self.estimates.estimate(now, server.id)
         stats.slowdown = math.exp(
@@ -229,14 +231,14 @@
 
     def _mean_load(self, now: float, server: ServerState, stats: ServerStatistics) -> float:
         """Returns the mean requests of the limiters without a valid report of their requests in flight."""
-        usual, reported = self.mean_loads.get(server.target, 0.0) * server.slots, stats.reported_load
+        usual_load, reported = self.mean_loads.get(server.target, 0.0) * server.slots, stats.reported_load
         if stats.shared_mean is not None and (self.in_flight.totals or not reported.trusted()):
             mean = stats.shared_mean
         elif reported.trusted():
             # The reports of other limiters lag by seconds: without their requests in flight the server's own
             # report is better.  A server that gets no requests reports nothing: its last report decays
             # towards the usual load.
-            mean = usual + (reported.mean - usual) * math.exp(
+            mean = usual_load + (reported.mean - usual_load) * math.exp(
                 min(0.0, reported.updated_at - now) / NEW_SERVER_MS
             )
         else:
@@ -244,7 +246,7 @@
         if now - stats.ready_since < 4.0 * NEW_SERVER_MS:
             mean = max(
                 mean,
-                usual * math.exp(min(0.0, stats.ready_since + NEW_SERVER_MS - now) / NEW_SERVER_MS),
+                usual_load * math.exp(min(0.0, stats.ready_since + NEW_SERVER_MS - now) / NEW_SERVER_MS),
             )
         return mean
 
@@ -290,7 +292,7 @@
         """
         self._flush_pending_answer()
         self.last_call_at, self.last_route = now, route
-        if not self.exchange_enabled:  # without the reports of other limiters it is no better than the base
+        if not self.exchange_enabled:  # without the reports of other limiters this is no better than the base
             return ServerSelector.pick(self, now, target, route, setpoint, exclude, caller)
         if caller is not None and target in self.assignments:
             self.callers.record_request(now, caller, self.route_latency(route).mean)
@@ -298,13 +300,13 @@
                 return server
         if setpoint > self.longest_setpoints.get(target, 0.0):
             self.longest_setpoints[target] = setpoint
-        service_time, usual = (
+        service_time, usual_ms = (
             self.route_service_time(route),
             self.service_ms.get(target, admission.INITIAL_LATENCY_MS),
         )
         route_ms, longest_setpoint = service_time.mean_ms(), self.longest_setpoints[target]
         log_mean, steepness = service_time.log_mean, 1.702 / math.sqrt(max(service_time.log_variance, 0.01))
-        best, least, limit = None, math.inf, self.in_flight_limit(target)
+        best, min_cost, limit = None, math.inf, self.in_flight_limit(target)
         impaired: list[ServerState] = []
         reported_full: list[tuple[int, float, ServerState]] = []
         random, log, exp, statistics = self.random.random, math.log, math.exp, self.statistics
@@ -315,11 +317,11 @@
             if now - stats.estimated_at > ESTIMATE_MAX_AGE_MS:
                 self._update_estimate(now, server, stats)
             slowdown = stats.slowdown if now >= server.cold_until else stats.slowdown * admission.COLD_FACTOR
-            service_ms = usual * slowdown
+            service_ms = usual_ms * slowdown
             known, others = self.load_of_others(now, server, stats, service_ms)
             slots, known = server.slots or 1, known + server.in_flight - stats.dropped
             load = known + others
-            if load >= slots and load >= max_in_flight(slots, usual, slowdown, longest_setpoint):
+            if load >= slots and load >= max_in_flight(slots, usual_ms, slowdown, longest_setpoint):
                 if (
                     known < slots
                     and now - stats.reported_load.updated_at > FULL_RETRY_MS
@@ -330,27 +332,27 @@
             if server.silent or server.probing or now < server.ejected_until:
                 impaired.append(server)
                 continue
-            wait = expected_queue(known + (known >= slots), others, slots) * service_ms
-            left = setpoint - wait
+            wait_ms = expected_queue(known + (known >= slots), others, slots) * service_ms
+            left_ms = setpoint - wait_ms
             # Probability of missing the setpoint, by the logistic curve closest to the normal distribution.
-            miss = (
-                1.0 / (1.0 + exp(min(50.0, steepness * (log(left / slowdown) - log_mean))))
-                if left > 1.0
+            miss_probability = (
+                1.0 / (1.0 + exp(min(50.0, steepness * (log(left_ms / slowdown) - log_mean))))
+                if left_ms > 1.0
                 else 1.0
             )
             cost = (
-                wait
+                wait_ms
                 + slowdown
                 * route_ms
                 * (1.0 + UTILISATION_COST * load / slots - (PREFERRED_DISCOUNT if stats.preferred else 0.0))
-                + setpoint * (stats.zone_cost + MISS_COST * miss)
+                + setpoint * (stats.zone_cost + MISS_COST * miss_probability)
             ) * (1.0 + COST_JITTER * random())
             if now > stats.overdue_at or stats.overdue_observers > MAX_OVERDUE_OBSERVERS:
                 cost *= OVERDUE_COST_FACTOR
             if server.consecutive_failures and random() > FAILED_EXEMPT_SHARE:
                 cost *= FAILED_COST_FACTOR
-            if cost < least:
-                best, least = server, cost
+            if cost < min_cost:
+                best, min_cost = server, cost
         if best is None and impaired:
             best = min(impaired, key=lambda p: (p.silent, p.ejected_until, random()))
         if best is None and reported_full:
@@ -359,14 +361,14 @@
 
     def has_room(self, now: float, target: str) -> bool:
         """Returns whether some server of the service can take one more request."""
-        usual, longest_setpoint = (
+        usual_ms, longest_setpoint = (
             self.service_ms.get(target, admission.INITIAL_LATENCY_MS),
             self.longest_setpoints.get(target, math.inf),
         )
         return any(
             not p.draining
             and self.load(now, p)
-            < max_in_flight(max(1, p.slots), usual, self.statistics[p.id].slowdown, longest_setpoint)
+            < max_in_flight(max(1, p.slots), usual_ms, self.statistics[p.id].slowdown, longest_setpoint)
             for p in self.by_target.get(target, ())
         )
 
@@ -383,7 +385,7 @@
         ServerSelector.record_start(self, server)
 
     def _time_overdue(self, stats: ServerStatistics, start: float, route: str) -> float:
-        """Returns when a request is overdue that went to the server at ``start``."""
+        """Returns when a request that went to the server at ``start`` becomes overdue."""
         service_time = self.route_service_time(route)
         deviation = math.sqrt(max(service_time.log_variance, 0.01))
         late_ms = math.exp(min(12.0, service_time.log_mean + OVERDUE_DEVIATIONS * deviation))
@@ -438,13 +440,15 @@
             self._flush_pending_answer()
             return
         answer, self.pending_answer, self.last_call_at = self.pending_answer, None, now
-        usual = max(
+        expected_ms = max(
             1.0,
             self.service_ms.get(server.target, admission.INITIAL_LATENCY_MS)
             * self._slowdown(now, server, stats),
         )
-        latency_ms = answer[2] if answer is not None and answer[0] is server else usual
-        stats.reported_load.record(now, running, waiting, server.slots, server.in_flight, latency_ms / usual)
+        latency_ms = answer[2] if answer is not None and answer[0] is server else expected_ms
+        stats.reported_load.record(
+            now, running, waiting, server.slots, server.in_flight, latency_ms / expected_ms
+        )
         if answer is None or answer[0] is not server:
             return
         if not stats.reported_load.trusted():
@@ -475,17 +479,17 @@
 
         ``queue``: requests per slot that were ahead of it in the server's queue, None if not reported.
         """
-        usual = self.service_ms.get(server.target, admission.INITIAL_LATENCY_MS)
+        usual_ms = self.service_ms.get(server.target, admission.INITIAL_LATENCY_MS)
         slowdown, weight = self._slowdown(now, server, stats), 1.0
         if queue is None:
-            known, others = self.load_of_others(now, server, stats, usual * slowdown)
+            known, others = self.load_of_others(now, server, stats, usual_ms * slowdown)
             queue = expected_queue(server.in_flight + known, others, max(1, server.slots))
             weight = 1.0 - 0.5 * min(1.0, queue)
         elif queue > 0.0:
             weight = QUEUED_SAMPLE_WEIGHT
         if now - latency_ms < server.cold_until:
             weight = QUEUED_SAMPLE_WEIGHT
-        service_ms = max(0.2 * latency_ms, latency_ms - queue * usual * slowdown, 0.5)
+        service_ms = max(0.2 * latency_ms, latency_ms - queue * usual_ms * slowdown, 0.5)
         log_cold = math.log(admission.COLD_FACTOR) if now - latency_ms < server.cold_until else 0.0
         service_time, log_ms = self.route_service_time(route), math.log(service_ms) - log_cold
         if service_time.count >= 8:
@@ -494,7 +498,7 @@
         service_time.add(log_ms - stats.estimate.log_slowdown, weight)
         service_ms /= slowdown
         self.service_ms[server.target] = (
-            usual + 0.03 * (service_ms - usual) if server.target in self.service_ms else service_ms
+            usual_ms + 0.03 * (service_ms - usual_ms) if server.target in self.service_ms else service_ms
         )
 
     def record_rejection(self, now: float, server: ServerState) -> None:
@@ -529,7 +533,7 @@
             ServerSelector.record_failure(self, now, server, unresponsive)
 
     def record_abandonment(self, now: float, server: ServerState, route: str, waited_ms: float) -> None:
-        """Records an attempt that was cancelled here; it would have taken at least ``waited_ms``."""
+        """Records an attempt that this limiter aborted; it would have taken at least ``waited_ms``."""
         stats, started = self.statistics.get(server.id), now - waited_ms
         if stats is None:
             ServerSelector.release(self, server)
--- a/larklb/balancing/estimates.py
+++ b/larklb/balancing/estimates.py
@@ -22,11 +22,11 @@
 RECENT_DECAY_MS = 2_000.0
 # Precision of the prior that a server is like the others: their logarithms differ by about 0.35.
 PRIOR_PRECISION = 8.0
-# Of one sample, so that it takes at least three samples to establish a sudden change.
+# Upper bound of the precision of one sample, so that it takes at least three to establish a sudden change.
 MAX_SAMPLE_PRECISION = 2.5
-# A sudden slowdown is accepted on recent evidence alone if that differs from the older evidence by this many
-# standard errors and has at least this precision; the older evidence then keeps the last of the three as its
-# precision.
+# A sudden slowdown is accepted on recent evidence if this differs from the older evidence by more than
+# SLOWDOWN_MIN_ERRORS standard errors and has at least the precision SLOWDOWN_MIN_PRECISION.  The older
+# evidence is then given the precision SLOWDOWN_OLD_PRECISION.
 SLOWDOWN_MIN_ERRORS = 3.0
 SLOWDOWN_MIN_PRECISION = 6.0
 SLOWDOWN_OLD_PRECISION = 3.0
@@ -37,7 +37,7 @@
 SPEEDUP_MIN_ERRORS = 4.0
 SPEEDUP_MIN_PRECISION = 12.0
 SPEEDUP_OLD_PRECISION = 12.0
-# Of one sample: e^2.5 = 12 times the usual service time, or a twelfth of it.
+# Upper bound of the absolute logarithm in one sample: e^2.5 = 12 times the usual service time, or a twelfth.
 MAX_LOG_RATIO = 2.5
 # Part of all evidence on a server that one observer may contribute where there are others.
 MAX_OBSERVER_SHARE = 0.4
@@ -67,12 +67,12 @@
     def decayed(self, now: float) -> tuple[float, float, float, float]:
         """Returns the four sums as of ``now``, in the order of the fields."""
         elapsed = max(0.0, now - self.updated_at)
-        long, short = math.exp(-elapsed / EVIDENCE_DECAY_MS), math.exp(-elapsed / RECENT_DECAY_MS)
+        decay, recent_decay = math.exp(-elapsed / EVIDENCE_DECAY_MS), math.exp(-elapsed / RECENT_DECAY_MS)
         return (
-            self.precision * long,
-            self.weighted_sum * long,
-            self.recent_precision * short,
-            self.recent_weighted_sum * short,
+            self.precision * decay,
+            self.weighted_sum * decay,
+            self.recent_precision * recent_decay,
+            self.recent_weighted_sum * recent_decay,
         )
 
     def decay(self, now: float) -> None:
@@ -101,7 +101,7 @@
     """The estimated slowdown of a server.
 
     ``log_slowdown``: logarithm of ``slowdown``; ``standard_error``: its standard deviation; ``precision``: of
-    the evidence, without the prior; ``sudden_change``: whether the recent evidence alone decides.
+    the evidence, without the prior; ``sudden_change``: whether a sudden change was accepted.
     """
 
     log_slowdown: float = 0.0
@@ -151,6 +151,8 @@
 
 @define
 class _Report:
+    """The newest report of one observer; ``order`` rises with each report, also across restarts."""
+
     order: int
     received_at: float
     rows: dict[str, Evidence]
@@ -206,21 +208,26 @@
         servers is outweighed by the others.
         """
         own = self.own_evidence.get(server)
-        parts = [row.decayed(now) for row in self._reported_evidence(now, server)]
+        observer_sums = [row.decayed(now) for row in self._reported_evidence(now, server)]
         if own is not None:
-            parts.append(own.decayed(now))
-        if len(parts) > 2:
-            # The limit refers to the evidence of the others alone: an observer can't raise its own limit.
-            total, total_recent = sum(p[0] for p in parts), sum(p[2] for p in parts)
-            share = MAX_OBSERVER_SHARE / (1.0 - MAX_OBSERVER_SHARE)
-            parts = [
+            observer_sums.append(own.decayed(now))
+        if len(observer_sums) > 2:
+            # The precision of one observer is limited to a multiple of that of all others, which it can't
+            # raise itself.
+            total, total_recent = sum(p[0] for p in observer_sums), sum(p[2] for p in observer_sums)
+            max_ratio = MAX_OBSERVER_SHARE / (1.0 - MAX_OBSERVER_SHARE)
+            observer_sums = [
                 (
-                    *_capped(p[0], p[1], share * (total - p[0])),
-                    *_capped(p[2], p[3], share * (total_recent - p[2])),
+                    *_capped(p[0], p[1], max_ratio * (total - p[0])),
+                    *_capped(p[2], p[3], max_ratio * (total_recent - p[2])),
                 )
-                for p in parts
+                for p in observer_sums
             ]
-        estimate = estimate_from_sums(*(sum(p[i] for p in parts) for i in range(4))) if parts else Estimate()
+        estimate = (
+            estimate_from_sums(*(sum(p[i] for p in observer_sums) for i in range(4)))
+            if observer_sums
+            else Estimate()
+        )
         log_slowdown, accepted_at = self.slowdowns.get(server, (0.0, -math.inf))
         remaining = log_slowdown * math.exp(min(0.0, accepted_at - now) / SLOWDOWN_DECAY_MS)
         if estimate.sudden_change and estimate.log_slowdown >= remaining and estimate.log_slowdown > 0.0:
@@ -280,12 +287,14 @@
 
 
 def _capped(precision: float, weighted_sum: float, max_precision: float) -> tuple[float, float]:
+    """Returns the precision, at most ``max_precision``, and the sum reduced in proportion."""
     if precision <= max_precision:
         return precision, weighted_sum
     return max_precision, weighted_sum * max_precision / precision
 
 
 def _parse_row(now: float, row: Any) -> Evidence:
+    """Returns the evidence in one row of a report; raises an error if a value is impossible."""
     precision, weighted_sum, recent_precision, recent_weighted_sum, mean_in_flight = (
         float(v) for v in row[:5]
     )
--- a/larklb/balancing/load.py
+++ b/larklb/balancing/load.py
@@ -1,7 +1,7 @@
 """The load that other limiters cause at a server, and how many requests may be in flight there.
 
-Between two answers of a server, which report its load, the messages of near peers on their requests in flight
-fill the gap.  No I/O; times are arguments in ms.
+A server reports its load with each answer.  Between two answers the load is estimated from the messages of
+near peers on their requests in flight.  No I/O; times are arguments in ms.
 """
 
 from __future__ import annotations
@@ -97,6 +97,8 @@
 
 @define
 class _Report:
+    """The newest report of one peer; ``order`` rises with each report, also across restarts."""
+
     order: int
     received_at: float
     rows: dict[str, int]
@@ -145,7 +147,7 @@
         if previous is not None and order <= previous.order:
             return False
         if previous is None and len(self.reports) >= MAX_PEERS:
-            return False  # peers beyond the limit are counted by their mean load
+            return False  # the load of peers beyond the limit is estimated by its mean
         self._add(previous.rows if previous is not None else {}, -1)
         self.reports[observer] = _Report(order, now, rows)
         self._add(rows, 1)
@@ -173,6 +175,7 @@
         )
 
     def _add(self, rows: Mapping[str, int], sign: int) -> None:
+        """Adds a report's numbers to the totals, or subtracts them if ``sign`` is -1."""
         for server, count in rows.items():
             total = self.totals.get(server, 0) + sign * count
             if total:
@@ -202,10 +205,12 @@
     if not demand:
         return {}
     names = sorted(demand)
-    wanted = {name: max(0.0, demand[name]) if math.isfinite(demand[name]) else 0.0 for name in names}
+    valid_demand = {name: max(0.0, demand[name]) if math.isfinite(demand[name]) else 0.0 for name in names}
     divisible = max(0, limit - floor * len(names))
-    total = sum(wanted.values())
-    exact = {name: divisible * (wanted[name] / total if total > 0 else 1.0 / len(names)) for name in names}
+    total = sum(valid_demand.values())
+    exact = {
+        name: divisible * (valid_demand[name] / total if total > 0 else 1.0 / len(names)) for name in names
+    }
     parts = {name: floor + int(exact[name]) for name in names}
     remainder = floor * len(names) + divisible - sum(parts.values())
     for name in sorted(names, key=lambda n: (int(exact[n]) - exact[n], n))[:remainder]:
--- a/larklb/gateway/control_plane.py
+++ b/larklb/gateway/control_plane.py
@@ -2,9 +2,10 @@
 of calls by servers and operators.
 
 There is no I/O: messages come in by ``handle_message`` and go out by ``send``, the current time in ms is an
-argument, and the results of calls are passed to ``done``. A core machine settles servers' calls itself while
-it is in contact with a majority of the core, and operators' calls while it is the leader. All other calls are
-forwarded, to the home or to the leader.
+argument, and the results of calls are passed to ``done``. A limiter's *home* is the core machine from which
+it learns of other limiters and servers. A core machine answers servers' calls itself while it is in contact
+with a majority of the core, and operators' calls while it is the leader. All other calls are forwarded, to
+the home or to the leader.
 """
 
 from __future__ import annotations
@@ -114,7 +115,7 @@
         if self.core is not None:
             self.core.tick(now, self.subscriber.local_member)
             self.core.flush()
-            # The subscriber names these core machines to limiters that look for one.
+            # The subscriber tells limiters that look for a core machine of these.
             for present in self.core.home.present_cores(now):
                 self.subscriber.add_core(present.last_heard, present.member)
             self._apply_stored_configuration(now, self.core)
@@ -189,6 +190,7 @@
         self.flush()
 
     def _handle_core_message(self, now: float, message: ControlMessage, core: Core) -> None:
+        """Handles a message that is meant for a core machine."""
         home = core.home
         match message:
             case Raft():
@@ -215,6 +217,7 @@
         core.flush()
 
     def _add_cores(self, now: float, rows: Rows) -> None:
+        """Adds the core machines among these members to those that this core machine knows."""
         if self.core is None:
             return
         for node, row in rows:
@@ -223,6 +226,7 @@
                 self.core.home.add_core(now, member)
 
     def _fetch(self, now: float, ip: str) -> None:
+        """Requests the newest configuration, unless that was done recently."""
         if now - self.last_fetch < FETCH_RETRY_MS:
             return
         self.last_fetch = now
@@ -232,7 +236,7 @@
     # Calls of servers ---------------------------------------------------------------------
 
     def server_call(self, now: float, call: Server | str, done: Done) -> None:
-        """Settles a server's heartbeat, or the sign-off of the server with this id, on this core machine or
+        """Applies a server's heartbeat, or the sign-off of the server with this id, on this core machine or
         on the home; ``done`` is called once with the result."""
         core, home = self.core, self.subscriber.home_ip()
         if core is not None and (core.home.ready or not home or home == self.settings.ip):
@@ -275,7 +279,7 @@
     # Calls of operators -------------------------------------------------------------------
 
     def operator_call(self, now: float, request: OperatorRequest, done: Done, hops: int = 0) -> None:
-        """Settles an operator's call, on this machine if it is the leader, or by forwarding it.
+        """Executes an operator's call on this machine if it is the leader, or forwards it.
 
         ``hops`` is how often the call has been forwarded; ``done`` is called once with the result."""
         if self.core is not None and self.core.replica.is_leader:
@@ -302,6 +306,8 @@
     # Forwarding ---------------------------------------------------------------------------
 
     def _forward(self, ip: str, call: ForwardedCall, done: Done) -> None:
+        """Forwards a call; without an answer in time its result is ``UNAVAILABLE``."""
+
         def answered(answer: CallAnswer | None) -> None:
             done(UNAVAILABLE if answer is None else answer.result)
 
--- a/larklb/gateway/core.py
+++ b/larklb/gateway/core.py
@@ -56,7 +56,7 @@
     """Both replicas of one incarnation of a core machine.
 
     ``home`` is the replica of the registry, which serves the limiters that use this machine as their home;
-    ``replica`` is the replica of the configuration. ``offer`` is the newest version that others are told."""
+    ``replica`` is the replica of the configuration. ``offer`` is the newest version offered to others."""
 
     def __init__(
         self,
@@ -165,7 +165,7 @@
     def process_ready(self, now: float) -> None:
         """Sends what the replica has to send and starts its save, unless one is in progress."""
         self.now = now
-        # During a save the replica has only answers.
+        # During a save the replica returns only answers, which can be sent at once.
         while (ready := self.replica.ready()) is not None:
             if ready.save is None:
                 self._send(ready)
@@ -198,6 +198,7 @@
         return self.home.members.address_of_disk(leader)
 
     def _announce_version(self) -> None:
+        """Offers a newly confirmed version at once to the limiters that use this machine as their home."""
         document, version = self.replica.current, self.replica.version
         if document is not None and version != self.announced_version and self.replica.confirmed:
             self.announced_version = version
--- a/larklb/gateway/data_plane.py
+++ b/larklb/gateway/data_plane.py
@@ -40,7 +40,8 @@
 HEDGE_P95_FACTOR = 1.15
 # Shortest hedging delay, as a fraction of the route's setpoint.
 MIN_HEDGE_DELAY_SETPOINTS = 0.35
-# Longest hedging delay, as a fraction of the route's setpoint. A request with a longer one is not hedged.
+# Longest hedging delay, as a fraction of the route's setpoint. A request whose delay would be longer is not
+# hedged.
 MAX_HEDGE_DELAY_SETPOINTS = 0.85
 # Headers that servers get from the limiter alone, or not at all.
 _LIMITER_HEADERS = frozenset((b"x-tenant", b"x-time-left", b"x-target-instance", b"expect"))
@@ -57,7 +58,7 @@
     tenant: Tenant | None
     message: Message
     received_at: float
-    # When the answer is of no more use, and the cause that applies then.
+    # Time after which the answer is of no use, and the cause for which the request ends then.
     deadline: float
     deadline_cause: Cause
     # Key of the caller if the route keeps its callers on the same servers.
@@ -100,7 +101,7 @@
     server_connections: ServerConnections
     selector: ServerSelector
     budget: RetryBudget
-    # Returns the decision on a tenant's quota, or None if there is none and none can be had.
+    # Returns the decision on one request by the tenant's quota, or None if no quota applies.
     request_decision: QuotaRequest
     random: random.Random
     count: Counter[str] = field(factory=Counter)
@@ -176,6 +177,7 @@
         )
 
     async def _admit(self, request: ClientRequest, work: RequestWork) -> Reply:
+        """Answers 429 if the tenant's quota refuses the request, otherwise makes the attempts."""
         tenant = request.tenant
         if work.may_attempt and tenant is not None and not request.route.unkeyed and tenant.rate_per_s > 0:
             decision = await work.run_unless_ended(self.request_decision(tenant))
@@ -197,6 +199,7 @@
     def _authenticate(
         self, configuration: ActiveConfiguration, route: Route, headers: dict[bytes, bytes]
     ) -> tuple[Tenant | None, Reply | None]:
+        """Returns the tenant of the request's key, or None, and the refusal if the route requires a key."""
         if not configuration.keys.needed:
             return None, None
         scheme, _, key = headers.get(b"authorization", b"").partition(b" ")
@@ -236,6 +239,7 @@
     # Attempts -----------------------------------------------------------------------------
 
     async def _run_attempts(self, request: ClientRequest, work: RequestWork) -> Reply:
+        """Makes attempts until one brings an answer to forward, or none may follow."""
         route, deadline, caller = request.route, request.deadline, request.caller
         history, tried_servers = AttemptHistory(work.safe, route.tries), set[str]()
         service = service_of(route, self.random.random())
@@ -292,6 +296,7 @@
     def _select_server(
         self, now: float, route: Route, service: str, tried_servers: set[str], caller: int | None = None
     ) -> ServerState | None:
+        """Selects a server of ``service``, or else one of the route's other services."""
         server = self.selector.pick(now, service, route.name, route.setpoint_ms, tried_servers, caller)
         if server is None:
             for other_service in targets(route):
--- a/larklb/gateway/main.py
+++ b/larklb/gateway/main.py
@@ -1,4 +1,7 @@
-"""The process of one limiter: it connects the control plane, the data plane, the listeners and the disk."""
+"""The process of one limiter: it connects the control plane, the data plane, the listeners and the disk.
+
+The program is called *gateway* in log lines and package names, and each of its processes *limiter*.
+"""
 
 from __future__ import annotations
 
@@ -64,7 +67,8 @@
 TICK_INTERVAL_MS = 100.0
 # Time between checks of the settings file, and between runs of the work that expires old entries.
 SLOW_TICK_INTERVAL_MS = 1_000.0
-# Length of the random session id of a process, by which answers to it are told from those to its predecessor.
+# Length of the random session id of a process, which distinguishes answers to it from those to the process
+# before it.
 SESSION_BYTES = 8
 # The disk's key of the term and vote.
 HARD_STATE = "ballot"
@@ -82,8 +86,9 @@
 READY_WITHOUT_SERVERS_MS = 5_000.0
 # Time until the platform has noticed that a limiter is not ready.
 READINESS_DETECTION_MS = 2_300.0
-# This time at the end of the grace period is reserved for ending the requests still in progress, but at most
-# this fraction of the grace period: requests that are cut off before its last sixth count as lost.
+# Time at the end of the grace period that is reserved for ending the requests still in progress, and the
+# largest fraction of the grace period that it may take: requests that are cut off before the last sixth count
+# as lost.
 SHUTDOWN_RESERVE_MS = 600.0
 SHUTDOWN_RESERVE_FRACTION = 0.12
 # Time for the answers to the requests ended in that way to be sent.
@@ -243,6 +248,7 @@
             log.warning("gateway: no metrics: %s.", error)
 
     def _tick_zone_exchange(self) -> None:
+        """Does the work of the zone exchange, once there is a configuration."""
         self.wheel.after(IN_FLIGHT_INTERVAL_MS, self._tick_zone_exchange)
         if self.data_plane.active is not None:
             self.zone_exchange.tick(self.wheel.now())
@@ -271,6 +277,7 @@
                 self.count[f"turn.late.{bound}ms"] += 1
 
     def _read_settings_stamp(self) -> tuple[float, int]:
+        """Returns the time of change and the size of the settings file, zeros if it can't be read."""
         try:
             stat = os.stat(self.settings.path)
         except OSError:
@@ -375,6 +382,7 @@
         self._assign_callers(now)
 
     def _assign_callers(self, now: float) -> None:
+        """Updates the assignment of callers to servers if any route keeps its callers on the same servers."""
         if (
             self.data_plane.caller_affinity
             or self.data_plane.active is not None
@@ -386,6 +394,7 @@
         return max(1, len(self.subscriber.members))
 
     def _in_flight_limit(self, target: str) -> int:
+        """Returns how many requests this limiter may have in flight at one server of a service."""
         limiters = self._limiter_count()
         limit = max(2, int(self.saturation.get(target, 1 << 20) * USABLE_CONNECTIONS_FRACTION / limiters))
         if not self.settings.bootstrap and self.wheel.now() - self.started_at < RESTART_RAMP_MS:
@@ -395,11 +404,11 @@
         return limit
 
     async def _server_call(self, call: Server | str) -> CallResult:
-        """Settles a server's heartbeat, or the sign-off of the server with this id."""
+        """Applies a server's heartbeat, or the sign-off of the server with this id; returns the result."""
         return await self._await_result(partial(self.plane.server_call, self.wheel.now(), call))
 
     async def _operator_call(self, request: OperatorRequest) -> CallResult:
-        """Settles an operator's call."""
+        """Executes an operator's call; returns the result."""
         return await self._await_result(partial(self.plane.operator_call, self.wheel.now(), request))
 
     @staticmethod
--- a/larklb/gateway/quota_exchange.py
+++ b/larklb/gateway/quota_exchange.py
@@ -1,4 +1,7 @@
-"""Exchange of quota messages between limiters: requests to the owners of tenants' quotas, with a timeout."""
+"""Exchange of quota messages between limiters, and the wait for the owner's decision or the timeout.
+
+The decisions are those of ``larklb.admission.quotas``.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +16,7 @@
 from larklb.schema.configuration import Tenant
 from larklb.wheel import Timer, Wheel
 
-# Time between the periodic messages, which return unused quota and introduce this limiter to new owners.
+# Time between the periodic messages, which release unused slices and ask others to confirm the ring.
 MESSAGE_INTERVAL_MS = 300.0
 # Kinds of messages to an owner; all other kinds are replies.
 REQUEST_KINDS = frozenset(("ask", "back", "hello"))
@@ -28,7 +31,7 @@
         self.quotas, self.wheel, self.send, self.count = quotas, wheel, send, count
         # Addresses of limiters by ring number.
         self.addresses: dict[int, str] = {}
-        # Requests that await a reply, with their timeouts, by the number of the request.
+        # Asks that await a reply, with their timeouts, by the number of the ask.
         self.pending: dict[int, tuple[asyncio.Future[QuotaDecision], Timer]] = {}
         self.last_messages = -1e18
 
@@ -41,7 +44,7 @@
         self.quotas.set_limiters(now, nodes, local_number if local_number >= 0 else None)
 
     async def request_decision(self, tenant: Tenant) -> QuotaDecision | None:
-        """Returns the verdict on a request of a tenant, None if it may proceed without one."""
+        """Returns the decision on one request of a tenant, after asking the owner if necessary."""
         now = self.wheel.now()
         request = self.quotas.request(now, Allowance(tenant.name, tenant.rate_per_s, tenant.burst))
         if not isinstance(request, Ask):
@@ -77,6 +80,7 @@
         self._decide(number, self.quotas.handle_timeout(self.wheel.now(), number))
 
     def _decide(self, number: int, decision: QuotaDecision) -> None:
+        """Ends the wait of ``request_decision`` for the ask with this number."""
         if (pending := self.pending.pop(number, None)) is None:
             return
         future, timer = pending
--- a/larklb/gateway/servers.py
+++ b/larklb/gateway/servers.py
@@ -36,6 +36,7 @@
 REMOTE_DIAL_TIMEOUT_MS = 600.0
 # Answers to other requests that are discarded before the awaited one.
 MAX_STRAY_ANSWERS = 2
+# Time between checks for idle connections to close.
 SWEEP_INTERVAL_MS = 500.0
 # Nothing is sent to a server if less time than this is left.
 MIN_TIME_LEFT_MS = 4.0
@@ -118,6 +119,7 @@
     # Connections --------------------------------------------------------------------------
 
     def _sweep(self) -> None:
+        """Closes idle connections that have expired or whose server drains or is gone."""
         self.wheel.after(SWEEP_INTERVAL_MS, self._sweep)
         now = self.wheel.now()
         for server_id, pool in list(self.pools.items()):
@@ -140,6 +142,7 @@
         self.open_connections -= 1
 
     def _take_idle(self, server_id: str, safe: bool) -> Link | None:
+        """Takes an idle connection that may be used for a request, the most recently used one first."""
         now = self.wheel.now()
         pool = self.pools.get(server_id, [])
         for index in range(len(pool) - 1, -1, -1):
@@ -159,6 +162,7 @@
         return None
 
     def _put_back(self, server_id: str, link: Link, answer: h11.Response | None) -> None:
+        """Keeps a connection for later requests, or closes it if it can't be reused."""
         server = self.selector.servers.get(server_id)
         if (
             server is None
@@ -189,6 +193,7 @@
         return True
 
     async def _dial(self, server: ServerState, timeout_ms: float, attempt: Attempt) -> Link | None:
+        """Opens a connection; returns None if that fails, takes too long or would exceed the limit."""
         if not self._make_room():
             self.count["no_descriptor"] += 1
             return None
@@ -338,8 +343,8 @@
     ) -> tuple[AttemptOutcome, Reply | None]:
         """Evaluates an answer and records it for the server; returns the outcome and the answer to forward.
 
-        ``belongs`` tells that the answer certainly is this request's: it has the attempt id, or no other
-        answer without one arrived on its connection before."""
+        ``belongs`` tells that the answer certainly is this request's: it has the attempt id, or no earlier
+        answer on its connection lacked one."""
         headers = dict(answer.headers)
         status, selector = answer.status_code, self.selector
         if b"x-not-run" in headers or status == 421:
@@ -379,6 +384,7 @@
         return AttemptOutcome.ANSWER, reply
 
     def _record_load(self, now: float, server: ServerState, load_header: bytes) -> None:
+        """Records an X-Load header: running and waiting requests, and slots, separated by commas."""
         try:
             running, waiting, slots = (int(piece) for piece in load_header.split(b","))
         except ValueError:
--- a/larklb/gateway/transport.py
+++ b/larklb/gateway/transport.py
@@ -19,6 +19,7 @@
 
 # A longer datagram would be fragmented on the way.
 MAX_DATAGRAM_BYTES = 1_300
+# A longer message is neither sent nor received.
 MAX_LINE_BYTES = 24 * 1024 * 1024
 # Long messages that may wait for the connection to one limiter; the oldest is dropped beyond that.
 MAX_QUEUED_MESSAGES = 4
@@ -139,6 +140,7 @@
             writer.transport.abort()
 
     def _handle_line(self, line: bytes) -> None:
+        """Decodes and delivers one message; counts and logs one that can't be decoded."""
         self.counts["heard"] += 1
         self.counts["heard_bytes"] += len(line)
         try:
@@ -150,6 +152,7 @@
         self._deliver(message)
 
     def _deliver(self, message: AnyMessage) -> None:
+        """Passes a message to the handler; counts and logs one whose contents it rejects."""
         try:
             self.on_message(message)
         except (KeyError, TypeError, ValueError, IndexError, AttributeError) as error:
--- a/larklb/gateway/zone_exchange.py
+++ b/larklb/gateway/zone_exchange.py
@@ -1,7 +1,7 @@
 """Exchange of server state between the limiters of a zone: requests in flight and estimated capacities.
 
-With many limiters in a zone the messages would cost more than they gain, so each uses its own observations
-only.
+With many limiters in a zone the messages would cost more than they gain, so there is no exchange and each
+limiter uses only its own observations.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 IN_FLIGHT_INTERVAL_MS = 25.0
 # Time between two messages about estimated capacities.
 ESTIMATES_INTERVAL_MS = 500.0
-# Above this number of other limiters there is no exchange; each is sent some tens of messages per second.
+# With more other limiters than this there is no exchange. Each is sent some tens of messages a second.
 MAX_ZONE_PEERS = 8
 
 
