--- a/larklb/assignment/assignment.py
+++ b/larklb/assignment/assignment.py
@@ -19,11 +19,11 @@
 
 # Virtual nodes per unit of weight; a unit is a slot, so that a server with 4 slots has 64 nodes.
 NODES_PER_WEIGHT = 16
-# Virtual nodes of one server, whatever its weight.
+# Maximum number of virtual nodes of one server.
 MAX_NODES = 8_192
-# Servers whose load is read for the mean load with each choice, all servers in turn.
+# Servers whose load is read again for the mean load at each choice; all servers take turns.
 LOAD_SAMPLES = 2
-# Servers that a choice looks at before it takes the least loaded of them.
+# Full servers that a choice looks at before it takes one of the least loaded of them.
 MAX_WALK = 64
 # Servers of a caller's subset that are compared for one request.
 SUBSET_SAMPLES = 2
@@ -39,7 +39,7 @@
 MAX_HOLD_DOWN_MS = 60_000.0
 # Part of all weight that may be held down: many servers that return at once mean a repaired network.
 MAX_HELD_SHARE = 0.25
-# Servers that left and are recorded.
+# Maximum number of servers whose leaving is recorded.
 MAX_FLAPS = 4_096
 # A server is slow for about this time after its start.
 WARM_UP_MS = 8_000.0
@@ -214,27 +214,28 @@
 
         All limiters with the same servers return the same.
         """
-        found: list[str] = []
+        order: list[str] = []
         if limit > 0:
             for server in self._walk(caller, zone):
-                found.append(server)
-                if len(found) >= limit:
+                order.append(server)
+                if len(order) >= limit:
                     break
-        return found
+        return order
 
     def _rank_and_cache(self, caller: int, limit: int, zone: str) -> list[str]:
         """Returns the same as `rank`, and caches it until the servers change."""
         orders = self._order_cache.setdefault(zone, {})
-        found = self.rank(caller, limit, zone)
-        self._cached_ids += len(found) - len(orders.pop(caller, ()))
+        order = self.rank(caller, limit, zone)
+        self._cached_ids += len(order) - len(orders.pop(caller, ()))
         if self._cached_ids > MAX_CACHED_IDS:
             self._order_cache.clear()
-            self._cached_ids = len(found)
+            self._cached_ids = len(order)
             orders = self._order_cache.setdefault(zone, {})
-        orders[caller] = found
-        return found
+        orders[caller] = order
+        return order
 
     def _rest_of_order(self, caller: int, zone: str, skipped: int) -> Iterator[str]:
+        """Yields the servers of the caller's order without the first `skipped`."""
         yield from itertools.islice(self._walk(caller, zone), skipped, None)
 
     # Choice -----------------------------------------------------------------------------------
@@ -315,30 +316,36 @@
         if order is None or len(order) < subset_size and len(order) < len(weights):
             order = self._rank_and_cache(caller, max(subset_size, CACHED_SERVERS), zone)
         if subset_size > 1:
-            found = self._choose_from_subset(order[:subset_size], load, excluded, load_per_weight)
-            if found is not None:
-                return found
-        balance_factor, min_bound_per_weight, least = self.balance_factor, self.min_bound_per_weight, math.inf
+            chosen = self._choose_from_subset(order[:subset_size], load, excluded, load_per_weight)
+            if chosen is not None:
+                return chosen
+        balance_factor, min_bound_per_weight, least_load = (
+            self.balance_factor,
+            self.min_bound_per_weight,
+            math.inf,
+        )
         full: list[tuple[str, float]] = []
         for server in itertools.chain(order, self._rest_of_order(caller, zone, len(order))):
             if server in excluded:
                 continue
-            weight, current = weights[server], load(server)
+            weight, current_load = weights[server], load(server)
             fair_share = load_per_weight * weight
             # The same as `load_bound`, inlined because the call is slow here.
             if (
-                current < fair_share
-                or current < balance_factor * fair_share - 1.0
-                or current < min_bound_per_weight * weight
+                current_load < fair_share
+                or current_load < balance_factor * fair_share - 1.0
+                or current_load < min_bound_per_weight * weight
             ):
                 return server
-            if current < math.inf:
-                relative_load = current / weight
+            if current_load < math.inf:
+                relative_load = current_load / weight
                 full.append((server, relative_load))
-                least = min(least, relative_load)
+                least_load = min(least_load, relative_load)
                 if len(full) >= MAX_WALK:
                     break
-        return next((server for server, part in full if part <= least * balance_factor), None)
+        return next(
+            (server for server, relative_load in full if relative_load <= least_load * balance_factor), None
+        )
 
     def _choose_from_subset(
         self,
@@ -352,12 +359,15 @@
         Servers at their load bound are left out; None if no other is among those compared.
         """
         self._subset_turn += 1
-        best, least = None, math.inf
-        for i in range(min(SUBSET_SAMPLES, len(servers))):
-            server = servers[(self._subset_turn + i) % len(servers)]
+        best, least_load = None, math.inf
+        for offset in range(min(SUBSET_SAMPLES, len(servers))):
+            server = servers[(self._subset_turn + offset) % len(servers)]
             if server in excluded:
                 continue
-            current = load(server)
-            if current < self.load_bound(server, load_per_weight) and current / self._weights[server] < least:
-                best, least = server, current / self._weights[server]
+            current_load = load(server)
+            if (
+                current_load < self.load_bound(server, load_per_weight)
+                and current_load / self._weights[server] < least_load
+            ):
+                best, least_load = server, current_load / self._weights[server]
         return best
--- a/larklb/assignment/callers.py
+++ b/larklb/assignment/callers.py
@@ -10,13 +10,14 @@
 WORK_DECAY_MS = 5_000.0
 # Part of a server's slots that one caller may fill before it gets another server.
 MAX_SLOT_SHARE = 0.5
-# Time between two additions of a server, divided by how many are missing, so that a surge is met in seconds.
+# Minimum time between two additions of a server to a caller's subset, divided by how many are missing, so
+# that a surge is met in seconds.
 GROW_MS = 1_000.0
-# Time between two removals of a server.
+# Minimum time between two removals.
 SHRINK_MS = 2_000.0
-# The subset shrinks only if the need is this part of a server's share below the smaller size.
+# The subset shrinks by one server only if the need is below the smaller size by this many servers.
 SHRINK_MARGIN = 0.5
-# Callers that are recorded at once; those with the oldest requests are discarded first.
+# Maximum number of callers that are recorded; those with the oldest requests are discarded first.
 MAX_CALLERS = 65_536
 
 
--- a/larklb/assignment/ring.py
+++ b/larklb/assignment/ring.py
@@ -17,7 +17,7 @@
 
 POSITION_BITS = 64
 POSITION_MASK = (1 << POSITION_BITS) - 1
-# Probes per caller; a third one makes a lookup a fifth slower.
+# Probes per caller; a third one would make a lookup a fifth slower.
 PROBES = 2
 # Multiplier (odd) and increment that map a caller's probe one-to-one to its next one.
 PROBE_STEP = 0x9E3779B97F4A7C15
@@ -105,21 +105,21 @@
             self._positions[position >> self._shift],
             self._owners[position >> self._shift],
         )
-        i = bisect_left(positions, position)
-        while i < len(positions) and positions[i] == position and self._ids[owners[i]] < server:
-            i += 1  # nodes at the same position are in the order of ids, so that all processes agree
-        positions.insert(i, position)
-        owners.insert(i, self._numbers[server])
+        index = bisect_left(positions, position)
+        while index < len(positions) and positions[index] == position and self._ids[owners[index]] < server:
+            index += 1  # nodes at the same position are in the order of ids, so that all processes agree
+        positions.insert(index, position)
+        owners.insert(index, self._numbers[server])
 
     def _remove(self, server: str, position: int) -> None:
         positions, owners = (
             self._positions[position >> self._shift],
             self._owners[position >> self._shift],
         )
-        i, number = bisect_left(positions, position), self._numbers[server]
-        while owners[i] != number:
-            i += 1
-        del positions[i], owners[i]
+        index, number = bisect_left(positions, position), self._numbers[server]
+        while owners[index] != number:
+            index += 1
+        del positions[index], owners[index]
 
     def _resize_buckets(self) -> None:
         bits = max(0, (self._size // NODES_PER_BUCKET).bit_length() - 1)
@@ -132,11 +132,11 @@
                 self._positions[position >> self._shift].append(position)
                 self._owners[position >> self._shift].append(owner)
 
-    def _cursor_at(self, probe: int, bucket: int, i: int) -> Cursor:
-        """Returns a cursor to the node at ``i``, or to the first one of the next bucket that isn't empty."""
-        while i >= len(self._positions[bucket]):
-            bucket, i = (bucket + 1) % len(self._positions), 0
-        return (self._positions[bucket][i] - probe) & POSITION_MASK, probe, bucket, i
+    def _cursor_at(self, probe: int, bucket: int, index: int) -> Cursor:
+        """Returns a cursor to the node at `index`, or to the first node of the next non-empty bucket."""
+        while index >= len(self._positions[bucket]):
+            bucket, index = (bucket + 1) % len(self._positions), 0
+        return (self._positions[bucket][index] - probe) & POSITION_MASK, probe, bucket, index
 
     def walk(self, caller: int) -> Iterator[str]:
         """Yields all servers once, by the distance of their nearest node from any of the caller's probes."""
@@ -149,11 +149,11 @@
         yielded: set[int] = set()
         for _ in range(PROBES * self._size):
             nearest = min(cursors)
-            _, probe, bucket, i = nearest
-            number = self._owners[bucket][i]
+            _, probe, bucket, index = nearest
+            number = self._owners[bucket][index]
             if number not in yielded:
                 yielded.add(number)
                 yield self._ids[number]
                 if len(yielded) == len(self._nodes):
                     return
-            cursors[cursors.index(nearest)] = self._cursor_at(probe, bucket, i + 1)
+            cursors[cursors.index(nearest)] = self._cursor_at(probe, bucket, index + 1)
--- a/larklb/changefeed/table.py
+++ b/larklb/changefeed/table.py
@@ -1,8 +1,8 @@
 """An in-memory table of rows, each with the revision of its last change.
 
 A reader that has the table at some revision gets the changes since then: the rows with a higher revision, and
-the removals, of which a bounded number is kept.  A reader that is further behind than the removals reach, or
-that has another incarnation of the table, starts at revision 0 and gets all rows.
+the removals.  Only a bounded number of removals is kept.  A reader that lacks older ones, or that has another
+incarnation of the table, starts at revision 0 and gets all rows.
 """
 
 from __future__ import annotations
@@ -42,8 +42,8 @@
 
     def put(self, kind: str, key: str, row: Row | None) -> bool:
         """Sets a row, or removes it if ``row`` is None; returns whether this is a change."""
-        known = self.rows.get((kind, key))
-        if (known.row if known is not None else None) == row:
+        old_event = self.rows.get((kind, key))
+        if (old_event.row if old_event is not None else None) == row:
             return False
         self.revision += 1
         event = Event(self.revision, kind, key, row)
--- a/larklb/consensus/calls.py
+++ b/larklb/consensus/calls.py
@@ -8,7 +8,7 @@
 
 from larklb.consensus.interface import Answer, Call
 
-# Limit of each queue (changes, reads, decided changes); calls beyond it are answered with 503.
+# Maximum length of each queue (changes, reads, decided changes); calls beyond it are answered with 503.
 MAX_PENDING_CALLS = 64
 # With ticks of 50 ms, each call is answered within 800 ms.
 CALL_TIMEOUT_MS = 740.0
@@ -39,9 +39,10 @@
 class PendingCalls:
     """The pending calls of a leader.
 
-    ``changes`` are processed in order, and at most one of them is ``appended`` at a time. ``reads`` and
-    ``decided`` changes wait until a majority has answered a round that began after they were received. Until
-    then this leader may have been deposed without knowing it, and its state may be stale.
+    ``changes`` are processed in order; at most one of them at a time is ``appended``, which means that its
+    entry is in the log but not yet committed. ``reads`` and ``decided`` changes wait until a majority has
+    answered a round that began after they were received. Until then this leader may have been deposed without
+    knowing it, and its state may be stale.
     """
 
     changes: deque[PendingCall] = field(factory=deque)
@@ -54,32 +55,32 @@
 
         A read waits for the round ``read_round``.
         """
-        waiting = PendingCall(ticket, call, now + CALL_TIMEOUT_MS)
+        pending = PendingCall(ticket, call, now + CALL_TIMEOUT_MS)
         if call.kind == "read":
-            waiting.awaited = read_round
+            pending.awaited = read_round
             if len(self.reads) < MAX_PENDING_CALLS:
-                self.reads.append(waiting)
+                self.reads.append(pending)
                 return True
             return False
         if len(self.changes) < MAX_PENDING_CALLS:
-            self.changes.append(waiting)
+            self.changes.append(pending)
             return True
         return False
 
     def take_expired(self, now: float) -> list[str]:
         """Removes the calls whose deadline has passed and returns their tickets."""
-        expired = [waiting.ticket for waiting in self._all() if waiting.deadline <= now]
+        expired = [pending.ticket for pending in self._all() if pending.deadline <= now]
         if expired:
-            self.changes = deque(waiting for waiting in self.changes if waiting.deadline > now)
-            self.reads = [waiting for waiting in self.reads if waiting.deadline > now]
-            self.decided = [waiting for waiting in self.decided if waiting.deadline > now]
+            self.changes = deque(pending for pending in self.changes if pending.deadline > now)
+            self.reads = [pending for pending in self.reads if pending.deadline > now]
+            self.decided = [pending for pending in self.decided if pending.deadline > now]
             if self.appended and self.appended.deadline <= now:
                 self.appended = None
         return expired
 
     def take_all(self) -> list[str]:
         """Removes all calls and returns their tickets."""
-        tickets = [waiting.ticket for waiting in self._all()]
+        tickets = [pending.ticket for pending in self._all()]
         self.changes.clear()
         self.reads.clear()
         self.decided.clear()
@@ -88,23 +89,23 @@
 
     def take_confirmed(self, round_number: int) -> tuple[list[PendingCall], list[PendingCall]]:
         """Removes and returns the reads and decided changes that waited for this round or an earlier one."""
-        reads = [waiting for waiting in self.reads if waiting.awaited <= round_number]
-        decided = [waiting for waiting in self.decided if waiting.awaited <= round_number]
+        reads = [pending for pending in self.reads if pending.awaited <= round_number]
+        decided = [pending for pending in self.decided if pending.awaited <= round_number]
         if reads:
-            self.reads = [waiting for waiting in self.reads if waiting.awaited > round_number]
+            self.reads = [pending for pending in self.reads if pending.awaited > round_number]
         if decided:
-            self.decided = [waiting for waiting in self.decided if waiting.awaited > round_number]
+            self.decided = [pending for pending in self.decided if pending.awaited > round_number]
         return reads, decided
 
-    def add_decided(self, waiting: PendingCall, answer: Answer, round_number: int) -> bool:
+    def add_decided(self, pending: PendingCall, answer: Answer, round_number: int) -> bool:
         """Queues a change that needs no entry, with its answer, until a round is confirmed.
 
         Returns whether there was room.
         """
         if len(self.decided) >= MAX_PENDING_CALLS:
             return False
-        waiting.answer, waiting.awaited = answer, round_number
-        self.decided.append(waiting)
+        pending.answer, pending.awaited = answer, round_number
+        self.decided.append(pending)
         return True
 
     def _all(self) -> list[PendingCall]:
--- a/larklb/consensus/election.py
+++ b/larklb/consensus/election.py
@@ -1,6 +1,7 @@
 """Elections: pre-votes, votes and leadership transfer.
 
-A replica whose disk is blank grants no vote: it may have lost one that it granted before.
+A replica whose disk is blank grants no vote: it may have granted one in the same term before the disk was
+wiped, and a second vote could elect a second leader.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
         self._stopping = True
         if not self.is_leader:
             return
-        candidates = [
+        successors = [
             disk
             for disk, peer in self._peers.items()
             if disk in self._log.voters
@@ -31,8 +32,8 @@
             and peer.match_index == self._log.last_index
             and self._now - peer.replied_at < self._timing.quorum_timeout
         ]
-        if candidates:
-            self._send(min(candidates), TimeoutNow)
+        if successors:
+            self._send(min(successors), TimeoutNow)
 
     def _may_vote(self) -> bool:
         """Returns whether this disk may grant a vote, which it may not while it is blank.
@@ -47,13 +48,16 @@
         """Returns whether this replica may start an election.
 
         It must be a voter of a group that is known to be founded: its disk is bound to the group, or it has
-        proposed the founding itself and all listed disks have accepted.
+        proposed the founding itself and all listed disks have accepted. It must also be able to save its
+        vote, and must not be shutting down.
         """
-        complete = self._hard_state.proposer == self.disk and self._accepted >= set(self._hard_state.listed)
-        voter = self.disk in self._log.voters
+        founding_complete = self._hard_state.proposer == self.disk and self._accepted >= set(
+            self._hard_state.listed
+        )
+        is_voter = self.disk in self._log.voters
         return (
-            voter
-            and (self._hard_state.bound or complete)
+            is_voter
+            and (self._hard_state.bound or founding_complete)
             and self._save_failed_at is None
             and not self._stopping
         )
@@ -69,7 +73,7 @@
         self._count_votes()
 
     def _count_votes(self) -> None:
-        """Proceeds to the election, or to leadership, once a majority of the voters has agreed."""
+        """Starts the election after a majority of pre-votes, or becomes the leader after one of votes."""
         if len(self._votes & set(self._log.voters)) < majority(len(self._log.voters)):
             return
         if self._role == "pre_candidate":
@@ -78,7 +82,7 @@
             self._become_leader()
 
     def _campaign(self, handed: bool) -> None:
-        """Requests votes in the next term; ``handed`` is set if the current leader has asked for it."""
+        """Requests votes in the next term; ``handed`` is set if the current leader transfers leadership."""
         self._enter_term(self.term + 1)
         self._hard_state.vote, self._hard_state.bound = self.disk, True
         self._role, self._votes = "candidate", {self.disk}
@@ -88,7 +92,10 @@
         self._count_votes()
 
     def _on_timeout_now(self, sender: str, message: TimeoutNow) -> None:
-        """Starts an election at once, which followers with a live leader don't refuse."""
+        """Starts an election at once, because the leader transfers leadership to this replica.
+
+        Its requests are marked as ``handed``: followers grant them although they have a leader.
+        """
         if message.term == self.term and sender == self.leader and self._may_campaign():
             self._campaign(True)
 
@@ -105,8 +112,8 @@
     def _on_pre_vote(self, sender: str, message: PreVote) -> None:
         if not self._may_vote():
             return
-        is_newer = message.proposed > self.term and message.last >= self._log.last_position
-        granted = is_newer and not self._has_recent_leader() and self._save_failed_at is None
+        is_eligible = message.proposed > self.term and message.last >= self._log.last_position
+        granted = is_eligible and not self._has_recent_leader() and self._save_failed_at is None
         self._send(sender, PreVoteReply, proposed=message.proposed, yes=granted)
 
     def _on_pre_vote_reply(self, sender: str, message: PreVoteReply) -> None:
@@ -121,8 +128,8 @@
             return
         if message.term > self.term:
             self._enter_term(message.term)
-        vote_free = message.term == self.term and self._hard_state.vote in ("", sender)
-        granted = vote_free and message.last >= self._log.last_position
+        has_vote = message.term == self.term and self._hard_state.vote in ("", sender)
+        granted = has_vote and message.last >= self._log.last_position
         if granted:
             self._hard_state.vote, self._hard_state.bound = sender, True
             self._dirty.add("ballot")
@@ -138,6 +145,7 @@
             self._votes.add(sender)
             self._count_votes()
         else:
+            # The vote may be split: another attempt soon, after a random delay, resolves that.
             self._election_deadline = min(
                 self._election_deadline, self._now + self._rng.uniform(*self._timing.split_vote_backoff)
             )
--- a/larklb/consensus/founding.py
+++ b/larklb/consensus/founding.py
@@ -2,11 +2,14 @@
 
 One disk proposes a list of voters under a group id. The founding is complete when all listed disks have
 accepted it; only its proposer can know that, so only the proposer may campaign first. A disk that has voted
-in a group or followed its leader is *bound* to that group permanently. Until then it may switch to another
-founding, but only to one with a smaller group id whose list leaves out no majority of the current list.
-
-Hence at most one of two foundings gets a leader: a majority that votes in the founding with the greater group
-id has never accepted the smaller one, which therefore never becomes complete.
+in a group or followed its leader is *bound* to that group, unless it learns that the group can never get a
+leader. Until then it may switch to another founding, but only to one with a smaller group id whose list
+leaves out less than a majority of the current list.
+
+Hence at most one of two foundings that share a disk gets a leader. Both become complete only if a shared disk
+switches from the greater group id to the smaller one, whose list then overlaps with every majority of the
+greater one's. If such a majority has voted, it is bound and has never accepted the smaller founding, which
+therefore never becomes complete.
 """
 
 from __future__ import annotations
@@ -25,11 +28,11 @@
 
 @define
 class HardState:
-    """The durable state other than the log, as in Raft: the term and the vote, and the group of this disk.
+    """The durable state other than the log: the term and the vote, as in Raft, and the group of this disk.
 
-    ``bound`` is set once the disk belongs to the group permanently. ``listed`` (disk ids and node names) and
-    ``proposer`` are those of the accepted founding, and empty if the group was learnt from its leader. On a
-    blank disk ``group_id`` is empty.
+    ``vote`` is the disk that got this replica's vote in ``term``, or empty. ``bound`` is set once the disk
+    belongs to the group. ``listed`` (disk ids and node names) and ``proposer`` are those of the accepted
+    founding, and empty if the group was learnt from its leader. On a blank disk ``group_id`` is empty.
     """
 
     group_id: str = ""
@@ -62,14 +65,14 @@
             return False
         if not self.group_id:
             return True
-        outside = sum(other not in listed for other in self.listed)
-        return group_id < self.group_id and outside < majority(len(self.listed))
+        left_out = sum(other not in listed for other in self.listed)
+        return group_id < self.group_id and left_out < majority(len(self.listed))
 
 
-def new_group_id(rng: random.Random, above: str) -> str:
+def new_group_id(rng: random.Random, previous: str) -> str:
     """Returns a random group id of 16 hexadecimal digits.
 
-    If ``above`` is not empty, the id is smaller, so that it can replace a founding that can't complete.
+    If ``previous`` is not empty, the id is smaller, so that it can replace a founding that can't complete.
     """
-    top = int(above, 16) if above else 1 << GROUP_ID_BITS
-    return f"{rng.randrange(max(1, top)):016x}"
+    limit = int(previous, 16) if previous else 1 << GROUP_ID_BITS
+    return f"{rng.randrange(max(1, limit)):016x}"
--- a/larklb/consensus/founding_protocol.py
+++ b/larklb/consensus/founding_protocol.py
@@ -13,14 +13,14 @@
 
 
 class FoundingProtocol(ReplicaState):
-    """Proposes foundings and accepts those of other disks."""
+    """Proposes foundings while this disk is not bound to a group, and accepts those of other disks."""
 
     def propose_founding(self, now: float, cores: dict[str, str]) -> None:
         """Proposes a group of the disks ``cores`` (disk id -> node) and of this one.
 
-        Nothing happens while a save is in progress, if this disk is bound to a group, if it has accepted a
-        founding whose proposer is this disk or has been silent for less than ``Timing.proposer_timeout``, or
-        if the list is shorter than 2 x tolerance.
+        Does nothing while a save is in progress, if this disk is bound to a group, if its present founding
+        was proposed by itself or by a disk that was reported within ``Timing.proposer_timeout``, if that
+        founding may not be replaced, or if the list is shorter than 2 x tolerance.
         """
         self._now = max(self._now, now)
         hard_state = self._hard_state
@@ -41,7 +41,7 @@
 
         One disk of 2 x tolerance + 1 may be missing. A majority is then still more than ``tolerance`` disks.
         Two such groups out of 2 x tolerance + 2 machines (with a tolerance of 2 or more) share a disk, so
-        that at most one of them is completed.
+        that at most one of them gets a leader.
         """
         return len(listed) >= max(1, 2 * self._tolerance)
 
@@ -51,6 +51,7 @@
         self._durable_index = -1
         self._accepted, self._in_other_groups = {self.disk}, set()
         self._proposed_at = float("-inf")
+        # Unsent messages belong to the founding that this one replaces.
         self._outbox.clear()
         self._dirty |= {"ballot", "log"}
 
--- a/larklb/consensus/group.py
+++ b/larklb/consensus/group.py
@@ -96,13 +96,14 @@
     ``own`` is the leader's disk; ``ready`` are the disks of learners that hold all committed entries.
 
     A voter that is silent or leaving is removed only after another has been added: it may return, and the
-    other voters need its vote if they lose one in the meantime. A voter whose disk was wiped is removed
-    first, provided that this keeps the number of disks in a majority (the group is odd) and that this number
-    is above ``tolerance``, because so many disks may be lost at once.
+    other voters need its vote if they lose one in the meantime. A voter whose disk was wiped can't return. It
+    is removed first, provided that this leaves the size of a majority the same (the group is odd) and that
+    this size is above ``tolerance``, because so many disks may be lost at once.
     """
     present = liveness.present(now)
     learners = [disk for disk in present if disk not in voters]
     learner = min((disk for disk in ready if disk in learners and disk not in liveness.leaving), default=None)
+    # The node of such a voter is present with another disk.
     wiped = [
         disk
         for disk, node in sorted(voters.items())
@@ -118,21 +119,21 @@
         ),
         key=lambda disk: (-liveness.silent_for(now, disk), disk),
     )
-    silent = {
+    silent_nodes = {
         voters[disk]
         for disk in unavailable
         if liveness.silent_for(now, disk) >= silent_ms and disk not in liveness.leaving
     }
-    alive = {node for disk, node in voters.items() if disk not in unavailable}
+    available_nodes = {node for disk, node in voters.items() if disk not in unavailable}
     # A learner may be the successor of a voter whose silence isn't long enough to count yet. It counts in
     # addition to the voters only once it has been present for longer than that takes.
     min_presence_ms = silent_ms + REPORT_EXPIRY_MS
-    additional = {
+    new_nodes = {
         present[disk] for disk in learners if liveness.present_for(now, disk) >= min_presence_ms
-    } - alive
-    # A learner may also be the successor of a silent voter; the two are then counted once.
-    core_size = len(alive | additional) + max(0, len(silent) - len(additional))
-    # Machines that are leaving count as long as they are present.
+    } - available_nodes
+    # A learner may also be the successor of a voter that counts as silent. The two then count once.
+    core_size = len(available_nodes | new_nodes) + max(0, len(silent_nodes) - len(new_nodes))
+    # Voters that are leaving count until they are silent.
     core_size += sum(liveness.silent_for(now, disk) < silent_ms for disk in unavailable)
     target = target_voter_count(core_size, tolerance)
     to_remove = [*wiped, *unavailable][:1]
--- a/larklb/consensus/history.py
+++ b/larklb/consensus/history.py
@@ -2,13 +2,13 @@
 
 At most one change is ever applied on top of a version. It is recorded with its identity, a digest of the
 whole call. A call that builds on an older version is then one of three: the change that was applied there
-(answered 200 again), a different change (answered 412 for good), or a call on a version so old that its
-successor is no longer recorded, whose outcome must be reported as unknown.
+(answered 200 again), a different change (answered 412, since it can no longer be applied), or a call on a
+version so old that its successor is no longer recorded, whose outcome must be reported as unknown.
 
 The last ``MAX_HISTORY`` changes are recorded. An operator retries a call until the answer is definite, which
 takes seconds, with at most eight calls in flight. One change takes at least two disk syncs (some 5 ms), so
-that 1,024 changes are never applied within 5 s, the time in which an acknowledgement is due. At 5,700 changes
-a day they cover 4.3 hours. In a snapshot they take 45 bytes each, at most 46 KB.
+that 1,024 changes take more than 5 s, the time in which an acknowledgement is due. At 5,700 changes a day
+they cover 4.3 hours. In a snapshot they take 45 bytes each, at most 46 KB.
 """
 
 from __future__ import annotations
--- a/larklb/consensus/log.py
+++ b/larklb/consensus/log.py
@@ -326,9 +326,9 @@
             self.base = self.state
 
     def install(self, snapshot: Snapshot) -> bool:
-        """Replaces the log by a leader's snapshot; returns whether the snapshot was newer than the log.
+        """Replaces the log by a leader's snapshot, unless all that it covers is already committed here.
 
-        Entries that follow the snapshot stay if the log agrees with it.
+        Entries that follow the snapshot stay if the log agrees with it. Returns whether the log changed.
         """
         if snapshot.index <= self.commit_index:
             return False
--- a/larklb/consensus/membership_change.py
+++ b/larklb/consensus/membership_change.py
@@ -14,9 +14,10 @@
 
 
 class MembershipChange(ReplicaState):
-    """Lets the leader keep as many voters as the tolerance requires."""
+    """Lets the leader add and remove voters, as ``group.next_voters`` determines."""
 
     def _change_voters(self) -> None:
+        """Appends the next change of the voters, if one is due and the previous one is committed."""
         if not self.has_committed_in_term or self._log.has_uncommitted("voters"):
             return
         ready = {
--- a/larklb/consensus/messages.py
+++ b/larklb/consensus/messages.py
@@ -22,7 +22,7 @@
 
 
 class Message(msgspec.Struct, frozen=True, kw_only=True, tag_field="kind"):
-    """The fields that all messages have."""
+    """The fields that all messages have: the sender's disk id, group id and term."""
 
     disk: str
     group_id: str
@@ -71,7 +71,7 @@
     """Replicates the entries that follow the one at ``prev`` (index, term); a heartbeat carries none.
 
     ``commit`` is the leader's commit index. ``round`` is the number of the broadcast. ``seen`` is the newest
-    stamp that the leader has received from the receiver: the content of this message is no older than that.
+    stamp that the leader has received from the receiver: this message was sent after the time of that stamp.
     """
 
     prev: Position
@@ -92,8 +92,9 @@
     """Answers ``AppendEntries`` and ``InstallSnapshot``.
 
     If ``ok`` is set, the log is durable and matches the leader's up to the index ``match``. Otherwise
-    ``match`` is the highest index at which the logs may match, and ``tried`` the one at which they did not.
-    ``stamp`` is the sender's stamp at the time of sending.
+    ``match`` is the highest index at which the logs may match, and ``tried`` the index of the leader's entry
+    that the log lacks. ``round`` is that of the message that is answered. ``stamp`` is the sender's stamp at
+    the time of sending.
     """
 
     ok: bool
--- a/larklb/consensus/proposals.py
+++ b/larklb/consensus/proposals.py
@@ -32,42 +32,43 @@
     def _confirm_round(self, answered: int) -> None:
         """Handles that a majority has answered the round ``answered`` in this term.
 
-        When that round was sent, this replica was the only leader and its committed state the newest. So the
-        calls that were received before can be answered.
+        No newer leader had been elected when that round was sent, so that the committed state of this replica
+        was the newest. The calls that waited for the round or an earlier one can therefore be answered.
         """
         while self._round_times and self._round_times[0][0] <= answered:
             self._quorum_contact_at = max(self._quorum_contact_at, self._round_times.popleft()[1])
         if not self.has_committed_in_term:
             return
         reads, decided = self._calls.take_confirmed(answered)
-        self._answer_all([waiting.ticket for waiting in reads], Answer(200, "", self.current))
-        for waiting in decided:
-            if waiting.answer is not None:
-                self._answers.append((waiting.ticket, waiting.answer))
+        self._answer_all([pending.ticket for pending in reads], Answer(200, "", self.current))
+        for pending in decided:
+            if pending.answer is not None:
+                self._answers.append((pending.ticket, pending.answer))
 
     def _answer_committed(self) -> None:
-        waiting = self._calls.appended
-        if waiting is not None and waiting.awaited <= self._log.commit_index:
+        """Answers the appended change if its entry is committed."""
+        pending = self._calls.appended
+        if pending is not None and pending.awaited <= self._log.commit_index:
             self._calls.appended = None
-            self._answers.append((waiting.ticket, Answer(200, "taken")))
+            self._answers.append((pending.ticket, Answer(200, "taken")))
 
     def _process_changes(self) -> None:
         """Evaluates the next changes against the committed state, as long as none is uncommitted."""
         while (
             self.has_committed_in_term and self._calls.changes and not self._log.has_uncommitted("document")
         ):
-            waiting = self._calls.changes.popleft()
-            result = self._evaluate(waiting.call)
+            pending = self._calls.changes.popleft()
+            result = self._evaluate(pending.call)
             if isinstance(result, Answer):
-                # Answered only after a round: a newer leader may have applied changes unknown to this one.
+                # Answered only after a round, because a newer leader may have applied other changes.
                 self._broadcast_due = True
-                if not self._calls.add_decided(waiting, result, self._round + 1):
-                    self._answers.append((waiting.ticket, TOO_MANY_CALLS))
+                if not self._calls.add_decided(pending, result, self._round + 1):
+                    self._answers.append((pending.ticket, TOO_MANY_CALLS))
                 continue
-            waiting.awaited = self._append(
-                "document", document=result, identity=waiting.call.identity, encoded=encode(result)
+            pending.awaited = self._append(
+                "document", document=result, identity=pending.call.identity, encoded=encode(result)
             )
-            self._calls.appended = waiting
+            self._calls.appended = pending
 
     def _evaluate(self, call: Call) -> Answer | dict[str, Any]:
         """Returns the new document, or the answer if the change is refused or was applied before."""
--- a/larklb/consensus/replica.py
+++ b/larklb/consensus/replica.py
@@ -116,6 +116,7 @@
             log.warning("consensus: saving the state of disk %s failed", self.disk)
             self._save_failed_at = self._now
             self._dirty |= keys
+            # Unsent messages may depend on the state that is not durable.
             self._outbox.clear()
             if self.is_leader:
                 self._step_down("it can't save")
@@ -140,11 +141,12 @@
         try:
             message = decode_message(source)
             if message.disk != sender:
-                # The address may belong to a new disk by now, for which messages of the old one don't count.
+                # The sender's machine may have got a new disk, for which messages of the old one don't count.
                 raise MalformedError("it names another disk as its sender")
             if message.group_id == self._hard_state.group_id or isinstance(message, CROSS_GROUP_MESSAGES):
                 handlers[type(message)](sender, message)
             elif isinstance(message, PreVote) and self._hard_state.bound:
+                # Lets the sender learn that this disk belongs to another group.
                 self._send_founding_reply(sender)
         except MalformedError as error:
             log.warning("consensus: ignored a malformed message from disk %s: %s", sender, error)
--- a/larklb/consensus/state.py
+++ b/larklb/consensus/state.py
@@ -35,10 +35,11 @@
 class Peer:
     """The progress of replication to another disk, as the leader knows it. All times are in ms.
 
-    ``next_index`` is the entry to send next, and ``match_index`` the last one known to be saved there.
-    ``replied_at`` is the time of the last reply, ``stamp`` its stamp, and ``acked_round`` the newest round
-    that was answered. ``sent_after`` is the index that the last entries sent follow (-1 for a snapshot, which
-    follows any index); from ``deadline`` on they count as lost.
+    ``next_index`` is the index of the entry to send next, and ``match_index`` that of the last entry known to
+    be saved there; entries between the two are in flight, or are assumed to be there. ``replied_at`` is the
+    time of the last reply, ``stamp`` its stamp, and ``acked_round`` the newest round that was answered.
+    ``sent_after`` is the index of the entry before the entries that were sent last (-1 if that was a
+    snapshot, which fits any log); without an acknowledgement by ``deadline``, they count as lost.
     """
 
     next_index: int
@@ -111,28 +112,29 @@
         self._hard_state, self._log = load(stored or {})
         self._role = "follower"
         self._incarnation = self._rng.randrange(1, INCARNATION_LIMIT)
-        self._confirmed = False
+        self._confirmed = False  # whether, since the start, the state was once as new as the leader's
         self._up_to_date_at = float("-inf")  # when the committed state was last as new as the leader's
         self._leader_contact_at = float("-inf")  # time of the leader's last message
         self._liveness = Liveness(now)
-        self._votes: set[str] = set()
-        self._accepted: set[str] = set()
+        self._votes: set[str] = set()  # disks that have granted their pre-vote or vote, with this one
+        self._accepted: set[str] = set()  # disks that have accepted the founding, with this one
         self._in_other_groups: set[str] = set()  # listed disks that belong to another group
-        self._proposed_at = float("-inf")
-        self._peers: dict[str, Peer] = {}
-        self._round = 0
+        self._proposed_at = float("-inf")  # when the founding was last sent to the listed disks
+        self._peers: dict[str, Peer] = {}  # of a leader, by disk
+        self._round = 0  # number of this replica's last broadcast as a leader
         self._round_times: deque[tuple[int, float]] = deque(maxlen=MAX_ROUNDS)  # (round, time of sending)
         self._quorum_contact_at = float("-inf")  # sending time of the newest round answered by a majority
         self._stopping = False
         self._broadcast_at = float("-inf")
-        self._broadcast_due = False
+        self._broadcast_due = False  # whether the leader starts a round with the next ``ready``
         self._calls = PendingCalls()
-        self._dirty: set[str] = set()
-        self._saving_keys: set[str] = set()
-        self._saving_since: float | None = None
-        self._saving_last_index = -1
+        self._dirty: set[str] = set()  # keys of the state that has changed since the last save
+        self._saving_keys: set[str] = set()  # keys of the save in progress
+        self._saving_since: float | None = None  # None if no save is in progress
+        self._saving_last_index = -1  # last log index of the save in progress
+        # The entries of the log up to this index are saved; those after it may exist in memory only.
         self._durable_index = self._log.last_index
-        self._save_failed_at: float | None = None
+        self._save_failed_at: float | None = None  # None if the last save succeeded
         self._inbox: deque[tuple[str, dict[str, Any]]] = deque(maxlen=MAX_INBOX)
         self._outbox: deque[tuple[str, dict[str, Any]]] = deque(maxlen=MAX_OUTBOX)
         self._answers: list[tuple[str, Answer]] = []
@@ -189,7 +191,7 @@
         return self._confirmed or self.has_committed_in_term
 
     def has_recent_quorum(self, now: float) -> bool:
-        """Returns whether this leader has sent a round that a majority answered within the quorum timeout.
+        """Returns whether a majority has answered a round that was sent within the last quorum timeout.
 
         What such a leader serves from memory is no older than that timeout.
         """
@@ -210,9 +212,11 @@
         return self._incarnation, self._now
 
     def _save_hangs(self) -> bool:
+        """Returns whether the save in progress takes longer than the save timeout."""
         return self._saving_since is not None and self._now - self._saving_since > self._timing.save_timeout
 
     def _begin_save(self) -> dict[str, bytes]:
+        """Marks all changed state as being saved, and returns its stored form by key."""
         save = {}
         if "ballot" in self._dirty:
             save["ballot"] = encode(self._hard_state.to_json())
@@ -240,6 +244,7 @@
         return self._now + self._rng.uniform(*self._timing.split_vote_backoff)
 
     def _enter_term(self, term: int) -> None:
+        """Enters a newer term as a follower that has not voted in it."""
         if self.is_leader:
             self._step_down("there is a newer term")
         self._hard_state.term, self._hard_state.vote = term, ""
@@ -249,6 +254,7 @@
         self._role, self.leader = "follower", None
 
     def _step_down(self, reason: str) -> None:
+        """Stops leading, and answers all pending calls that their outcome is unknown."""
         log.info("consensus: disk %s stepped down in term %d: %s", self.disk, self.term, reason)
         self._role, self.leader = "follower", None
         self._peers.clear()
--- a/larklb/membership/members.py
+++ b/larklb/membership/members.py
@@ -75,8 +75,8 @@
 
 
 def merge_members(one: Member, other: Member) -> Member:
-    """Returns the newer of two records of a node, with the ring number of the higher grant.  The order of the
-    arguments doesn't matter."""
+    """Returns the newer of two records of a node (the higher incarnation, then ``LEAVING``, then the higher
+    grant), with the ring number of the higher grant.  The order of the arguments doesn't matter."""
     newer, older = (one, other) if _age(one) >= _age(other) else (other, one)
     if older.grant > newer.grant:
         newer = evolve(newer, ring_number=older.ring_number, grant=older.grant)
@@ -118,7 +118,8 @@
         """Merges a record and returns whether others have to be told of a change.
 
         ``direct``: it comes from the limiter itself, not from another core machine.  ``fresh``: the limiter
-        has just been heard from, so that its lease is renewed."""
+        has just been heard from, so that its lease is renewed.  An unknown limiter without fresh news gets
+        half a lease."""
         known = self.by_node.get(received.node)
         if known is None:
             if len(self.by_node) >= MAX_MEMBERS:
@@ -204,13 +205,13 @@
             self.by_node[node].member = evolve(self.by_node[node].member, ring_number=free, grant=grant)
         return unassigned
 
-    def cores_by_disk(self, now: float, within: float) -> dict[str, str]:
-        """Returns the nodes, by disk id, of the core machines that were heard from within the last ``within``
-        ms and aren't down."""
+    def cores_by_disk(self, now: float, max_age_ms: float) -> dict[str, str]:
+        """Returns the nodes, by disk id, of the core machines that were heard from within the last
+        ``max_age_ms`` and aren't down."""
         return {
             record.member.disk: node
             for node, record in self.core_machines.items()
-            if now - record.last_heard <= within and record.member.state != DOWN
+            if now - record.last_heard <= max_age_ms and record.member.state != DOWN
         }
 
     def leaving_disks(self) -> frozenset[str]:
--- a/larklb/registry/registry.py
+++ b/larklb/registry/registry.py
@@ -11,7 +11,7 @@
 
 from attrs import define, evolve, field
 
-# Heartbeat periods without a heartbeat until the lease of a server has run out.
+# Length of a server's lease, in heartbeat periods.
 LEASE_PERIODS = 3.5
 # Without news for this long, a server's record is deleted, whether it has left or is silent.
 FORGET_MS = 30_000.0
@@ -103,7 +103,8 @@
         """Merges a record and returns whether others have to be told of a change.
 
         ``direct``: it comes from the server itself, not from another core machine.  ``fresh``: the server
-        has just been heard from, so that its lease is renewed."""
+        has just been heard from, so that its lease is renewed.  An unknown server without fresh news gets a
+        lease that is shorter by one heartbeat period."""
         known = self.by_id.get(received.id)
         if known is None:
             if len(self.by_id) >= MAX_SERVERS:
@@ -165,7 +166,7 @@
 
 
 def _published_fields(server: Server) -> tuple[object, ...]:
-    """The fields whose change has to be sent to other core machines at once."""
+    """Returns the fields whose change has to be sent to other core machines at once."""
     return (
         server.target,
         server.address,
--- a/larklb/registry/replica.py
+++ b/larklb/registry/replica.py
@@ -98,7 +98,7 @@
     """The replica of one incarnation of a core machine."""
 
     local_member: Member
-    # Time between heartbeats of a server.
+    # Time between heartbeats of a server, in ms.
     period_ms: float
     started_at: float
     # Factor of the times between core machines and limiters; see ``consensus.timing``.
@@ -163,12 +163,12 @@
                 row["q"] = known.server.sequence if known is not None else 0
         self.table.put("s", name, row)
 
-    def _other_cores(self, now: float, within: float) -> list[MemberRecord]:
-        """Returns the other core machines that were heard from within the last ``within`` ms."""
+    def _other_cores(self, now: float, max_age_ms: float) -> list[MemberRecord]:
+        """Returns the other core machines that were heard from within the last ``max_age_ms``."""
         return [
             record
             for node, record in self.members.core_machines.items()
-            if node != self.local_member.node and now - record.last_heard <= within
+            if node != self.local_member.node and now - record.last_heard <= max_age_ms
         ]
 
     def present_cores(self, now: float) -> list[MemberRecord]:
@@ -208,38 +208,41 @@
         if known is None or not self.ready or self.fenced(now):
             self.outbox.append((ip, NotReady()))
             return
-        sub = self.subscribers.get(node)
-        if sub is None or sub.incarnation != member.incarnation:
-            sub = self.subscribers[node] = Subscription(ip, member.incarnation, now)
-        sub.ip, sub.last_heartbeat = ip, now
+        subscription = self.subscribers.get(node)
+        if subscription is None or subscription.incarnation != member.incarnation:
+            subscription = self.subscribers[node] = Subscription(ip, member.incarnation, now)
+        subscription.ip, subscription.last_heartbeat = ip, now
         have = message.have if message.of == (self.local_member.node, self.local_member.incarnation) else 0
-        if have < sub.revision:  # the subscriber starts from an earlier revision
-            sub.pushed_at = -math.inf
-        sub.revision = have
-        if have >= self.table.revision or self._push_is_due(now, sub):
-            self._push_delta(now, sub, known.member, config)
+        if have < subscription.revision:  # the subscriber starts from an earlier revision: push at once
+            subscription.pushed_at = -math.inf
+        subscription.revision = have
+        if have >= self.table.revision or self._push_is_due(now, subscription):
+            self._push_delta(now, subscription, known.member, config)
         else:  # the missing changes were pushed a moment ago
-            self.outbox.append((sub.ip, self._make_delta(known.member, have, have, [], config)))
+            self.outbox.append((subscription.ip, self._make_delta(known.member, have, have, [], config)))
 
     def handle_delta_ack(self, message: DeltaAck) -> None:
         """Notes the revision up to which a subscriber has applied the changes."""
-        sub = self.subscribers.get(message.sender)
-        if sub is not None and message.of == (self.local_member.node, self.local_member.incarnation):
-            sub.revision = max(sub.revision, message.have)
-            sub.retry_ms = PUSH_RETRY_MS
-
-    def _push_delta(self, now: float, sub: Subscription, member: Member, config: ConfigVersion) -> None:
-        events = self.table.changes_since(sub.revision)
-        start = sub.revision
+        subscription = self.subscribers.get(message.sender)
+        if subscription is not None and message.of == (self.local_member.node, self.local_member.incarnation):
+            subscription.revision = max(subscription.revision, message.have)
+            subscription.retry_ms = PUSH_RETRY_MS
+
+    def _push_delta(
+        self, now: float, subscription: Subscription, member: Member, config: ConfigVersion
+    ) -> None:
+        events = self.table.changes_since(subscription.revision)
+        start = subscription.revision
         if events is None:
             start, events = 0, self.table.changes_since(0) or []
         part = events[:MAX_DELTA_ROWS]
         to = part[-1].revision if len(part) < len(events) else self.table.revision
         if part:
-            if sub.pushed_revision > sub.revision:  # a repetition: the last push is lost or not yet answered
-                sub.retry_ms = min(MAX_PUSH_RETRY_MS, 2.0 * sub.retry_ms)
-            sub.pushed_revision, sub.pushed_at = to, now
-        self.outbox.append((sub.ip, self._make_delta(member, start, to, part, config)))
+            if subscription.pushed_revision > subscription.revision:
+                # A repetition: the last push is lost or not yet answered.
+                subscription.retry_ms = min(MAX_PUSH_RETRY_MS, 2.0 * subscription.retry_ms)
+            subscription.pushed_revision, subscription.pushed_at = to, now
+        self.outbox.append((subscription.ip, self._make_delta(member, start, to, part, config)))
 
     def _make_delta(
         self, member: Member, start: int, to: int, part: list[Event], config: ConfigVersion
@@ -255,9 +258,12 @@
         )
 
     @staticmethod
-    def _push_is_due(now: float, sub: Subscription) -> bool:
-        """Whether the last push was acknowledged, or its acknowledgement is overdue."""
-        return sub.revision >= sub.pushed_revision or now - sub.pushed_at >= sub.retry_ms
+    def _push_is_due(now: float, subscription: Subscription) -> bool:
+        """Returns whether the last push was acknowledged, or its acknowledgement is overdue."""
+        return (
+            subscription.revision >= subscription.pushed_revision
+            or now - subscription.pushed_at >= subscription.retry_ms
+        )
 
     def fenced(self, now: float) -> bool:
         """Returns whether this core machine has lost contact with a majority of the voters, in either
@@ -267,7 +273,7 @@
         An answer counts from the time at which the ``Sync`` was sent.  Its time of arrival proves nothing, as
         it may have waited in a buffer while this process was suspended."""
         if not self.voters:
-            # All the peers that a new core machine has met may be fenced themselves.
+            # A new core machine that knows no voters can't rule out that all its peers are fenced themselves.
             return not self.bootstrap
         in_contact = sum(
             disk == self.local_member.disk
@@ -282,14 +288,18 @@
 
         ``at_once``: pushes to all subscribers, as the configuration is new."""
         withheld = not self.ready or self.fenced(now)
-        for node, sub in list(self.subscribers.items()):
+        for node, subscription in list(self.subscribers.items()):
             known = self.members.by_node.get(node)
-            if known is None or now - sub.last_heartbeat > self.subscription_timeout_ms:
+            if known is None or now - subscription.last_heartbeat > self.subscription_timeout_ms:
                 del self.subscribers[node]
                 continue
-            if at_once or sub.revision < self.table.revision and self._push_is_due(now, sub):
+            if (
+                at_once
+                or subscription.revision < self.table.revision
+                and self._push_is_due(now, subscription)
+            ):
                 if not withheld and known.member.state != membership.DOWN:
-                    self._push_delta(now, sub, known.member, config)
+                    self._push_delta(now, subscription, known.member, config)
 
     # Servers ------------------------------------------------------------------------------
 
--- a/larklb/registry/subscriber.py
+++ b/larklb/registry/subscriber.py
@@ -25,7 +25,7 @@
 HELLO_INTERVAL_MS = 120.0
 # The same afterwards.  Only core machines go on sending, so that other limiters can find them.
 HELLO_WITH_HOME_INTERVAL_MS = 2_000.0
-# Without a message from the home for this long, another one is tried: two heartbeats are lost.
+# Without a message from the home for this long, another one is tried: two heartbeats were not answered.
 HOME_TIMEOUT_MS = 1_100.0
 # A home that timed out is not tried again for this long.
 HOME_RETRY_MS = 2_500.0
@@ -59,8 +59,9 @@
     home_incarnation: int = 0
     # The revision of the home's table up to which all changes are applied.
     revision: int = 0
-    # Whether the whole table of this home has been received, and whether that of any home has.
+    # Whether the whole table of this home has been received.
     complete: bool = False
+    # The same for any home since the start.
     ever_complete: bool = False
     home_heard_at: float = -math.inf
     last_heartbeat_at: float = -math.inf
@@ -112,7 +113,10 @@
         return [(n, c.member.to_row()) for n, c in self.cores.items() if now - c.last_heard < CORE_TTL_MS]
 
     def _reported_up(self, node: str) -> bool:
-        """Whether the home has reported a member as up.  It does so once, and again only after a change."""
+        """Whether the last home that reported a member had it as up.
+
+        A home reports each member once, and again only after a change, so that a core machine may be up
+        although it was last heard of long ago."""
         member = self.members.get(node)
         return member is not None and member.state == UP
 
@@ -183,8 +187,8 @@
         if self.home not in self.cores:
             return
         self.last_heartbeat_at = now
-        of = (self.home, self.home_incarnation)
-        heartbeat = MemberHeartbeat(member=self.local_member.to_row(), of=of, have=self.revision)
+        table_id = (self.home, self.home_incarnation)
+        heartbeat = MemberHeartbeat(member=self.local_member.to_row(), of=table_id, have=self.revision)
         self.outbox.append((self.cores[self.home].member.ip, heartbeat))
 
     def other_core_ip(self, now: float, fraction: float) -> str:
@@ -228,6 +232,7 @@
         if not self._note_home_message(now, message.sender):
             return
         incarnation, start = message.incarnation, message.start_revision
+        # A delta from revision 0 replaces the whole table; another incarnation of the home has another table.
         if incarnation != self.home_incarnation or not start and self.revision:
             if start:
                 return  # the beginning of this incarnation's table hasn't arrived yet
--- a/larklb/schema/amendments.py
+++ b/larklb/schema/amendments.py
@@ -20,10 +20,10 @@
     if not isinstance(items, list):
         raise InvalidError([format_problem(path, items, "a list")])
     named: list[tuple[str, Document]] = []
-    for i, item in enumerate(items):
+    for index, item in enumerate(items):
         name = item.get(key) if isinstance(item, dict) else None
         if not isinstance(name, str) or not name:
-            raise InvalidError([format_problem(f"{path}[{i}].{key}", name, "a name that isn't empty")])
+            raise InvalidError([format_problem(f"{path}[{index}].{key}", name, "a name that isn't empty")])
         named.append((name, item))
     return named
 
@@ -62,10 +62,11 @@
 def _amend_hosts(document: Document, upsert: Any, routes: set[str], hosts: set[str]) -> list[Any]:
     """Return the new list of hosts. Entries that don't change are shared with `document`.
 
-    `routes` and `hosts` are the names to remove.
+    `upsert` is the list of hosts to insert or update; `routes` and `hosts` are the names to remove.
     """
     removed_hosts = {host.lower() for host in hosts}
     entries = _named_items(document.get("hosts"), "hosts", "host")
+    # The routes of each entry by name.
     paths = [
         dict(_named_items(entry.get("paths"), f"hosts[{i}].paths")) for i, (_, entry) in enumerate(entries)
     ]
@@ -76,7 +77,7 @@
     changed: set[int] = set()
     # Entries that lost a route, and are dropped if none is left.
     shrunk: set[int] = set()
-    for i, (host, entry) in enumerate(_named_items(upsert, "upsert.hosts", "host")):
+    for upsert_index, (host, entry) in enumerate(_named_items(upsert, "upsert.hosts", "host")):
         index = entry_of_host.get(host.lower())
         extra = {key: value for key, value in entry.items() if key not in ("host", "paths")}
         if index is None:
@@ -86,27 +87,29 @@
         elif extra:
             entries[index] = (entries[index][0], {**entries[index][1], **extra})
         changed.add(index)
-        for name, route in _named_items(entry.get("paths"), f"upsert.hosts[{i}].paths"):
-            old = entry_of_route.get(name)
-            if old is not None and entries[old][0].lower() == host.lower():
-                paths[old][name] = route
-                changed.add(old)
+        for name, route in _named_items(entry.get("paths"), f"upsert.hosts[{upsert_index}].paths"):
+            old_index = entry_of_route.get(name)
+            if old_index is not None and entries[old_index][0].lower() == host.lower():
+                paths[old_index][name] = route
+                changed.add(old_index)
                 continue
-            if old is not None:
-                del paths[old][name]
-                shrunk.add(old)
+            if old_index is not None:
+                del paths[old_index][name]
+                shrunk.add(old_index)
             paths[index][name] = route
             entry_of_route[name] = index
     for name in routes:
         if name in entry_of_route:
             del paths[entry_of_route[name]][name]
             shrunk.add(entry_of_route[name])
-    out: list[Any] = []
-    for i, (host, entry) in enumerate(entries):
-        if host.lower() in removed_hosts or (i in shrunk and not paths[i]):
+    amended_entries: list[Any] = []
+    for index, (host, entry) in enumerate(entries):
+        if host.lower() in removed_hosts or (index in shrunk and not paths[index]):
             continue
-        out.append({**entry, "paths": list(paths[i].values())} if i in changed or i in shrunk else entry)
-    return out
+        amended_entries.append(
+            {**entry, "paths": list(paths[index].values())} if index in changed or index in shrunk else entry
+        )
+    return amended_entries
 
 
 def amend(document: Document, change: Document) -> Document:
@@ -121,7 +124,7 @@
     if not isinstance(change, dict):
         raise InvalidError([format_problem("change", change, "an object")])
     problems: list[str] = []
-    out = {**document, "version": read_version(change, problems)}
+    amended = {**document, "version": read_version(change, problems)}
     if problems:
         raise InvalidError(problems)
     upsert = _section(change, "upsert", UPSERT_PARTS)
@@ -129,13 +132,13 @@
     if upsert.get("limits") is not None:
         if not isinstance(upsert["limits"], dict):
             raise InvalidError([format_problem("upsert.limits", upsert["limits"], "an object")])
-        out["limits"] = upsert["limits"]
+        amended["limits"] = upsert["limits"]
     for key in ("services", "tenants"):
         new, removed = _named_items(upsert.get(key), f"upsert.{key}"), _removed_names(remove, key)
         if new or removed and document.get(key) is not None:
             items = {**dict(_named_items(document.get(key), key)), **dict(new)}
-            out[key] = [item for name, item in items.items() if name not in removed]
+            amended[key] = [item for name, item in items.items() if name not in removed]
     routes, hosts = _removed_names(remove, "routes"), _removed_names(remove, "hosts")
     if upsert.get("hosts") is not None or routes or hosts:
-        out["hosts"] = _amend_hosts(document, upsert.get("hosts"), routes, hosts)
-    return out
+        amended["hosts"] = _amend_hosts(document, upsert.get("hosts"), routes, hosts)
+    return amended
--- a/larklb/schema/configuration.py
+++ b/larklb/schema/configuration.py
@@ -194,14 +194,14 @@
     hosts: list[Host] = []
     route_names: dict[tuple[str, str], str] = {}
     names: list[str] = []
-    for i, entry in enumerate(_read_list(document, "hosts", "hosts", problems)):
-        path = f"hosts[{i}]"
+    for host_index, entry in enumerate(_read_list(document, "hosts", "hosts", problems)):
+        path = f"hosts[{host_index}]"
         if not isinstance(entry, dict) or not isinstance(entry.get("host"), str) or not entry["host"]:
             problems.append(format_problem(f"{path}.host", entry, "an object with a host and its paths"))
             continue
         routes: list[Route] = []
-        for j, value in enumerate(_read_list(entry, "paths", f"{path}.paths", problems)):
-            route_path = f"{path}.paths[{j}]"
+        for route_index, value in enumerate(_read_list(entry, "paths", f"{path}.paths", problems)):
+            route_path = f"{path}.paths[{route_index}]"
             route = read_item(Route, value, route_path, problems)
             if route is None:
                 continue
--- a/larklb/schema/fields.py
+++ b/larklb/schema/fields.py
@@ -122,10 +122,10 @@
     if isinstance(value, dict | list):
         return "(an object)" if isinstance(value, dict) else "(a list)"
     try:
-        out = json.dumps(value)
+        text = json.dumps(value)
     except (TypeError, ValueError):
-        out = type(value).__name__
-    return out if len(out) <= MAX_SHOWN_CHARACTERS else out[: MAX_SHOWN_CHARACTERS - 3] + "..."
+        text = type(value).__name__
+    return text if len(text) <= MAX_SHOWN_CHARACTERS else text[: MAX_SHOWN_CHARACTERS - 3] + "..."
 
 
 def format_problem(path: str, value: Any, expected: str) -> str:
@@ -144,17 +144,17 @@
     Nested errors are followed to the innermost field, which is the one that is invalid.
     """
     names, expected, hidden, missing = [path] if path else [], "a value that can be read", False, False
-    node: BaseException | None = error
-    while node is not None:
-        if isinstance(node, InvalidFieldValue):
-            names.append(_to_camel_case(node.field_name))
-            value, hidden = node.field_value, hidden or node.field_name in SECRET_FIELDS
-        elif isinstance(node, MissingField):
-            names.append(_to_camel_case(node.field_name))
+    cause: BaseException | None = error
+    while cause is not None:
+        if isinstance(cause, InvalidFieldValue):
+            names.append(_to_camel_case(cause.field_name))
+            value, hidden = cause.field_value, hidden or cause.field_name in SECRET_FIELDS
+        elif isinstance(cause, MissingField):
+            names.append(_to_camel_case(cause.field_name))
             expected, missing = "must be given", True
-        elif isinstance(node, ValueError):
-            expected = str(node)
-        node = node.__context__
+        elif isinstance(cause, ValueError):
+            expected = str(cause)
+        cause = cause.__context__
     name = ".".join(names)
     if missing or hidden:
         return f"{name}: ({'missing' if missing else 'not shown'}): {expected}"
--- a/larklb/state/folder.py
+++ b/larklb/state/folder.py
@@ -82,8 +82,8 @@
 
     ``step`` is called with the name of each step; raises OSError.
     """
-    new = path.with_name(path.name + ".new")
-    fd = os.open(new, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, mode)
+    temporary = path.with_name(path.name + ".new")
+    fd = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, mode)
     try:
         view = memoryview(data)
         while view:
@@ -92,6 +92,6 @@
     finally:
         os.close(fd)
     step("file.written")
-    os.rename(new, path)
+    os.rename(temporary, path)
     step("file.renamed")
     sync_folder(path.parent)
--- a/larklb/state/log.py
+++ b/larklb/state/log.py
@@ -48,16 +48,16 @@
     return length + _crc(length + payload).to_bytes(4, "big") + payload
 
 
-def _decode_frame(data: bytes, at: int) -> bytes | None:
-    """Returns the payload of the frame at offset ``at``, or None if no intact frame begins there."""
-    if at + _HEAD.size > len(data):
+def _decode_frame(data: bytes, offset: int) -> bytes | None:
+    """Returns the payload of the frame at ``offset``, or None if no intact frame begins there."""
+    if offset + _HEAD.size > len(data):
         return None
-    length, crc = _HEAD.unpack_from(data, at)
-    end = at + _HEAD.size + length
+    length, crc = _HEAD.unpack_from(data, offset)
+    end = offset + _HEAD.size + length
     if not 0 < length <= MAX_RECORD_BYTES or end > len(data):
         return None
-    payload = data[at + _HEAD.size:end]
-    return payload if _crc(data[at:at + 4] + payload) == crc else None
+    payload = data[offset + _HEAD.size:end]
+    return payload if _crc(data[offset:offset + 4] + payload) == crc else None
 
 
 def replay(path: Path) -> ReplayResult:
@@ -73,16 +73,16 @@
             # The file was created, but its header was not completely written.
             return ReplayResult([], 0, len(data))
         raise LogError(f"{path}: it does not begin as a log of this version does")
-    records, at = [], len(MAGIC)
-    while (payload := _decode_frame(data, at)) is not None:
+    records, offset = [], len(MAGIC)
+    while (payload := _decode_frame(data, offset)) is not None:
         records.append(payload)
-        at += _HEAD.size + len(payload)
+        offset += _HEAD.size + len(payload)
     # Nothing follows a torn tail; an intact record after a broken one means corruption in the middle.
-    for later in range(at + 1, len(data) - _HEAD.size):
+    for later in range(offset + 1, len(data) - _HEAD.size):
         if data[later:later + 4] != b"\0\0\0\0" and _decode_frame(data, later) is not None:
-            raise LogError(f"{path}: broken at byte {at} of {len(data)}, and whole from byte {later} on: "
+            raise LogError(f"{path}: broken at byte {offset} of {len(data)}, and whole from byte {later} on: "
                            "keep the file, and put back the last good copy")
-    return ReplayResult(records, at, len(data) - at)
+    return ReplayResult(records, offset, len(data) - offset)
 
 
 def sync_folder(folder: Path) -> None:
@@ -103,24 +103,24 @@
         ``records`` holds the replayed records until the caller clears it.
         """
         self.path, self.step = path, step
-        found = replay(path)
-        self.records, self.torn = found.records, found.torn
+        replayed = replay(path)
+        self.records, self.torn = replayed.records, replayed.torn
         # Why nothing can be written before a rewrite; empty if the log is intact.
         self.broken = ""
-        # A failed append may have left a partial frame, which has not been truncated yet.
+        # Whether a failed append may have left a partial frame, which has not been truncated yet.
         self.has_torn_tail = False
         try:
             self.fd = os.open(path, os.O_RDWR | os.O_CREAT, 0o600)
-            if found.size == 0:
+            if replayed.size == 0:
                 os.ftruncate(self.fd, 0)
                 os.pwrite(self.fd, MAGIC, 0)
             else:
-                os.ftruncate(self.fd, found.size)
+                os.ftruncate(self.fd, replayed.size)
             os.fsync(self.fd)
             sync_folder(path.parent)
         except OSError as error:
             raise LogError(f"{path}: {error.strerror}") from error
-        self.size = max(found.size, len(MAGIC))
+        self.size = max(replayed.size, len(MAGIC))
         # The new file of a rewrite that has not replaced the old one yet.
         self.rewrite_fd: int | None = None
         self.rewrite_size = 0
@@ -156,11 +156,11 @@
         self.has_torn_tail = False
 
     @staticmethod
-    def _write(fd: int, data: bytes, at: int) -> None:
+    def _write(fd: int, data: bytes, offset: int) -> None:
         view = memoryview(data)
         while view:
-            done = os.pwrite(fd, view, at)
-            view, at = view[done:], at + done
+            done = os.pwrite(fd, view, offset)
+            view, offset = view[done:], offset + done
 
     def sync(self) -> None:
         """Blocks until all appended records are on the disk; raises LogError.
--- a/larklb/state/reservation_log.py
+++ b/larklb/state/reservation_log.py
@@ -15,6 +15,8 @@
 
 
 class _Added(msgspec.Struct, array_like=True, tag=1):
+    """A reservation with its state so far; a rewrite writes one record for each."""
+
     wanted: Wanted
     owned: bool
     drawn: float = 0.0
@@ -23,6 +25,8 @@
 
 
 class _Drawn(msgspec.Struct, array_like=True, tag=2):
+    """Total units drawn on a reservation: granted by its owner, or drawn ``without_owner`` by a limiter."""
+
     tag: int
     units: float
     without_owner: bool
@@ -37,7 +41,7 @@
 _decoder = msgspec.msgpack.Decoder(_Added | _Drawn | _Cancelled)
 
 
-def _load(payloads: list[bytes], into: Reservations, path: Path) -> None:
+def _load(payloads: list[bytes], reservations: Reservations, path: Path) -> None:
     for payload in payloads:
         try:
             record = _decoder.decode(payload)
@@ -45,39 +49,43 @@
             raise LogError(f"{path}: a record of another version: {error}") from error
         match record:
             case _Added():
-                r = into.insert(Reservation(record.wanted, record.owned, State.HELD, record.drawn,
-                                            record.remote_draws))
+                reservation = reservations.insert(
+                    Reservation(record.wanted, record.owned, State.HELD, record.drawn, record.remote_draws))
                 if record.cancelled:
-                    r.apply(Transition.CANCEL)
-            case _Drawn() if record.tag in into.by_tag:
-                r = into.by_tag[record.tag]
+                    reservation.apply(Transition.CANCEL)
+            case _Drawn() if record.tag in reservations.by_tag:
+                reservation = reservations.by_tag[record.tag]
                 if record.without_owner:
-                    r.remote_draws[record.limiter] = record.units
+                    reservation.remote_draws[record.limiter] = record.units
                 else:
-                    r.drawn = record.units
-            case _Cancelled() if record.name in into.by_name:
-                into.by_name[record.name].apply(Transition.CANCEL)
+                    reservation.drawn = record.units
+            case _Cancelled() if record.name in reservations.by_name:
+                reservations.by_name[record.name].apply(Transition.CANCEL)
 
 
-def load(path: Path, into: Reservations) -> None:
+def load(path: Path, reservations: Reservations) -> None:
     """Loads a log, which another process may be writing; raises LogError if it is corrupt."""
-    _load(replay(path).records, into, path)
+    _load(replay(path).records, reservations, path)
 
 
 class ReservationLog:
-    """Loads a ``Reservations`` from the log and records its changes."""
+    """Loads ``reservations`` from the log and records their changes.
+
+    ``wall`` is the time in Unix milliseconds, by which expired reservations are dropped.  Raises LogError if
+    the log is corrupt or cannot be written.
+    """
 
     def __init__(self, path: Path, reservations: Reservations, wall: float, step: Step = bool) -> None:
         self.reservations = reservations
-        # Draws that could not be written yet.
+        # Draws that could not be written yet, by tag, whether without the owner, and limiter.
         self.unwritten_draws: dict[tuple[int, bool, int], _Drawn] = {}
         self.log = Log(path, step)
         _load(self.log.records, reservations, path)
         self.log.records = []
-        for r in reservations.by_name.values():
-            if r.owned and r.remaining <= 0:
-                r.apply(Transition.OPENS)
-                r.apply(Transition.DRAWN)
+        for reservation in reservations.by_name.values():
+            if reservation.owned and reservation.remaining <= 0:
+                reservation.apply(Transition.OPENS)
+                reservation.apply(Transition.DRAWN)
         reservations.expire(wall)
         self._rewrite()
 
@@ -93,27 +101,27 @@
         if self.log.broken:
             self._rewrite()
 
-    def record_added(self, r: Reservation) -> None:
+    def record_added(self, reservation: Reservation) -> None:
         """Records a reservation, durable on return, as the customer relies on it then; raises LogError."""
         self._repair()
-        self.log.append([_encode(_Added(r.wanted, r.owned))])
+        self.log.append([_encode(_Added(reservation.wanted, reservation.owned))])
         self.log.sync()
 
-    def record_cancelled(self, r: Reservation) -> None:
+    def record_cancelled(self, reservation: Reservation) -> None:
         """Records a cancellation, durable on return; raises LogError."""
         self._repair()
-        self.log.append([_encode(_Cancelled(r.wanted.name))])
+        self.log.append([_encode(_Cancelled(reservation.wanted.name))])
         self.log.sync()
 
-    def record_draw(self, d: io.RecordDraw, number: int) -> None:
+    def record_draw(self, draw: io.RecordDraw, number: int) -> None:
         """Records a draw, which survives the death of the process on return; raises LogError.
 
         There is no sync, as a request is waiting.  A draw that could not be written is written with the next
         one or by ``compact``; since each record holds the cumulative units, the latest one is sufficient.
         """
-        limiter = number if d.limiter < 0 else d.limiter
-        self.unwritten_draws[d.tag, d.without_owner, limiter] = _Drawn(d.tag, d.units, d.without_owner,
-                                                                       limiter)
+        limiter = number if draw.limiter < 0 else draw.limiter
+        self.unwritten_draws[draw.tag, draw.without_owner, limiter] = _Drawn(
+            draw.tag, draw.units, draw.without_owner, limiter)
         self._flush()
 
     def _flush(self) -> None:
--- a/larklb/storage/store.py
+++ b/larklb/storage/store.py
@@ -159,11 +159,11 @@
 
     def _scan(self) -> dict[str, set[int]]:
         """Return the numbers of all generations of each key, by the names of the files in the folder."""
-        found: dict[str, set[int]] = {}
+        numbers_by_key: dict[str, set[int]] = {}
         for name in os.listdir(self.folder):
             if match := _FILE_NAME.fullmatch(name):
-                found.setdefault(match[1], set()).add(int(match[2]))
-        return found
+                numbers_by_key.setdefault(match[1], set()).add(int(match[2]))
+        return numbers_by_key
 
     def _paths(self, key: str, number: int) -> list[Path]:
         return [self.folder / f"{key}-{number}{suffix}" for suffix in SUFFIXES]
@@ -209,11 +209,11 @@
     def _remove_obsolete(self, keys: set[str]) -> None:
         """Delete the generations of ``keys`` that are torn or no longer retained."""
         try:
-            found = self._scan()
+            numbers_by_key = self._scan()
         except OSError:
             return
         for key in keys:
-            for number in found.get(key, set()) - set(self._intact[key]):
+            for number in numbers_by_key.get(key, set()) - set(self._intact[key]):
                 self._remove(key, number)
 
 
