--- a/larklb/decide.py
+++ b/larklb/decide.py
@@ -272,12 +272,12 @@
         timeout = min(request.service_class.aim * const.ASK_TIMEOUT_AIMS, (request.due - now) / 3)
         retry_after = self.pace.start_request(now, number, request.owner, timeout)
 
-        def on_no_verdict(t: float) -> None:
+        def on_no_reply(t: float) -> None:
             if request.pending_ask != number or request.ended:
                 return self.pace.drop_request(number)
             if (retry_after := self.pace.next_retry(t, number)) is not None:
                 self._queue_message(request.owner, ask)
-                self._set_timer(retry_after, on_no_verdict)
+                self._set_timer(retry_after, on_no_reply)
             else:
                 request.pending_ask = None
                 # A grant that still arrives is void, because the fallback counts the units anew.
@@ -288,7 +288,7 @@
                 self.members.record_no_answer(t, request.owner, now)
                 self._decide_without_owner(t, request)
 
-        self._set_timer(retry_after, on_no_verdict)
+        self._set_timer(retry_after, on_no_reply)
 
     def _decide_without_owner(self, now: float, request: PendingRequest) -> None:
         """Decides by the fallback, because the owner cannot be asked, or else by a reservation."""
@@ -401,8 +401,8 @@
                     self.pace.record_allowance(now, event.sender, allowed / pw.STEPS_PER_UNIT)
                 case pw.Ask():
                     self._on_ask(now, event.sender, item)
-                case pw.Verdict():
-                    self._on_verdict(now, event.sender, item)
+                case pw.AskReply():
+                    self._on_ask_reply(now, event.sender, item)
                 case pw.Release():
                     self._end_lease(now, (event.sender, item.number), item.returned_units)
                 case pw.DrawReport():
@@ -455,46 +455,46 @@
         if lease.units <= 0:
             # The ask was given up, and its release arrived first: nobody waits for the verdict.
             return
-        verdict = pw.Verdict(ask.number, lease.granted, bucket.fill(now), bucket.open)
+        reply = pw.AskReply(ask.number, lease.granted, bucket.fill(now), bucket.open)
         if self.fallback.enabled and ask.number & pw.EXTENDED_FLAG:
             share, total = self.fallback.shares.share_for(now, ask.customer, sender)
-            verdict = verdict._replace(share=share, total_demand=total)
+            reply = reply._replace(share=share, total_demand=total)
         if self.entitlements.extended and ask.number & pw.EXTENDED_FLAG:
-            verdict = verdict._replace(plan=lease.judged, version=lease.version,
-                                       reservation=lease.reservation,
-                                       reserved_units=self.entitlements.reserved_units(now, ask.customer))
-        self._queue_message(sender, verdict)
+            reply = reply._replace(plan=lease.judged, version=lease.version,
+                                   reservation=lease.reservation,
+                                   reserved_units=self.entitlements.reserved_units(now, ask.customer))
+        self._queue_message(sender, reply)
 
-    def _on_verdict(self, now: float, sender: int, verdict: pw.Verdict) -> None:
-        if verdict.number not in self.unanswered_asks or self.unanswered_asks[verdict.number].owner != sender:
+    def _on_ask_reply(self, now: float, sender: int, reply: pw.AskReply) -> None:
+        if reply.number not in self.unanswered_asks or self.unanswered_asks[reply.number].owner != sender:
             return
-        request = self.unanswered_asks.pop(verdict.number)
-        self.pace.record_answer(now, verdict.number)
-        late = request.pending_ask != verdict.number or request.ended
-        self.fallback.on_verdict(now, request, verdict)
-        if verdict.share is not None or verdict.plan is not None:
-            if message := self.entitlements.on_peer_version(now, sender, verdict.version):
+        request = self.unanswered_asks.pop(reply.number)
+        self.pace.record_answer(now, reply.number)
+        late = request.pending_ask != reply.number or request.ended
+        self.fallback.on_ask_reply(now, request, reply)
+        if reply.share is not None or reply.plan is not None:
+            if message := self.entitlements.on_peer_version(now, sender, reply.version):
                 self.actions.append(io.Log(message))
         # A late verdict is not used, but has updated the copy of the bucket.
         if late:
-            if verdict.granted and not request.grant_released and (request.ended or not request.admitted):
+            if reply.granted and not request.grant_released and (request.ended or not request.admitted):
                 # Units of a request that the fallback admitted stay taken.
                 if request.unused_units() or request.plan.most_open:
-                    self._queue_message(sender, pw.Release(verdict.number, request.unused_units()))
-            elif verdict.granted and not request.grant_released:
-                request.grant = (sender, verdict.number)
+                    self._queue_message(sender, pw.Release(reply.number, request.unused_units()))
+            elif reply.granted and not request.grant_released:
+                request.grant = (sender, reply.number)
             return
         request.pending_ask = None
         # A peer that reports no version decides by the settings.
-        request.plan_version, request.reservation = verdict.version, verdict.reservation
-        if verdict.plan is not None and verdict.plan < len(self.settings.plans):
-            request.plan_index, request.plan = verdict.plan, self.entitlements.plan(now, verdict.plan)
-        if verdict.granted:
-            request.grant = (sender, verdict.number)
+        request.plan_version, request.reservation = reply.version, reply.reservation
+        if reply.plan is not None and reply.plan < len(self.settings.plans):
+            request.plan_index, request.plan = reply.plan, self.entitlements.plan(now, reply.plan)
+        if reply.granted:
+            request.grant = (sender, reply.number)
             self._proceed(now, request)
         else:
             self._over_quota(
-                now, request, max(0.0, request.units - verdict.tokens_left) / request.plan.rate * 1000.0
+                now, request, max(0.0, request.units - reply.tokens_left) / request.plan.rate * 1000.0
                 if request.plan.rate else 0.0)
 
     # Servers and attempts -------------------------------------------------------------------
--- a/larklb/lab/spread.py
+++ b/larklb/lab/spread.py
@@ -188,7 +188,7 @@
                 case pw.Loads(((pw.INBOX_RATE_ID, allowed), *_)):
                     x.pace.record_allowance(self.now, sender, allowed / pw.STEPS_PER_UNIT)
                 case pw.Ask():
-                    x.outbox.send(sender, pw.Verdict(item.number, True, 1.0, 0))
+                    x.outbox.send(sender, pw.AskReply(item.number, True, 1.0, 0))
                     self._flush(x, sender)
                 case Finding():
                     x.verdicts.receive(self.now, sender, item)
--- a/larklb/peerwire.py
+++ b/larklb/peerwire.py
@@ -50,7 +50,7 @@
     demand: float | None = None
 
 
-class Verdict(NamedTuple):
+class AskReply(NamedTuple):
     """The owner's answer to an ask, with the tokens left and the attempts in progress.
 
     A peer that reads the extended form also receives what the request was judged under: the plan, its version
@@ -129,7 +129,7 @@
     tokens_left: float
 
 
-Item = (Ask | Verdict | Release | Loads | HealthReport | DrawReport | DrawConfirmed | Count | Confirmed
+Item = (Ask | AskReply | Release | Loads | HealthReport | DrawReport | DrawConfirmed | Count | Confirmed
         | CopyRequest | BucketCopy | Finding | LeaseRequest | LeaseReply)
 
 _FORMATS: dict[int, struct.Struct] = {
@@ -179,7 +179,7 @@
                           _UNKNOWN_TOKENS if item.tokens_left is None else _pack_units(item.tokens_left))
         if item.demand is not None:
             tag, values = 6, (*values, min(_MAX_DEMAND_PER_S, item.demand))
-    elif isinstance(item, Verdict):
+    elif isinstance(item, AskReply):
         tag, values = 2, (item.number, int(item.granted), _pack_units(item.tokens_left),
                           min(65535, item.open_attempts))
         share_values = (round((item.share or 0.0) * _SHARE_STEPS), min(_MAX_DEMAND_PER_S, item.total_demand))
@@ -243,23 +243,23 @@
                 items.append(Ask(values[0], values[1], values[2], values[3] / STEPS_PER_UNIT,
                                  values[4] * _LEASE_STEP_MS, tokens_left))
             case 2:
-                items.append(Verdict(values[0], bool(values[1]), values[2] / STEPS_PER_UNIT, values[3]))
+                items.append(AskReply(values[0], bool(values[1]), values[2] / STEPS_PER_UNIT, values[3]))
             case 3:
                 items.append(Release(values[0], values[1] / STEPS_PER_UNIT))
             case 4:
                 items.append(HealthReport(values[0], values[1], values[2] / STEPS_PER_UNIT,
                                           values[3] * _AGE_STEP_MS))
             case 5:
-                items.append(Verdict(values[0], bool(values[1]), values[2] / STEPS_PER_UNIT, values[3],
-                                     values[4], values[5], values[6], values[7],
-                                     values[8] / _SHARE_STEPS, values[9]))
+                items.append(AskReply(values[0], bool(values[1]), values[2] / STEPS_PER_UNIT, values[3],
+                                      values[4], values[5], values[6], values[7],
+                                      values[8] / _SHARE_STEPS, values[9]))
             case 6:
                 tokens_left = None if values[5] == _UNKNOWN_TOKENS else values[5] / STEPS_PER_UNIT
                 items.append(Ask(values[0], values[1], values[2], values[3] / STEPS_PER_UNIT,
                                  values[4] * _LEASE_STEP_MS, tokens_left, values[6]))
             case 10:
-                items.append(Verdict(values[0], bool(values[1]), values[2] / STEPS_PER_UNIT, values[3],
-                                     share=values[4] / _SHARE_STEPS, total_demand=values[5]))
+                items.append(AskReply(values[0], bool(values[1]), values[2] / STEPS_PER_UNIT, values[3],
+                                      share=values[4] / _SHARE_STEPS, total_demand=values[5]))
             case 11:
                 items.append(Count(values[0], values[1], values[2], values[3] / STEPS_PER_UNIT,
                                    values[4] / STEPS_PER_UNIT))
--- a/larklb/quota/fallback.py
+++ b/larklb/quota/fallback.py
@@ -265,16 +265,16 @@
             self.settlement.record_admitted(now, request.customer_key, request.named_plan, request.owner,
                                             request.units)
 
-    def on_verdict(self, now: float, request: PendingRequest, verdict: pw.Verdict) -> None:
+    def on_ask_reply(self, now: float, request: PendingRequest, reply: pw.AskReply) -> None:
         """Replaces the copy by what the owner's verdict says; the share's bucket is dropped."""
         previous = self.copies.pop(request.customer_key, None)
         evict_oldest(self.copies, self.entitlements.max_customers)
-        refused = 0 if verdict.granted else 1 + (previous.refused if previous else 0)
+        refused = 0 if reply.granted else 1 + (previous.refused if previous else 0)
         self.copies[request.customer_key] = Copy(
-            request.named_plan, request.owner, verdict.tokens_left, verdict.open_attempts, now, refused,
-            reserved=verdict.reserved_units)
-        if verdict.share is not None and self.enabled:
-            self.shares.accept_share(now, request.customer_key, verdict.share, verdict.total_demand)
+            request.named_plan, request.owner, reply.tokens_left, reply.open_attempts, now, refused,
+            reserved=reply.reserved_units)
+        if reply.share is not None and self.enabled:
+            self.shares.accept_share(now, request.customer_key, reply.share, reply.total_demand)
         self.share_buckets.pop(request.customer_key, None)
 
     def count_to_report(self, now: float, request: PendingRequest) -> list[Count]:
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -95,7 +95,7 @@
     data = bytes([pw.VERSION]) + pw.pack_item(item) * 8
     assert pw.unpack(data[:length]) in ([], *([item] * n for n in range(1, 9)))
     for got in pw.unpack(bytes([pw.VERSION]) + garbage):
-        assert isinstance(got, pw.Ask | pw.Verdict | pw.Release | pw.Loads | pw.HealthReport)
+        assert isinstance(got, pw.Ask | pw.AskReply | pw.Release | pw.Loads | pw.HealthReport)
 
 
 @seed(5)
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -44,7 +44,7 @@
 
 ITEMS: list[pw.Item] = [
     pw.Ask(7, 1 << 60, 2, 1.5, 4000.0), pw.Ask(8, 3, 1, 1.0, 90.0, -2.5),
-    pw.Verdict(7, True, -1.25, 300), pw.Release(7, 0.5),
+    pw.AskReply(7, True, -1.25, 300), pw.Release(7, 0.5),
     pw.Loads(((77, 4), (78, 1000))), pw.HealthReport(77, 3, 4.5, 250.0)]
 
 
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -181,10 +181,10 @@
     b.run(400)
     tags = {type(item) for a in b.of(io.SendToPeer) for item in pw.unpack(a.data)}
     verdicts = [
-        item for a in b.of(io.SendToPeer) for item in pw.unpack(a.data) if isinstance(item, pw.Verdict)
+        item for a in b.of(io.SendToPeer) for item in pw.unpack(a.data) if isinstance(item, pw.AskReply)
     ]
     asks = [item for a in b.of(io.SendToPeer) for item in pw.unpack(a.data) if isinstance(item, pw.Ask)]
-    assert tags <= {pw.Ask, pw.Verdict, pw.Release, pw.Loads, pw.HealthReport}
+    assert tags <= {pw.Ask, pw.AskReply, pw.Release, pw.Loads, pw.HealthReport}
     assert verdicts and all(v.plan is None for v in verdicts)
     assert asks and all(a.number < pw.EXTENDED_FLAG for a in asks)
 
@@ -210,7 +210,7 @@
     assert stamps(b)["t"].version == (3 if knows[1] else 0), "a fallback stamps its own"
     assert max(len(a.data) for a in b.of(io.SendToPeer)) <= pw.MAX_DATAGRAM_BYTES
     longer = [item for a in b.of(io.SendToPeer) for item in pw.unpack(a.data)
-              if isinstance(item, pw.Verdict) and item.plan is not None]
+              if isinstance(item, pw.AskReply) and item.plan is not None]
     assert bool(longer) == (knows == (True, True)), "an older program would drop the whole message"
 
 
