--- a/larklb/decide.py
+++ b/larklb/decide.py
@@ -33,7 +33,7 @@
 from larklb.quota.fallback import REPORT_MS, WARMUP_MS, Fallback
 from larklb.quota.ring import digest, members, ring_owner
 from larklb.quota_owner import QuotaOwner
-from larklb.records import Lease, PendingRequest
+from larklb.records import PendingRequest, QuotaLease
 from larklb.server_selection import ServerSelection
 from larklb.servers import EWMA_WEIGHT, MEDIAN_CACHE_AIMS, Servers
 
@@ -63,7 +63,7 @@
         # Buckets that this gateway owns, with the index of the plan that requests name.
         self.buckets: dict[int, tuple[int, TokenBucket]] = {}
         # Leases by sender and ask number.
-        self.leases: dict[tuple[int, int], Lease] = {}
+        self.leases: dict[tuple[int, int], QuotaLease] = {}
         self.breakers: defaultdict[int, CircuitBreaker] = defaultdict(CircuitBreaker)
         self.pending: dict[str, PendingRequest] = {}
         # Requests by ask number whose verdict may still arrive, even too late.
--- a/larklb/handover_state.py
+++ b/larklb/handover_state.py
@@ -18,7 +18,7 @@
 from larklb.quota.demand import Demand
 from larklb.quota.settlement import LocalCount, PeerCount
 from larklb.quota.shares import GrantedShare, PeerDemand
-from larklb.records import Copy, Lease
+from larklb.records import Copy, QuotaLease
 
 # Version of the encoded state; a state of another version is rejected.
 VERSION = 1
@@ -72,7 +72,7 @@
     last_queued_at: float = msgspec.field(name="pressed")
     breakers: dict[int, CircuitBreaker]
     buckets: list[tuple[int, int, TokenBucket]]
-    leases: list[tuple[tuple[int, int], Lease]]
+    leases: list[tuple[tuple[int, int], QuotaLease]]
     # Decisions without the owner, and their settlement with it later.
     started_at: float = msgspec.field(name="began")
     copies: dict[int, Copy]
--- a/larklb/quota_owner.py
+++ b/larklb/quota_owner.py
@@ -13,7 +13,7 @@
 from larklb.quota.entitlements import Entitlements
 from larklb.quota.fallback import Fallback
 from larklb.quota.table_limits import evict_fullest
-from larklb.records import Lease
+from larklb.records import QuotaLease
 
 
 class QuotaOwner:
@@ -25,7 +25,7 @@
     plans: dict[str, tuple[int, io.Plan]]
     max_deadline: float
     buckets: dict[int, tuple[int, TokenBucket]]
-    leases: dict[tuple[int, int], Lease]
+    leases: dict[tuple[int, int], QuotaLease]
     actions: list[io.Action]
 
     def bucket_rows(self) -> list[tuple[int, str, float, float]]:
@@ -56,7 +56,7 @@
         return bucket
 
     def _owner_verdict(self, now: float, name: tuple[int, int], key: int, plan_index: int, units: float,
-                       lease_ms: float) -> Lease:
+                       lease_ms: float) -> QuotaLease:
         """The owner's verdict on an ask, as a lease of at most ``lease_ms``.
 
         ``name`` is the sender and the number of the ask.  A repeated ask gets the same verdict.
@@ -78,8 +78,8 @@
             self.actions.append(drawn)
         bucket.open += granted
         until = now + min(lease_ms, self.max_deadline)
-        self.leases[name] = Lease(key, plan_index, granted, units, until, not granted, effective.number,
-                                  effective.version, drawn.tag if drawn is not None else 0)
+        self.leases[name] = QuotaLease(key, plan_index, granted, units, until, not granted, effective.number,
+                                       effective.version, drawn.tag if drawn is not None else 0)
         return self.leases[name]
 
     def _end_lease(self, now: float, name: tuple[int, int], returned: float) -> None:
@@ -87,7 +87,7 @@
         lease = self.leases.get(name)
         # The release has overtaken its ask, which must not be granted any more.
         if lease is None and self.fallback.enabled:
-            self.leases[name] = Lease(0, 0, False, 0.0, now + self.max_deadline, True)
+            self.leases[name] = QuotaLease(0, 0, False, 0.0, now + self.max_deadline, True)
         if lease is None or lease.over:
             return
         lease.over = True
--- a/larklb/records.py
+++ b/larklb/records.py
@@ -68,7 +68,7 @@
 
 
 @dataclass
-class Lease:
+class QuotaLease:
     """The owner's record of an ask: a repeated ask gets the same verdict and takes no further units.
 
     It is in force until ``until`` (ms), or until ``over`` is set.
