--- a/larklb/decide.py
+++ b/larklb/decide.py
@@ -1,11 +1,14 @@
 """The decisions of a gateway: which requests are admitted, where they are sent, and what peers are told.
 
-Settings, events and actions are declared in ``interface.py``, peer messages in ``peerwire.py``.
+Settings, events and actions are declared in ``interface.py``, peer messages in ``peerwire.py``.  A gateway is
+called a limiter elsewhere.
 
 The usual path of a request: a consistent-hash ring assigns its customer to an owner among the gateways.  The
-owner decides by the customer's token bucket and its count of open grants.  A gateway that is not the owner
-asks it and holds the request until the verdict arrives.  An admitted request is sent to the server that looks
-fastest.  The rest of this module handles failures on that path.
+owner decides by the customer's token bucket, open grants and reservations.  A gateway that is not the owner
+asks it and holds the request until the reply arrives.  It refuses at once where the owner is expected to, and
+decides by itself where the owner cannot be asked or does not reply (``Fallback``).  An admitted request goes
+to the candidate with the lowest expected latency, or waits until a server has room.  One over its quota is
+still sent if the plan earns by it and servers are idle.  The rest of this module handles failures.
 """
 
 from __future__ import annotations
@@ -62,11 +65,11 @@
         self.owners: dict[tuple[int, int, int], int] = {}
         # Buckets that this gateway owns, with the index of the plan that requests name.
         self.buckets: dict[int, tuple[int, TokenBucket]] = {}
-        # Leases by sender and ask number.
+        # Leases on owned buckets, by sender and ask number.
         self.leases: dict[tuple[int, int], QuotaLease] = {}
         self.breakers: defaultdict[int, CircuitBreaker] = defaultdict(CircuitBreaker)
         self.pending: dict[str, PendingRequest] = {}
-        # Requests by ask number whose verdict may still arrive, even too late.
+        # Requests by ask number whose reply may still arrive, even too late.
         self.unanswered_asks: dict[int, PendingRequest] = {}
         # Admitted requests for which no server has room.
         self.waiting: list[PendingRequest] = []
@@ -74,7 +77,7 @@
         self.servers = self.server_pool.by_name
         self.report_interval = REPORT_MS
         self.server_limit = const.INITIAL_SERVER_LIMIT
-        # A timer is set that re-evaluates the zones.
+        # Whether a timer is set that re-evaluates the zones.
         self.zone_timer_set = False
         # When a request last had to wait for room.
         self.last_queued_at = -math.inf
@@ -173,20 +176,25 @@
         return self.actions
 
     def _expire(self, now: float) -> None:
-        """Removes idle buckets, copies and leases, so that state is bounded by recent traffic."""
+        """Removes expired state of all kinds, so that memory is bounded by recent traffic.
+
+        Buckets that stay are updated to the plans and shares in effect, and the units of expired leases stay
+        taken.  The cache of owners is emptied.
+        """
         # Set first, so that an exception below does not end the cycle.
         self._set_timer(self.max_deadline / 4, self._expire)
-        for key, (named_plan, b) in list(self.buckets.items()):
-            self.entitlements.update_bucket(now, key, named_plan, b)
-            self.fallback.apply_share(now, key, b)
-            if b.open <= 0 and now - b.at > self.max_deadline and b.part == 1.0 and b.fill(now) >= b.burst:
+        for key, (named_plan, bucket) in list(self.buckets.items()):
+            self.entitlements.update_bucket(now, key, named_plan, bucket)
+            self.fallback.apply_share(now, key, bucket)
+            if (bucket.open <= 0 and now - bucket.at > self.max_deadline and bucket.part == 1.0
+                    and bucket.fill(now) >= bucket.burst):
                 del self.buckets[key]
         self.fallback.expire(now, self.max_deadline)
         self.outbox.clean(now, self.max_deadline)
-        for name, lease in list(self.leases.items()):
+        for lease_id, lease in list(self.leases.items()):
             if now >= lease.until:
-                self._end_lease(now, name, 0.0)
-                del self.leases[name]
+                self._end_lease(now, lease_id, 0.0)
+                del self.leases[lease_id]
         self.verdicts.clean(now)
         for short_id in self.server_pool.clean(now, self.verdicts.current):
             self.verdicts.forget(short_id)
@@ -199,6 +207,14 @@
     # Requests and quotas --------------------------------------------------------------------
 
     def _on_request(self, now: float, event: io.Request) -> None:
+        """Records a request and decides on its quota.
+
+        It finds the plan in effect and the owner, and sets a timer for the last time to start an attempt.
+        The first of these then applies: no server may repeat what earlier attempts may have run (turned
+        down); an earlier try was charged, or the plan has no quota (sent); this gateway is the owner (decided
+        here); the owner is expected to refuse (over quota); it cannot be asked (decided without it); it is
+        asked.
+        """
         if event.service not in self.classes or event.plan not in self.plans:
             raise ValueError(
                 f"request: service {event.service!r} or plan {event.plan!r} is not in the settings")
@@ -218,12 +234,9 @@
         self.fallback.record_request(now, request)
         last_start = min(
             (a.sent_at + request.service_class.window - self.settings.tick for a in request.earlier_attempts),
-            default=event.due - 2 * self.settings.tick,
-        )
-        self._set_timer(
-            min(last_start, event.due - 2 * self.settings.tick) - now,
-            lambda t: self._retry_or_answer(t, request),
-        )
+            default=event.due - 2 * self.settings.tick)
+        self._set_timer(min(last_start, event.due - 2 * self.settings.tick) - now,
+                        lambda t: self._retry_or_answer(t, request))
         if request.earlier_attempts and not any(
                 self._may_retry_on(request, request.earlier_attempts, s, now) for s in self.server_pool.up):
             self._turn_down(now, request)
@@ -243,11 +256,11 @@
             self._ask_owner(now, request)
 
     def _decide_as_owner(self, now: float, request: PendingRequest) -> None:
-        name = (self.settings.number, next(self.ask_numbers) & pw.ASK_NUMBER_MASK)
-        lease = self._owner_verdict(
-            now, name, request.customer_key, request.named_plan, request.units, request.due - now)
+        lease_id = (self.settings.number, next(self.ask_numbers) & pw.ASK_NUMBER_MASK)
+        lease = self._decide_ask(
+            now, lease_id, request.customer_key, request.named_plan, request.units, request.due - now)
         if lease.granted:
-            request.grant, request.reservation = name, lease.reservation
+            request.grant, request.reservation = lease_id, lease.reservation
             self._proceed(now, request)
         else:
             self._over_quota(now, request, self._owned_bucket(
@@ -307,11 +320,10 @@
             self._over_quota(now, request, max(0.0, wait))
 
     def _report_to_owners(self, now: float) -> None:
-        """Periodically asks silent peers for a message, and reports unconfirmed counts to their owners."""
+        """Periodically asks quiet peers for a message, and reports unconfirmed counts to their owners."""
         self._set_timer(REPORT_MS, self._report_to_owners)
         self.fallback.can_detect_silence = (
-            self.pace.fair_interval(self.server_pool.active_peers(now)) <= REPORT_MS / 2
-        )
+            self.pace.fair_interval(self.server_pool.active_peers(now)) <= REPORT_MS / 2)
         for peer in self.fallback.quiet_peers(now):
             self._request_reply(now, peer)
         for peer in self.fallback.owners_to_report_to(now, self.report_interval):
@@ -335,35 +347,34 @@
     def _renew_slots(self, now: float) -> None:
         """Periodically asks for slots at servers and renews those held."""
         self._set_timer(URGENT_RENEW_MS, self._renew_slots)
-        for lender, want in self.limits.due_requests(now, self.server_pool.own_attempts_at):
+        for lender, request in self.limits.due_requests(now, self.server_pool.own_attempts_at):
             if lender != self.settings.number:
-                self._queue_message(lender, want)
-            elif (
-                share := self.limits.lender.handle_request(now, lender, want, self.limits.pool())
-            ) is not None:
-                self._on_share(now, share)
-
-    def _on_share(self, now: float, share: LeaseReply) -> None:
-        self.limits.receive_reply(now, share)
-        if self.waiting and share.slots:
+                self._queue_message(lender, request)
+            elif (reply := self.limits.lender.handle_request(
+                    now, lender, request, self.limits.pool())) is not None:
+                self._on_lease_reply(now, reply)
+
+    def _on_lease_reply(self, now: float, reply: LeaseReply) -> None:
+        self.limits.receive_reply(now, reply)
+        if self.waiting and reply.slots:
             self._drain_queue(now)
 
     def _on_finding(self, now: float, sender: int, finding: Finding) -> None:
-        name = self.verdicts.receive(now, sender, finding)
-        if name is not None and name[1] == ZONE:
+        subject_topic = self.verdicts.receive(now, sender, finding)
+        if subject_topic is not None and subject_topic[1] == ZONE:
             self._check_zones(now)
-        elif name is not None and name[1] != LIMITER:
-            self.server_pool.set_fleet_verdict(*name, self.verdicts.current.get(name))
+        elif subject_topic is not None and subject_topic[1] != LIMITER:
+            self.server_pool.set_fleet_verdict(*subject_topic, self.verdicts.current.get(subject_topic))
 
     def _check_zones(self, now: float) -> None:
-        """Re-evaluates the state of all zones, and keeps doing so while time alone may change it."""
+        """Re-evaluates the state of all zones, and goes on periodically while time alone may change it."""
         if self.zones.evaluate(now):
             self._on_zones_changed(now)
         if not self.zone_timer_set:
             self._zone_timer(now)
 
     def _on_zones_changed(self, now: float) -> None:
-        """Moves attempts out of zones that are now avoided, as far as their classes allow."""
+        """Applies changes of zones, and moves attempts out of avoided ones where their classes allow it."""
         self.actions += [io.Log(text) for text in self.zones.messages]
         self.zones.messages.clear()
         self.server_pool.zones_changed(now)
@@ -389,8 +400,7 @@
         self.fallback.on_message(now, event.sender)
         self.members.record_message(now, event.sender)
         self.server_pool.peer_reported(
-            now, event.sender, next((item.pairs for item in items if isinstance(item, pw.Loads)), None)
-        )
+            now, event.sender, next((item.pairs for item in items if isinstance(item, pw.Loads)), None))
         self.pace.record_arrival(now, event.sender)
         if all(isinstance(item, pw.Loads) for item in items) or not self.pace.reports_allowance(event.sender):
             # The sender wants to know that this gateway is reachable, or which extensions it supports.
@@ -418,10 +428,9 @@
                 case pw.Confirmed():
                     self.fallback.settlement.on_confirmed(now, event.sender, item)
                 case pw.CopyRequest():
-                    for want in self.limits.report_holdings(
-                        now, event.sender, self.server_pool.own_attempts_at
-                    ):
-                        self._queue_message(event.sender, want)
+                    for request in self.limits.report_holdings(
+                            now, event.sender, self.server_pool.own_attempts_at):
+                        self._queue_message(event.sender, request)
                     if self.fallback.on_peer_started(now, event.sender, item.incarnation):
                         self._queue_wakeup(event.sender)
                 case pw.BucketCopy() if (item.plan < len(self.settings.plans)
@@ -434,11 +443,11 @@
                 case Finding():
                     self._on_finding(now, event.sender, item)
                 case LeaseRequest() if self.limits.node_attempts:
-                    share = self.limits.lender.handle_request(now, event.sender, item, self.limits.pool())
-                    if share is not None:
-                        self._queue_message(event.sender, share)
+                    reply = self.limits.lender.handle_request(now, event.sender, item, self.limits.pool())
+                    if reply is not None:
+                        self._queue_message(event.sender, reply)
                 case LeaseReply():
-                    self._on_share(now, item)
+                    self._on_lease_reply(now, item)
 
     def _on_ask(self, now: float, sender: int, ask: pw.Ask) -> None:
         if ask.plan >= len(self.settings.plans):
@@ -446,14 +455,14 @@
         if ask.demand is not None:
             self.fallback.shares.record_peer_demand(now, ask.customer, sender, ask.demand)
         bucket = self._owned_bucket(now, ask.customer, ask.plan)
-        # A copy is used for a new bucket only: it lacks the tokens that were added while messages were on
-        # their way, so an older bucket knows more.
+        # The asker's bucket copy corrects a new bucket only: it lacks the tokens that were added while
+        # messages were on their way, so an older bucket knows more.
         if (ask.tokens_left is not None and now - bucket.born < WARMUP_MS
                 and (sender, ask.number) not in self.leases):
             self.fallback.on_copy(now, bucket, ask.tokens_left)
-        lease = self._owner_verdict(now, (sender, ask.number), ask.customer, ask.plan, ask.units, ask.lease)
+        lease = self._decide_ask(now, (sender, ask.number), ask.customer, ask.plan, ask.units, ask.lease)
         if lease.units <= 0:
-            # The ask was given up, and its release arrived first: nobody waits for the verdict.
+            # The ask was given up, and its release arrived first: nobody waits for the reply.
             return
         reply = pw.AskReply(ask.number, lease.granted, bucket.fill(now), bucket.open)
         if self.fallback.enabled and ask.number & pw.EXTENDED_FLAG:
@@ -466,6 +475,13 @@
         self._queue_message(sender, reply)
 
     def _on_ask_reply(self, now: float, sender: int, reply: pw.AskReply) -> None:
+        """Handles an owner's reply to an ask; one that is unknown, repeated or not from the owner is ignored.
+
+        It updates the round-trip time, the bucket copy and what is known of the owner's plan version.  A late
+        reply (the ask was given up, or the request has ended) decides nothing.  Its grant is released or, if
+        the request was admitted without the owner and has not ended, kept for it; a grant whose release was
+        sent is ignored.  Any other reply admits or refuses the request under the plan that it states.
+        """
         if reply.number not in self.unanswered_asks or self.unanswered_asks[reply.number].owner != sender:
             return
         request = self.unanswered_asks.pop(reply.number)
@@ -475,10 +491,9 @@
         if reply.share is not None or reply.plan is not None:
             if message := self.entitlements.on_peer_version(now, sender, reply.version):
                 self.actions.append(io.Log(message))
-        # A late verdict is not used, but has updated the copy of the bucket.
         if late:
             if reply.granted and not request.grant_released and (request.ended or not request.admitted):
-                # Units of a request that the fallback admitted stay taken.
+                # Units already used by a request that the fallback admitted stay taken.
                 if request.unused_units() or request.plan.most_open:
                     self._queue_message(sender, pw.Release(reply.number, request.unused_units()))
             elif reply.granted and not request.grant_released:
@@ -524,12 +539,11 @@
             self._set_timer(
                 last_answer
                 - const.ON_TIME_LATENCY_FACTOR * self.usual_latency[request.service_class.name] - now,
-                self._drain_queue,
-            )
+                self._drain_queue)
             self._schedule_queue_check(now)
 
     def _schedule_queue_check(self, now: float) -> None:
-        """Sets a timer for the queue if no attempt is in flight.
+        """Sets a timer for the queue if no attempt from here is in flight, at most once per interval.
 
         No outcome will drain the queue then, but servers may become eligible with time.
         """
@@ -538,17 +552,19 @@
             self._set_timer(self.min_aim * MEDIAN_CACHE_AIMS, self._drain_queue)
 
     def _value(self, now: float, request: PendingRequest) -> float:
-        """The worth of the request per unit of work if it starts now."""
+        """The worth of the request per ms of work if it starts now; ``late_worth`` applies if late."""
         usual = self.usual_latency[request.service_class.name]
-        earned_share = (
-            request.service_class.late_worth
-            if now + const.ON_TIME_LATENCY_FACTOR * usual > request.arrived_at + request.service_class.aim
-            else 1.0
-        )
+        earned_share = (request.service_class.late_worth if now + const.ON_TIME_LATENCY_FACTOR * usual
+                        > request.arrived_at + request.service_class.aim else 1.0)
         return request.service_class.worth * request.plan.price * request.units / usual * earned_share
 
     def _drain_queue(self, now: float) -> None:
-        """Sends waiting requests while servers have room, the most valuable first, and sheds late ones."""
+        """Sends waiting requests while servers have room, and sheds late ones.
+
+        The most valuable request comes first, the newest among equals.  One without value, or that would be
+        answered after it is due, is turned down.  Once a request that may go to any server finds no room, no
+        further one is tried.  What is left keeps waiting, and a check of the queue is scheduled if need be.
+        """
         queue, full = [request for request in self.waiting if not request.ended], False
         queue.sort(key=lambda request: (-self._value(now, request), -request.arrived_at))
         queue.reverse()
@@ -584,20 +600,17 @@
                 lambda t: self._review_attempt(t, request, index))
 
     def _review_attempt(self, now: float, request: PendingRequest, index: int, again: bool = True) -> None:
-        """Cancels or duplicates an attempt at a server that looks silent or slow, while there is time.
+        """Hedges or cancels the latest attempt if its server looks slow or its zone is avoided.
 
-        With ``again`` the review is repeated later if the attempt is left alone.
+        This is done while a new attempt can still be on time and the limits on attempts allow one.  With
+        ``again`` the review is repeated later if the attempt is left alone.
         """
         attempt = request.attempts[index]
         usual = self.usual_latency[request.service_class.name]
-        if (
-            request.ended
-            or request.not_repeatable
-            or not attempt.in_flight
-            or not index + 1 == len(request.attempts) < self.settings.max_attempts
-            or not self.limits.may_send_further()
-            or now + usual > request.arrived_at + request.service_class.aim
-        ):
+        if (request.ended or request.not_repeatable or not attempt.in_flight
+                or not index + 1 == len(request.attempts) < self.settings.max_attempts
+                or not self.limits.may_send_further()
+                or now + usual > request.arrived_at + request.service_class.aim):
             return
         topics = self._topics(request)
         median = self.server_pool.median_slowness(now, topics, usual, request.service_class.aim)
@@ -622,7 +635,7 @@
                 lambda t: self._review_attempt(t, request, index))
 
     def _on_stream_started(self, now: float, request: PendingRequest) -> None:
-        """The answer is being sent: there is no further attempt, and the server's work is done."""
+        """The answer is being passed on: there is no further attempt, and the servers count as free again."""
         request.ended = True
         for attempt in request.attempts:
             if attempt in attempt.server.attempts:
@@ -652,7 +665,7 @@
     def _learn_from_outcome(
         self, now: float, request: PendingRequest, server: Server, event: io.Outcome, usual: float
     ) -> None:
-        """Updates the usual latency, the judgements of the server and the limit per server."""
+        """Updates the usual latency, the judgements of the server and its zone, and the limit per server."""
         if event.result is io.Result.OK:
             self._record_judgement(now, server, event.took / usual, ALL_WORK, *self._topics(request))
             server.last_answer_at = now
@@ -689,51 +702,50 @@
             self._zone_timer(now)
 
     def _retry_or_answer(self, now: float, request: PendingRequest) -> None:
-        """No attempt is left in flight: starts another where class, time and limits allow it, or answers."""
+        """Starts another attempt where class, time and limits allow it, else turns the request down.
+
+        Does nothing if the request has ended or an attempt is in flight.  The timer for the last start calls
+        it too, for a request that still waits for the owner's reply or for room.
+        """
         if request.ended or request.has_attempt_in_flight():
             return
-        ran, last_start = (
-            request.possibly_run_attempts(),
+        ran, last_start = request.possibly_run_attempts(), (
             request.due if request.service_class.late_worth
-            else request.arrived_at + request.service_class.aim,
-        )
-        if (
-            request.not_repeatable
-            or now >= min(last_start, request.due - 2 * self.settings.tick)
-            or len(request.attempts) >= self.settings.max_attempts
-            or request.attempts
-            and not self.limits.may_send_further()
-            or ran
-            and not any(self._may_retry_on(request, ran, s, now) for s in self.server_pool.available)
-        ):
+            else request.arrived_at + request.service_class.aim)
+        if (request.not_repeatable or now >= min(last_start, request.due - 2 * self.settings.tick)
+                or len(request.attempts) >= self.settings.max_attempts
+                or request.attempts and not self.limits.may_send_further()
+                or ran and not any(
+                    self._may_retry_on(request, ran, s, now) for s in self.server_pool.available)):
             self._turn_down(now, request)
         else:
             self._proceed(now, request)
 
     def _turn_down(self, now: float, request: PendingRequest, retry_after: float = 0.0) -> None:
-        """Answers with a refusal if the client may safely repeat the request, else with a failure."""
+        """Answers with a refusal if the client may safely repeat the request, else with a failure.
+
+        ``retry_after`` is in ms, 0 for no hint.
+        """
         safe_to_repeat = (
-            request.service_class.repeat is io.RepeatPolicy.SAFE
-            or not request.possibly_run_attempts()
+            request.service_class.repeat is io.RepeatPolicy.SAFE or not request.possibly_run_attempts()
             or (request.service_class.repeat is io.RepeatPolicy.KEYED
-                and request.service_class.group is io.DedupScope.ALL)
-        )
+                and request.service_class.group is io.DedupScope.ALL))
         wait = retry_after if request.quota_only else min(retry_after, self.settings.max_retry_after)
         over_quota = not request.admitted and now < request.due - 2 * self.settings.tick
-        # A request for quota only that got no verdict in time was not refused.
+        # A request for quota only that got no reply in time was not refused.
         safe_to_repeat = safe_to_repeat and (over_quota or not request.quota_only)
         self.actions.append(io.Refuse(request.request_id, wait, over_quota) if safe_to_repeat
                             else io.Fail(request.request_id))
         self._finish(now, request)
 
     def _on_client_gone(self, now: float, request: PendingRequest) -> None:
-        """Releases a grant that may be on its way, without waiting for a verdict that may be lost."""
+        """Releases a grant that may be on its way, without waiting for a reply that may be lost."""
         if request.pending_ask is not None:
             self._queue_message(request.owner, pw.Release(request.pending_ask, request.units))
         self._finish(now, request)
 
     def _finish(self, now: float, request: PendingRequest, actual_units: float | None = None) -> None:
-        """The client needs no further answer; ends the lease once no attempt is in flight."""
+        """Ends a request that needs no further answer; ends its lease once no attempt is in flight."""
         request.ended = True
         if request.has_attempt_in_flight():
             return
--- a/larklb/fleet/bound.py
+++ b/larklb/fleet/bound.py
@@ -63,8 +63,9 @@
 class DetectionTimes:
     """Ms until a lost link or limiter is detected by the limiters that had contact with it.
 
-    ``quiet`` is the time until its share of quotas is reserved.  ``silent`` is the time until two limiters
-    have had no answer from it and the others have their findings, so that it gets no requests any more.
+    ``quiet`` is the time until owners set its share of quotas aside.  ``silent`` is the time until two
+    limiters have had no answer from it and the others have their findings, so that it gets no requests any
+    more.
     """
 
     quiet: float
--- a/larklb/fleet/leases.py
+++ b/larklb/fleet/leases.py
@@ -5,11 +5,12 @@
 cannot be reached.  The others are lent by one limiter, the *lender* of the node, found on the hash ring.  A
 holder that needs more than its base requests a lease.  The lease lasts ``LEASE_MS`` from the time the holder
 *sent* the request, by its own clock; it therefore ends before the lender, which counts from the receipt,
-takes it to be over.  The clocks need not agree, they only have to run at about the same rate.
+takes it to be over.  The clocks need not agree, they only have to run at about the same rate.  Leases on
+quotas are separate (``records.QuotaLease``).
 
-What the lender reserves for one holder:
+The slots that the lender sets aside for one holder:
 
-    last request of the holder          reserved
+    last request of the holder          set aside
     within LEASE_MS + the deadline      the maximum of what was offered since the lease that the holder says
                                         it has adopted, and of what the holder says it uses
     before that                         nothing: the lease and each attempt begun under it are over
@@ -67,9 +68,9 @@
     """A holder's request for slots at the node ``subject``.
 
     With ``subject`` 0 it states that the holder has reported its holdings at ``held`` nodes, which are
-    all.  ``number`` is the holder's clock in ms (32 bits, compared as a serial number); ``adopted`` is the
-    number of the request whose lease it has adopted, or the time of its start; ``used`` is what it uses
-    beyond its base.
+    all.  Else ``held``, ``used`` and ``wanted`` are slots beyond the holder's base: those leased now, those
+    in use, and those that it needs.  ``number`` is the holder's clock in ms (32 bits, compared as a serial
+    number); ``adopted`` is the number of the request whose lease it has adopted, or the time of its start.
     """
 
     subject: int
@@ -81,7 +82,7 @@
 
 
 class LeaseReply(NamedTuple):
-    """The lender's answer to the request with that number."""
+    """The lender's answer to the request with that number: the slots that it leases."""
 
     subject: int
     number: int
@@ -97,8 +98,9 @@
 class HolderGrant:
     """A lender's state for one holder of slots at one node.
 
-    ``number`` is that of the newest request.  By ``expires_at`` the lease and all attempts begun under it are
-    over.  ``offers`` are the requests, with the slots offered, whose lease the holder may have adopted.
+    ``number`` is that of the newest request, and ``used`` and ``wanted`` are the slots that it states.  By
+    ``expires_at`` (ms) the lease and all attempts begun under it are over.  ``offers`` are the requests, with
+    the slots offered, whose lease the holder may have adopted.
     """
 
     number: int
@@ -108,7 +110,7 @@
     offers: list[tuple[int, int]] = field(default_factory=list)
 
     def reserved(self, now: float) -> int:
-        """Return the slots that cannot be lent to others."""
+        """Return the slots set aside for the holder, which cannot be lent to others."""
         return max([self.used, *(slots for _, slots in self.offers)]) if now < self.expires_at else 0
 
 
@@ -132,7 +134,8 @@
     def handle_request(self, now: float, holder: int, request: LeaseRequest, pool: int) -> LeaseReply | None:
         """Answer a request; ``pool`` is the number of slots at this node that are lent at all.
 
-        Returns None if there is no answer: the request is older than another, or ends a report of holdings.
+        Returns None if there is no answer: the request is not newer than another, or ends a report of
+        holdings.
         """
         if not request.subject:
             reported = [
@@ -182,7 +185,8 @@
 
     ``adopted`` is the request whose lease is in use, ``reported_adopted`` its value as last sent to the
     lender, and ``number`` the newest request.  ``peak`` is the decaying maximum of attempts in flight, as of
-    ``peak_at``; ``shortfall`` counts the attempts that found no slot since the last request.
+    ``peak_at``; ``shortfall`` counts the attempts that found no slot since the last request.  Times are in
+    ms; ``adopted`` and ``number`` are clock values of 32 bits, see ``LeaseRequest``.
     """
 
     adopted: int
@@ -216,7 +220,8 @@
         self.tokens = MAX_FURTHER_TOKENS
         # Lenders by node, from the hash ring.
         self.lender_cache: dict[int, int] = {}
-        # Returns the open connections to a node, which count in addition to the attempts in flight.
+        # Returns the open connections to a node.  The larger of these and the attempts in flight counts as
+        # used.
         self.open_connections: Callable[[int], int] = lambda subject: 0
 
     def extend_deadline(self, max_deadline: float) -> None:
@@ -352,7 +357,7 @@
     # Upkeep -------------------------------------------------------------------------------
 
     def clean(self, now: float) -> None:
-        """Forget what belongs to nodes that are not in use."""
+        """Forget leases that are over, and the cached lenders of nodes that are not in use."""
         self.lender.clean(now)
         self.lender_cache = {n: lender for n, lender in self.lender_cache.items() if n in self.held}
 
--- a/larklb/fleet/pace.py
+++ b/larklb/fleet/pace.py
@@ -10,7 +10,8 @@
 between two messages is at least that of the whole inbox, so that items produced together share a message.
 
 The retry timeout of each peer follows RFC 6298: the smoothed round-trip time plus four mean deviations.
-Requests that were retransmitted are not timed (Karn's algorithm), since the answer may belong to either copy.
+Requests that were retransmitted are not timed (Karn's algorithm), since the answer may belong to any of the
+transmissions.
 
 A limiter that used to receive many messages and then receives none for the time that ``CUT_OFF_MESSAGES`` of
 them usually take is cut off from all peers.  It stops waiting for answers, while its requests continue as
@@ -58,7 +59,7 @@
 
 @dataclass(slots=True)
 class RateEstimate:
-    """A rate in messages a second, as an exponentially decaying average.
+    """A rate in messages a second, as an exponentially decaying average, as of ``updated_at`` (ms).
 
     ``time_constant`` is in ms.
     """
@@ -82,7 +83,7 @@
 
     ``tokens`` are the messages that may be sent at once, as of ``refilled_at``.  ``allowance`` is the rate in
     messages a second that the peer reported at ``allowance_at``.  ``smoothed_rtt`` is in ms, and negative
-    until the first measurement.
+    until the first measurement; ``rtt_deviation`` is its mean deviation in ms.
     """
 
     last_used_at: float
@@ -97,7 +98,10 @@
 
 @dataclass(slots=True)
 class PendingRequest:
-    """A request that waits for its answer."""
+    """A request to a peer that waits for its answer until ``deadline`` (ms) at most.
+
+    ``tries`` counts its transmissions.  ``records.PendingRequest`` is the request of a client.
+    """
 
     peer: int
     sent_at: float
--- a/larklb/fleet/verdicts.py
+++ b/larklb/fleet/verdicts.py
@@ -6,10 +6,11 @@
 do not change the final result.
 
 A *verdict* is the conclusion of the fleet: the second worst of the findings of other limiters (``QUORUM``),
-so that no single faulty observer can condemn a subject for all others.  A bad finding is void once as many
-observers have found the subject good since.  All findings decay with the same half-life, which keeps their
-order; a verdict therefore decays too and never outlives its findings.  A limiter with recent evidence of its
-own uses that evidence alone (``health.py``).
+so that no single faulty observer can condemn a subject for all others.  Fleets of up to ``MAX_SMALL_FLEET``
+limiters need one observer, and verdicts on limiters and zones may need more than two.  A bad finding is void
+once as many observers have found the subject good since.  All findings decay with the same half-life, which
+keeps their order; a verdict therefore decays too and never outlives its findings.  A limiter with recent
+evidence of its own uses that evidence alone (``health.py``).
 
 An observer that recently found most of its subjects bad suspects itself: the likely cause is its own link, or
 a load that slows down everything.  While this lasts it sends no findings, and it retracts those it has sent.
@@ -76,7 +77,7 @@
 
     ``subject`` is the short id of a server, the digest of a zone (topic ``ZONE``) or the number of a limiter
     (topic ``LIMITER``).  ``slowness`` is a multiple of the usual response time, 1 for a good subject; ``age``
-    is in ms.
+    is in ms; ``stamp`` orders the findings of one observer.
     """
 
     subject: int
@@ -98,8 +99,9 @@
 class StoredFinding:
     """A finding as stored by a limiter.
 
-    ``remaining_sends`` counts the messages that may still carry it; ``source`` is the limiter that it came
-    from, to which it is not sent back.
+    ``at`` is the time of the observation in ms.  ``remaining_sends`` counts the messages that may still carry
+    it; ``source`` is the limiter that it came from, to which it is not sent back; ``sent_to`` are the
+    limiters that have it already.
     """
 
     slowness: float
@@ -119,7 +121,7 @@
 
 
 def _subject_kind(topic: int) -> int:
-    """Distinguish limiters, zones and servers; all topics of servers are one kind."""
+    """Return the kind of subject that a topic is about: limiters, zones, or (0) servers."""
     return topic if topic in (LIMITER, ZONE) else 0
 
 
@@ -162,38 +164,38 @@
         A finding is sent when the subject turns bad, again while it stays bad, and once it has recovered;
         none is sent while the limiter suspects itself.
         """
-        name = subject, topic
-        self.own_evidence[name] = DecayingSlowness(slowness, now)
+        subject_topic = subject, topic
+        self.own_evidence[subject_topic] = DecayingSlowness(slowness, now)
         if slowness >= BAD_SLOWNESS and self.suspects_itself(now, topic):
             self.retract_findings(now, topic)
             return
-        own = self.findings.get(name, {}).get(self.number)
+        own = self.findings.get(subject_topic, {}).get(self.number)
         bad, was_bad = slowness >= BAD_SLOWNESS, own is not None and own.slowness >= BAD_SLOWNESS
         # If others find a zone lost while it serves this limiter, both observations have to count.
-        contested = topic == ZONE and name in self.findings
-        if not bad and not was_bad and not contested and self.verdict(now, *name) < BAD_SLOWNESS:
+        contested = topic == ZONE and subject_topic in self.findings
+        if not bad and not was_bad and not contested and self.verdict(now, *subject_topic) < BAD_SLOWNESS:
             return
         if own is not None and bad == was_bad and now - own.at < self.half_life * REFRESH_FRACTION:
             own.slowness = slowness if bad else 1.0
             return
-        self._record_own_finding(now, name, slowness if bad else 1.0)
+        self._record_own_finding(now, subject_topic, slowness if bad else 1.0)
 
-    def _record_own_finding(self, now: float, name: SubjectTopic, slowness: float) -> None:
-        self._store(now, name, self.number, slowness, now, self.stamp(now), self.number)
+    def _record_own_finding(self, now: float, subject_topic: SubjectTopic, slowness: float) -> None:
+        self._store(now, subject_topic, self.number, slowness, now, self.stamp(now), self.number)
 
     def retract_findings(self, now: float, topic: int) -> None:
         """Replace the bad findings of this limiter on subjects of the kind of ``topic`` by good ones.
 
         Called when the limiter suspects itself to be the cause.
         """
-        for name, by_observer in list(self.findings.items()):
+        for subject_topic, by_observer in list(self.findings.items()):
             own = by_observer.get(self.number)
             if (
                 own is not None
                 and own.slowness >= BAD_SLOWNESS
-                and _subject_kind(name[1]) == _subject_kind(topic)
+                and _subject_kind(subject_topic[1]) == _subject_kind(topic)
             ):
-                self._record_own_finding(now, name, 1.0)
+                self._record_own_finding(now, subject_topic, 1.0)
 
     def suspects_itself(self, now: float, topic: int) -> bool:
         """Return whether most subjects checked recently are bad, so that the cause is likely on this side."""
@@ -214,56 +216,57 @@
         # A finding of this limiter from before a restart: its evidence is not known any more.
         if finding.observer == self.number:
             return None
-        name = finding.subject, finding.topic
-        stored = self.findings.get(name, {}).get(finding.observer)
+        subject_topic = finding.subject, finding.topic
+        stored = self.findings.get(subject_topic, {}).get(finding.observer)
         if stored is not None and not is_newer_stamp(finding.stamp, stored.stamp):
             stored.sent_to.add(sender)
             return None
-        self._store(now, name, finding.observer, finding.slowness, now - finding.age, finding.stamp, sender)
-        return name
+        self._store(now, subject_topic, finding.observer, finding.slowness, now - finding.age, finding.stamp,
+                    sender)
+        return subject_topic
 
-    def _store(self, now: float, name: SubjectTopic, observer: int, slowness: float, at: float, stamp: int,
-               sender: int) -> None:
-        by_observer = self.findings.setdefault(name, {})
+    def _store(self, now: float, subject_topic: SubjectTopic, observer: int, slowness: float, at: float,
+               stamp: int, sender: int) -> None:
+        by_observer = self.findings.setdefault(subject_topic, {})
         stored = by_observer.get(observer)
         # Two findings within the resolution of a stamp: this happens to findings of this limiter only.
         if stored is not None and stored.stamp == stamp:
             stamp = stamp + 1 & 0xFFFF
         by_observer[observer] = StoredFinding(slowness, at, stamp, self.sends_per_finding, sender)
-        if len(by_observer) > (MAX_ZONE_OBSERVERS if name[1] == ZONE else MAX_OBSERVERS):
+        if len(by_observer) > (MAX_ZONE_OBSERVERS if subject_topic[1] == ZONE else MAX_OBSERVERS):
             oldest = min((o for o in by_observer if o != self.number), key=lambda o: (by_observer[o].at, o))
             del by_observer[oldest]
-            self.unsent.pop((name, oldest), None)
-        self.findings.move_to_end(name)
+            self.unsent.pop((subject_topic, oldest), None)
+        self.findings.move_to_end(subject_topic)
         while len(self.findings) > MAX_SUBJECTS:
             self._forget(next(iter(self.findings)))
-        if name in self.findings and observer in by_observer:
-            self.unsent.pop((name, observer), None)
-            self.unsent[name, observer] = None
-        self._update_verdict(now, name)
+        if subject_topic in self.findings and observer in by_observer:
+            self.unsent.pop((subject_topic, observer), None)
+            self.unsent[subject_topic, observer] = None
+        self._update_verdict(now, subject_topic)
 
-    def _update_verdict(self, now: float, name: SubjectTopic) -> None:
+    def _update_verdict(self, now: float, subject_topic: SubjectTopic) -> None:
         """Compute the verdict: the slowness that at least a quorum of other limiters finds or exceeds.
 
         Bad findings that are older than the good findings of a quorum do not count.
         """
-        others = [f for o, f in self.findings.get(name, {}).items() if o != self.number]
-        quorum = self.quorum if name[1] != LIMITER else self.limiter_quorum
+        others = [f for o, f in self.findings.get(subject_topic, {}).items() if o != self.number]
+        quorum = self.quorum if subject_topic[1] != LIMITER else self.limiter_quorum
         good = sorted((f.at for f in others if f.slowness < BAD_SLOWNESS), reverse=True)
         since = good[self.quorum - 1] if len(good) >= self.quorum else -math.inf
         bad = sorted(
             (f for f in others if f.slowness >= BAD_SLOWNESS and f.at > since),
             key=lambda f: -self.decayed(now, f),
         )
-        if name[1] == ZONE:
+        if subject_topic[1] == ZONE:
             healthy = sum(now - f.at <= self.half_life / 2 for f in others if f.slowness < BAD_SLOWNESS)
             quorum = max(
                 self.zone_quorum, math.ceil(ZONE_QUORUM_FRACTION / (1.0 - ZONE_QUORUM_FRACTION) * healthy)
             )
         if len(bad) >= quorum:
-            self.current[name] = DecayingSlowness(bad[quorum - 1].slowness, bad[quorum - 1].at)
+            self.current[subject_topic] = DecayingSlowness(bad[quorum - 1].slowness, bad[quorum - 1].at)
         else:
-            self.current.pop(name, None)
+            self.current.pop(subject_topic, None)
 
     def verdict(self, now: float, subject: int, topic: int) -> float:
         """Return the slowness that the fleet finds, 1 if the subject is good or unknown."""
@@ -281,9 +284,12 @@
     # Dissemination ------------------------------------------------------------------------
 
     def has_severe_unsent(self, now: float) -> bool:
-        """Return whether an unsent finding is urgent enough for a message of its own."""
-        return any((f := self.findings[name][observer]).slowness >= SEVERE_SLOWNESS or f.slowness <= 1.0
-                   for name, observer in self.unsent)
+        """Return whether an unsent finding, severe or of a recovery, is urgent enough for its own message."""
+        return any(
+            (finding := self.findings[subject_topic][observer]).slowness >= SEVERE_SLOWNESS
+            or finding.slowness <= 1.0
+            for subject_topic, observer in self.unsent
+        )
 
     def findings_for(self, now: float, peer: int, limit: int) -> Iterator[Finding]:
         """Yield up to ``limit`` findings for a message to ``peer``, the newest first.
@@ -291,28 +297,28 @@
         They count as sent to the peer.
         """
         count, done = 0, []
-        for name, observer in reversed(self.unsent):
+        for subject_topic, observer in reversed(self.unsent):
             if count >= limit:
                 break
-            finding = self.findings[name][observer]
+            finding = self.findings[subject_topic][observer]
             # In a small fleet every limiter has the finding before its sends are used up.
             if len(finding.sent_to | {observer, finding.source} - {self.number}) >= self.other_limiters:
-                done.append((name, observer))
+                done.append((subject_topic, observer))
                 continue
             if peer in (observer, finding.source) or peer in finding.sent_to:
                 continue
             if (
                 observer == self.number
                 and finding.slowness >= BAD_SLOWNESS
-                and self.suspects_itself(now, name[1])
+                and self.suspects_itself(now, subject_topic[1])
             ):
                 continue
             finding.sent_to.add(peer)
             finding.remaining_sends -= 1
             if finding.remaining_sends <= 0:
-                done.append((name, observer))
+                done.append((subject_topic, observer))
             count += 1
-            yield Finding(*name, finding.slowness, now - finding.at, observer, finding.stamp)
+            yield Finding(*subject_topic, finding.slowness, now - finding.at, observer, finding.stamp)
         for key in done:
             self.unsent.pop(key, None)
 
@@ -320,20 +326,20 @@
 
     def forget(self, subject: int) -> None:
         """Discard all findings on a server that has restarted or was removed."""
-        for name in [n for n in self.findings if n[0] == subject and not _subject_kind(n[1])]:
-            self._forget(name)
+        for subject_topic in [n for n in self.findings if n[0] == subject and not _subject_kind(n[1])]:
+            self._forget(subject_topic)
         self.own_evidence = {
             n: e for n, e in self.own_evidence.items() if n[0] != subject or _subject_kind(n[1])
         }
 
-    def _forget(self, name: SubjectTopic) -> None:
-        for observer in self.findings.pop(name, {}):
-            self.unsent.pop((name, observer), None)
-        self.current.pop(name, None)
+    def _forget(self, subject_topic: SubjectTopic) -> None:
+        for observer in self.findings.pop(subject_topic, {}):
+            self.unsent.pop((subject_topic, observer), None)
+        self.current.pop(subject_topic, None)
 
     def clean(self, now: float) -> None:
         """Discard findings that have decayed, and update the verdicts."""
-        for name, by_observer in list(self.findings.items()):
+        for subject_topic, by_observer in list(self.findings.items()):
             for observer in [
                 o
                 for o, f in by_observer.items()
@@ -342,23 +348,23 @@
                 or now - f.at > 8 * self.half_life
             ]:
                 del by_observer[observer]
-                self.unsent.pop((name, observer), None)
+                self.unsent.pop((subject_topic, observer), None)
             if not by_observer:
-                self._forget(name)
+                self._forget(subject_topic)
             else:
-                self._update_verdict(now, name)
+                self._update_verdict(now, subject_topic)
         self.own_evidence = {n: e for n, e in self.own_evidence.items() if now - e.at <= 2 * self.half_life}
 
     def rows(self, now: float) -> list[dict[str, Any]]:
         """Return the rows that operators see: each subject and topic that some observer finds bad."""
         rows = []
-        for name, by_observer in self.findings.items():
+        for subject_topic, by_observer in self.findings.items():
             bad = {
                 o: {"slow": round(f.slowness, 2), "age_ms": round(now - f.at)}
                 for o, f in by_observer.items()
                 if f.slowness >= BAD_SLOWNESS and self.decayed(now, f) >= MIN_REPORTED_SLOWNESS
             }
             if bad:
-                rows.append({"subject": name[0], "topic": name[1], "observers": bad,
-                             "verdict": round(self.verdict(now, *name), 2)})
+                rows.append({"subject": subject_topic[0], "topic": subject_topic[1], "observers": bad,
+                             "verdict": round(self.verdict(now, *subject_topic), 2)})
         return rows
--- a/larklb/health.py
+++ b/larklb/health.py
@@ -14,7 +14,7 @@
 from larklb.fleet.verdicts import DecayingSlowness
 from larklb.quota.ring import digest
 
-# Slowness that an error, a timeout or a refused connection counts as.
+# Slowness that an error, a timeout or a refused connection counts as; no slowness is recorded above it.
 MAX_SLOWNESS = 12.0
 # Time between two trials of a suspect server, in half-lives of judgements.  There is one trial at a time.
 TRIAL_INTERVAL_HALF_LIVES = 0.25
@@ -22,7 +22,10 @@
 
 @dataclass(eq=False)
 class Attempt:
-    """One attempt at a server; ``sent_at`` is in ms."""
+    """One attempt at a server; ``sent_at`` is in ms.
+
+    Compared by identity.  ``may_have_run`` stays true until an outcome proves that the server did not run it.
+    """
 
     server: Server
     sent_at: float
@@ -34,7 +37,8 @@
     """One server as this gateway sees it.
 
     ``slowness`` is relative to the usual latency of a class: 1.0 is normal, ``MAX_SLOWNESS`` the worst.
-    Judgements and verdicts are kept by topic: a service class, a plan, or ``ALL_WORK``.
+    Judgements of this gateway and verdicts of the fleet are kept by topic: a service class, a plan, or
+    ``ALL_WORK``.
     """
 
     def __init__(self, entry: io.Entry, number: int, half_life: float) -> None:
@@ -58,10 +62,11 @@
         self.gateway_share = 1.0
 
     def slowness(self, now: float, usual: float, topics: tuple[int, int]) -> float:
-        """The slowness of the server for a class and a plan, from answers, errors and silence.
+        """The slowness of the server for a class and a plan (``topics``), from answers, errors and silence.
 
-        ``usual`` is the usual latency of the class in ms.  A recent judgement of the class takes precedence
-        over that of all work.
+        ``usual`` is the usual latency of the class in ms.  The slowness is the worst of the judgements of the
+        class and the plan and of the time that the server has been silent with attempts in flight.  The
+        judgement of all work counts too unless that of the class is recent.
         """
         if not self.attempts and not self.judgements and not self.fleet_verdicts:
             return 1.0
--- a/larklb/interface.py
+++ b/larklb/interface.py
@@ -21,7 +21,7 @@
 
 
 class RepeatPolicy(Enum):
-    """What a service class allows once an attempt may have run.
+    """What a service class allows once an attempt of a request may have run.
 
     ``SAFE`` may run any number of times.  ``KEYED`` may be repeated at servers that drop repeats of its key
     (see ``DedupScope``), within the window of the class.  ``NEVER`` must not be repeated.
@@ -103,8 +103,11 @@
     """Quotas of one customer of the plan; 0 means that there is no such quota.
 
     ``rate`` is in units per second and ``burst`` in units; ``most_open`` limits concurrent grants.
-    ``beyond_earns`` and ``excess_cost`` are the earnings and the cost of a unit beyond the quota.  The
-    ceiling bounds all units sent, within and beyond the quota, give or take ``ceiling_slack`` units.
+    ``price`` is what a unit within the quota earns: waiting requests are sent in the order of their value,
+    which is proportional to it.  ``beyond_earns`` and ``excess_cost`` are the earnings and the cost of a unit
+    beyond the quota.  The ceiling bounds all units sent, within and beyond the quota, give or take
+    ``ceiling_slack`` units: ``ceiling_rate`` is in units per second and ``ceiling_burst`` in units.  With a
+    ``ceiling_rate`` nothing is sent beyond the quota.
     """
 
     name: str
@@ -123,13 +126,18 @@
 class Settings:
     """Settings of one limiter: ``number`` of ``gateways``, counted from 0.
 
-    ``tick`` is the resolution of timers in ms, and ``inbox_per_s`` the number of messages a second that a
-    limiter takes in, 0 if unknown.  ``can_tell``, ``can_cancel`` and ``can_copy`` say whether messages to
-    peers, cancelling of attempts and duplicate attempts are possible; with ``must_ask_list`` the list of
-    servers has to be subscribed to.  A server starts with ``cold_share`` of its capacity and reaches all of
-    it after ``warm_within`` ms; more than ``tip_multiple`` times its capacity overloads it.  ``drain_grace``
-    is in ms.  With ``trued_up`` the owner gets back the units that a request did not use.  ``most_units``
-    bounds the units of one request.
+    ``zone`` is the limiter's own, empty if unknown.  ``tick`` is the resolution of timers in ms, and
+    ``inbox_per_s`` the number of messages a second that a limiter takes in, 0 if unknown.  ``can_tell``,
+    ``can_cancel`` and ``can_copy`` say whether messages to peers, cancelling of attempts and hedged attempts
+    (a second one while the first is in flight) are possible; with ``must_ask_list`` the list of servers has
+    to be subscribed to.  ``max_attempts`` limits the attempts of one request.  ``max_retry_after`` is the
+    longest retry hint of a refusal in ms, 0 for no hints; that for a request for quota only may be longer.
+
+    A server starts with ``cold_share`` of its capacity and reaches all of it after ``warm_within`` ms; more
+    than ``tip_multiple`` times its capacity overloads it.  An attempt may still reach a draining server for
+    ``drain_grace`` ms.  ``cross_zone_charge`` is the cost of an attempt in another zone than ``zone``: 0.1
+    makes a server there count as twice as slow.  With ``trued_up`` a request is charged for the units that it
+    turned out to use.  ``most_units`` bounds the units of one request.
 
     Raises ``ValueError``, which names the field, for a value out of range.
     """
@@ -173,19 +181,24 @@
         for c in self.classes:
             need(c.aim > 0, f"classes[{c.name}].aim", c.aim)
             need(0 < c.deadline <= MAX_DEADLINE_MS, f"classes[{c.name}].deadline", c.deadline)
-        for p in self.plans:
+        for plan in self.plans:
             for name in ("rate", "burst", "most_open", "excess_cost", "beyond_earns",
                          "ceiling_rate", "ceiling_burst", "ceiling_slack"):
-                value = getattr(p, name)
-                need(value >= 0, f"plans[{p.name}].{name}", value)
-            need((p.rate == 0 or p.burst > 0) and p.burst <= MAX_BURST, f"plans[{p.name}].burst", p.burst)
-            need(p.most_open <= MAX_OPEN, f"plans[{p.name}].most_open", p.most_open)
+                value = getattr(plan, name)
+                need(value >= 0, f"plans[{plan.name}].{name}", value)
+            need((plan.rate == 0 or plan.burst > 0) and plan.burst <= MAX_BURST,
+                 f"plans[{plan.name}].burst", plan.burst)
+            need(plan.most_open <= MAX_OPEN, f"plans[{plan.name}].most_open", plan.most_open)
         need(len(self.classes) + len(self.plans) <= MAX_TOPICS, "classes and plans", len(self.plans))
 
 
 @dataclass(frozen=True)
 class Entry:
-    """One server in a list; ``started`` is the time of its start, None if that was long ago."""
+    """One server in a list.
+
+    ``weight`` is its capacity relative to other servers.  ``cell`` is its dedup cell within the zone (see
+    ``DedupScope``).  ``started`` is the time of its start in ms, None if that was long ago.
+    """
 
     server: str
     zone: str = ""
@@ -199,7 +212,7 @@
 
 
 class EarlierAttempt(NamedTuple):
-    """An attempt that another limiter may have made for the same job: where, and how many ms ago."""
+    """An attempt that another limiter may have made for the same request: where, and how many ms ago."""
 
     zone: str
     cell: int
@@ -210,10 +223,10 @@
 class Request:
     """A request that a client sent.
 
-    ``due`` is the time by which it must be answered.  Its customer is served by ``spread`` limiters, counted
-    from number ``first``.  With ``quota_only`` only the quota is asked: the request ends in a ``Grant``
-    instead of a ``Send``.  ``charged`` says that an earlier try of the same job has taken its units, and
-    ``earlier_attempts`` holds the attempts of earlier tries, which may have run.
+    ``due`` is the time in ms by which it must be answered.  Its customer is served by ``spread`` limiters,
+    counted from number ``first``.  With ``quota_only`` only the quota is asked: the request ends in a
+    ``Grant`` instead of a ``Send``.  ``charged`` says that an earlier try of the same request has taken its
+    units, and ``earlier_attempts`` holds the attempts of earlier tries, which may have run.
     """
 
     request: str
@@ -327,8 +340,8 @@
 class Stamp(NamedTuple):
     """What a request was judged under: plan, version of the plans, and the reservation that it draws on.
 
-    ``reservation`` is 0 for none.  ``beyond`` means that the quota refused the request, and that it is sent
-    nevertheless.
+    ``reservation`` is a tag, 0 for none.  ``beyond`` means that the quota refused the request, and that it
+    is sent nevertheless.
     """
 
     plan: str
@@ -339,7 +352,7 @@
 
 @dataclass(frozen=True)
 class Send:
-    """Start an attempt; with ``timeout`` 0 it waits as long as the client does."""
+    """Start an attempt; ``timeout`` is in ms, and with 0 the attempt waits as long as the client does."""
 
     request: str
     server: str
@@ -359,8 +372,8 @@
 class RecordDraw:
     """Store the units drawn on a reservation durably, before the actions that follow are carried out.
 
-    ``units`` is a running total: of what its owner granted or, with ``without_owner``, of what limiter
-    ``limiter`` (-1: this one) drew without asking.
+    ``tag`` is that of the reservation.  ``units`` is a running total: of what its owner granted or, with
+    ``without_owner``, of what limiter ``limiter`` (-1: this one) drew without asking.
     """
 
     tag: int
--- a/larklb/peer_messaging.py
+++ b/larklb/peer_messaging.py
@@ -43,9 +43,9 @@
             self.outbox.send(peer, item)
 
     def _announce_start(self, now: float) -> None:
-        """Announces the start repeatedly during start-up.
+        """Announces the start repeatedly during start-up, in fleets of up to MAX_ANNOUNCED_GATEWAYS.
 
-        Messages may be lost, and an owner needs copies of its buckets from its peers.
+        Messages may be lost, and an owner needs its peers' copies of its buckets.
         """
         if self.settings.gateways <= const.MAX_ANNOUNCED_GATEWAYS and self.fallback.is_starting(now):
             for peer in range(self.settings.gateways):
@@ -64,7 +64,7 @@
             self.outbox.probe_if_due(now, peer, self.server_pool.own_in_flight())
 
     def _flush_messages(self, now: float, peer: int) -> None:
-        """Sends what the pace allows now.
+        """Sends a peer what the pace allows now, and sets a timer for the rest.
 
         The timer for the rest has no effect of its own: every event flushes the messages that are due.
         """
@@ -76,7 +76,7 @@
                 self._set_timer(message_or_delay, bool)
 
     def _spread_findings(self, now: float) -> None:
-        """Periodically sends grave findings to a random peer.
+        """Periodically sends severe findings (see ``fleet/verdicts.py``) to a random peer.
 
         Asks alone would spread them only among gateways that share customers.
         """
--- a/larklb/peerwire.py
+++ b/larklb/peerwire.py
@@ -18,7 +18,7 @@
 
 VERSION = 0xB1
 MAX_DATAGRAM_BYTES = 256
-# An ask's number has 31 bits.  The top bit states that the sender reads the extended verdict.  Programs that
+# An ask's number has 31 bits.  The top bit states that the sender reads the extended reply.  Programs that
 # don't support it count up from below it, and return such a number unchanged.
 ASK_NUMBER_MASK, EXTENDED_FLAG = 0x7FFFFFFF, 0x80000000
 # Units, factors and rates are sent in steps of a sixteenth.
@@ -36,9 +36,9 @@
 class Ask(NamedTuple):
     """Asks a bucket's owner whether a customer's request may proceed.
 
-    ``lease`` is the time in ms that the client still waits.  ``tokens_left`` is what the sender's late copy
-    of the bucket holds, None if it has no copy.  ``demand`` is the units per second requested of the sender;
-    it is sent only to peers that read it.
+    ``lease`` is the time in ms that the client still waits.  ``tokens_left`` is what the sender's bucket copy
+    holds now, None if it has none.  ``demand`` is the units per second requested of the sender; it is sent
+    only to peers that read it.
     """
 
     number: int
@@ -51,12 +51,12 @@
 
 
 class AskReply(NamedTuple):
-    """The owner's answer to an ask, with the tokens left and the attempts in progress.
+    """The owner's reply to an ask, with the tokens left in the bucket and the customer's open grants.
 
-    A peer that reads the extended form also receives what the request was judged under: the plan, its version
-    and the reservation that it draws on, and the units that may still be drawn on it.  ``share`` is the part
-    of the quota that the asker may use while it can't reach the owner, and ``total_demand`` the units per
-    second requested of all limiters.
+    A peer that reads the extended form also receives what the request was judged under: the index of the
+    plan, its version and the tag of the reservation that it draws on (0 for none).  ``reserved_units`` may
+    still be drawn on one reservation of the customer.  ``share`` is the part of the quota that the asker may
+    use while it can't reach the owner, and ``total_demand`` the units per second requested of all limiters.
     """
 
     number: int
@@ -79,7 +79,7 @@
 
 
 class Loads(NamedTuple):
-    """All attempts of the sender in progress: pairs of a server's short digest and a count.
+    """All attempts of the sender in flight: pairs of a server's short digest and a count.
 
     A leading pair with INBOX_RATE_ID in place of the server states how many messages per second, in
     sixteenths, the sender's inbox accepts from the receiver.  No server has this digest, and older programs
@@ -102,7 +102,7 @@
 
 
 class DrawReport(NamedTuple):
-    """The total of units that the sender has drawn on a reservation without asking its owner."""
+    """The total of units that the sender has drawn on the reservation ``tag`` without asking its owner."""
 
     tag: int
     units: float
@@ -116,13 +116,13 @@
 
 
 class CopyRequest(NamedTuple):
-    """The sender has started with this incarnation and asks for copies of the buckets that it owns."""
+    """The sender has started with this incarnation and asks for bucket copies of the buckets that it owns."""
 
     incarnation: int
 
 
 class BucketCopy(NamedTuple):
-    """A late copy of a bucket that the receiver owns, refilled up to the present."""
+    """The sender's copy of a bucket that the receiver owns, refilled up to the present."""
 
     key: int
     plan: int
--- a/larklb/quota/breaker.py
+++ b/larklb/quota/breaker.py
@@ -6,10 +6,12 @@
 from dataclasses import dataclass
 
 # The values are those of the design.
-# Consecutive failed asks that open the breaker.
+# Consecutive failed asks (given up without a reply) that open the breaker.
 BREAKER_FAILURES = 3
+# Time until a trial ask is allowed.
 BREAKER_OPEN_MS = 30000.0
-# Up to this part more, so that the limiters' trial asks do not coincide.
+# The open period is longer by a random fraction of up to this, so that the limiters' trial asks do not
+# coincide.
 BREAKER_JITTER = 0.2
 
 
@@ -18,7 +20,7 @@
     """The breaker for one owner.
 
     BREAKER_FAILURES failures in a row open it; after BREAKER_OPEN_MS one trial ask decides whether it stays
-    open.  Whoever holds the breaker drops it at any message from the owner.
+    open.  Whoever holds the breaker drops it at any message from the owner.  Times are in ms.
     """
 
     failures: int = 0
--- a/larklb/quota/bucket.py
+++ b/larklb/quota/bucket.py
@@ -11,8 +11,9 @@
 
 @dataclass
 class TokenBucket:
-    """Fills at ``rate`` units a second up to ``burst``; also counts the open grants.
+    """Fills at ``rate`` units a second up to ``burst``; ``open`` counts the open grants.
 
+    ``tokens`` are in units, as of ``at`` (ms).
     A rate of 0 means that there is no such quota.  Tokens then stay as they are, so that a customer who
     leaves a plan with a rate and comes back to one finds what it left, not a full burst.
     """
@@ -22,17 +23,17 @@
     tokens: float
     at: float
     open: int = 0
-    # When the bucket was made here, full because nothing better was known.
+    # When the bucket was made here (ms), full because nothing better was known.
     born: float = -math.inf
     # The plan version that rate and burst come from.
     version: int = 0
     # The part of the quota used here.  While limiters are unreachable it is below 1; the rest goes into
-    # the escrow, together with what overflows.
+    # the escrow (in units), together with what overflows.
     part: float = 1.0
     escrow: float = 0.0
-    # Whether the bucket was made after a restart and corrected by a peer's copy.
+    # Whether the bucket was made after a restart and corrected by a peer's bucket copy.
     copied: bool = False
-    # Tokens that have recently overflowed.
+    # Tokens that have recently overflowed; they decay.
     spilt: float = 0.0
 
     def fill(self, now: float) -> float:
--- a/larklb/quota/catalogue.py
+++ b/larklb/quota/catalogue.py
@@ -2,7 +2,7 @@
 
 A version states what changes against the one before it; what it does not name stays.  Version numbers
 increase, their instants do not decrease, and a version never changes its content once it was accepted: a
-number found in a verdict, a ledger or an invoice names one set of figures for good.
+number found in a reply to an ask, a ledger or an invoice names one set of figures for good.
 """
 
 from __future__ import annotations
@@ -76,11 +76,11 @@
         self.index_by_number = {v.number: i for i, v in enumerate(versions)}
         self.instants = [v.effective_at for v in versions]
         names = {p.name: i for i, p in enumerate(versions[0].plans)}
-        # By customer: the index of each version that assigns it, and the plan's number.  None stands for
-        # the plan that the customer's requests name.
+        # By the digest of the customer: the index of each version that assigns it, and the plan's number.
+        # None stands for the plan that the customer's requests name.
         self.assignments: dict[int, list[tuple[int, int | None]]] = {}
-        for i, v in enumerate(versions):
-            for customer, plan in v.customers:
+        for i, version in enumerate(versions):
+            for customer, plan in version.customers:
                 self.assignments.setdefault(digest(customer), []).append((i, names.get(plan)))
 
     @property
@@ -89,7 +89,10 @@
         return self.versions[-1]
 
     def effective_changes(self, after: int, upto: int) -> list[int]:
-        """Indexes of the versions after one up to another that take effect: of one instant only the last."""
+        """Indexes of the versions after index ``after`` up to ``upto`` that take effect.
+
+        Of versions with the same instant only the last does.
+        """
         return [i for i in range(after + 1, upto + 1)
                 if i == upto or self.instants[i + 1] > self.instants[i]]
 
@@ -113,7 +116,7 @@
 
 
 def parse(data: bytes, plans: tuple[io.Plan, ...], where: str = "plans") -> Catalogue:
-    """Parses and checks the catalogue in a TOML file.
+    """Parses and checks a catalogue in TOML.
 
     ``plans`` are those of the settings: a catalogue gives them other figures and moves customers between
     them.  ``where`` names the file in messages.  Raises CatalogueError.
@@ -187,16 +190,19 @@
         raise CatalogueError(f"it ends with version {new.newest.number}, and {old.newest.number} is here")
     unmatched = {v.number: v for v in old.versions}
     versions = []
-    for v in new.versions:
-        known = unmatched.pop(v.number, None)
+    for version in new.versions:
+        known = unmatched.pop(version.number, None)
         if known is not None:
-            if (v.plans, v.customers, v.stated_at) != (known.plans, known.customers, known.stated_at):
-                raise CatalogueError(f"version {v.number} differs from the one that is here by this number")
+            if (version.plans, version.customers, version.stated_at) != (
+                    known.plans, known.customers, known.stated_at):
+                raise CatalogueError(
+                    f"version {version.number} differs from the one that is here by this number")
             versions.append(known)
-        elif v.number < old.newest.number:
-            raise CatalogueError(f"version {v.number} comes after version {old.newest.number} was taken")
+        elif version.number < old.newest.number:
+            raise CatalogueError(
+                f"version {version.number} comes after version {old.newest.number} was taken")
         else:
-            versions.append(replace(v, effective_at=max(v.effective_at, now)))
+            versions.append(replace(version, effective_at=max(version.effective_at, now)))
     if unmatched:
         raise CatalogueError(f"version {min(unmatched)}, which is here already, is missing from it")
     return Catalogue(tuple(versions))
@@ -214,32 +220,34 @@
     lines = []
     before, after = ({v.number: v for v in c.versions} for c in (old, new))
     for number in sorted(before.keys() | after.keys()):
-        a, b = before.get(number), after.get(number)
-        if a is None and b is not None:
-            lines.append(f"+ version {number} from {format_instant(b.effective_at)}: {summary(b)}")
-        elif b is None and a is not None:
-            lines.append(f"- version {number} from {format_instant(a.effective_at)}: {summary(a)}")
-        elif a is not None and b is not None:
-            if a.effective_at != b.effective_at:
-                lines.append(f"~ version {number} counts from {format_instant(b.effective_at)}, "
-                             f"not from {format_instant(a.effective_at)}")
-            for p, q in zip(a.plans, b.plans, strict=True):
+        old_version, new_version = before.get(number), after.get(number)
+        if old_version is None and new_version is not None:
+            lines.append(f"+ version {number} from {format_instant(new_version.effective_at)}: "
+                         f"{summary(new_version)}")
+        elif new_version is None and old_version is not None:
+            lines.append(f"- version {number} from {format_instant(old_version.effective_at)}: "
+                         f"{summary(old_version)}")
+        elif old_version is not None and new_version is not None:
+            if old_version.effective_at != new_version.effective_at:
+                lines.append(f"~ version {number} counts from {format_instant(new_version.effective_at)}, "
+                             f"not from {format_instant(old_version.effective_at)}")
+            for p, q in zip(old_version.plans, new_version.plans, strict=True):
                 lines += [f"~ version {number}: {p.name}: {n} {getattr(p, n):g} -> {getattr(q, n):g}"
                           for n in ("rate", "burst", "most_open") if getattr(p, n) != getattr(q, n)]
-            was, will = dict(a.customers), dict(b.customers)
+            was, will = dict(old_version.customers), dict(new_version.customers)
             lines += [f"~ version {number}: customer {c}: {was.get(c, 'as before')!r} -> "
                       f"{will.get(c, 'as before')!r}"
                       for c in sorted(was.keys() | will.keys()) if was.get(c) != will.get(c)]
     return lines
 
 
-def summary(v: Version) -> str:
+def summary(version: Version) -> str:
     """The changes that a version states, in one line."""
     parts = []
-    for name, figures in v.plan_changes:
+    for name, figures in version.plan_changes:
         parts.append(name + " " + " ".join(
             f"{n}={getattr(figures, n):g}" for n in ("rate", "burst", "most_open")
             if getattr(figures, n) is not None))
-    if v.customers:
-        parts.append(f"{len(v.customers)} customers assigned")
+    if version.customers:
+        parts.append(f"{len(version.customers)} customers assigned")
     return "; ".join(parts) or "nothing"
--- a/larklb/quota/demand.py
+++ b/larklb/quota/demand.py
@@ -5,7 +5,7 @@
 import math
 from dataclasses import dataclass
 
-# Time constant of the average that shares are computed from.
+# Time constant in ms of the average that shares are computed from.
 SLOW_DECAY_MS = 10000.0
 # Standard deviations by which recent demand must exceed the average to count as a shift of traffic.
 SHIFT_DEVIATIONS = 1.5
@@ -15,7 +15,10 @@
 
 @dataclass(slots=True)
 class Demand:
-    """Units a second asked for, as a slow and a fast exponential average."""
+    """Units a second asked for, as a slow and a fast exponential average.
+
+    Both are as of ``at`` (ms); ``born`` (ms) is when the averages began.
+    """
 
     born: float
     at: float
@@ -40,6 +43,9 @@
 
 
 def has_shifted(recent: float, average: float) -> bool:
-    """Whether recent demand exceeds the average by more than the variation of a Poisson stream explains."""
+    """Whether recent demand exceeds the average by half, and by more than a Poisson stream would vary.
+
+    Both arguments are in units a second.
+    """
     deviation = math.sqrt(max(average, 0.1) / (2.0 * FAST_DECAY_MS / 1000.0))
     return recent > 1.5 * average and recent > average + SHIFT_DEVIATIONS * deviation
--- a/larklb/quota/entitlements.py
+++ b/larklb/quota/entitlements.py
@@ -15,9 +15,11 @@
 from larklb.quota.ring import digest
 from larklb.quota.table_limits import DEFAULT_MAX_CUSTOMERS
 
-# Serves rather than refuses while limiters are separated (docs/design/losing-the-counter.md).
+# How far a share may grow beyond what was granted (``shares.py``).  1 serves rather than refuses while
+# limiters are separated (docs/design/losing-the-counter.md).
 DEFAULT_RESERVE = 1.0
-# A peer may come back as an older program, so the form that it has used is relied on only this long.
+# A peer may come back as an older program, so the form of messages that it has used is relied on only this
+# long.
 EXTENDED_SUPPORT_MS = 10000.0
 
 
@@ -40,21 +42,22 @@
                  reservations: Reservations | None = None, offset: float = 0.0, *,
                  settle: bool = True, reserve: float = DEFAULT_RESERVE,
                  max_customers: int = DEFAULT_MAX_CUSTOMERS) -> None:
-        """``settle``: units admitted without the owner are settled with it; ``reserve``: see ``shares.py``;
-        ``max_customers``: customers kept in each table."""
+        """``settle``: units admitted without the owner are settled with it; ``reserve``: how far a share may
+        grow, see ``shares.py``; ``max_customers``: customers kept in each table."""
         self.settle, self.reserve, self.max_customers = settle, reserve, max_customers
         self.catalogue = catalogue or settings_catalogue(plans)
-        # Whether peers are sent the extended form of verdicts, with plan versions and reservations.
+        # Whether peers are sent the extended form of replies, with plan versions and reservations.
         self.extended = catalogue is not None or reservations is not None
         self.reservations, self.clock_offset = reservations, offset
-        # The version in effect, and the instant of the module's clock at which the next one takes effect.
+        # The index of the version in effect, and the instant of the module's clock at which the next one
+        # takes effect.
         self.version_index = 0
         self.valid_until = float("-inf")
         # Peers that support the extended form: when they last used it, and their plan version.
         self.extended_peers: dict[int, tuple[float, int]] = {}
         # The newest version that a peer has used and this limiter does not have.
         self.newest_peer_version = 0
-        # Units drawn here without the owner and not yet confirmed by it, by customer and reservation.
+        # Units drawn here without the owner and not yet confirmed by it, by customer and reservation tag.
         self.unconfirmed: dict[int, dict[int, float]] = {}
         for reservation in reservations.by_name.values() if reservations is not None else ():
             # After a restart it is not known what the owner has received, so all is reported once more.
@@ -144,7 +147,10 @@
     # Reservations -------------------------------------------------------------------------
 
     def draw(self, now: float, key: int, units: float) -> io.RecordDraw | None:
-        """Draws reserved units at the owner, for a request that the bucket refuses; None without enough."""
+        """Draws units on a reservation at the owner, for a request that the bucket refuses.
+
+        None if no reservation has enough units.
+        """
         for reservation in self._open(now, key):
             if reservation.owned and reservation.remaining >= units - UNIT_TOLERANCE:
                 reservation.draw(units)
@@ -152,9 +158,10 @@
         return None
 
     def draw_without_owner(self, now: float, key: int, units: float, number: int) -> io.RecordDraw | None:
-        """Draws reserved units from this limiter's part while the owner cannot be asked.
+        """Draws units from this limiter's part of a reservation while the owner cannot be asked.
 
         ``number`` is this limiter's.  The draw is reported to the owner later.
+        None if no reservation has enough units.
         """
         for reservation in self._open(now, key):
             drawn = reservation.remote_draws.get(number, 0.0)
@@ -174,7 +181,7 @@
         return io.RecordDraw(tag, reservation.drawn)
 
     def reserved_units(self, now: float, key: int) -> float:
-        """Most units that one reservation of a customer holds now, as far as this limiter knows."""
+        """Most units that are left in one open reservation of a customer, as far as this limiter knows."""
         return max((r.remaining for r in self._open(now, key)), default=0.0)
 
     def _open(self, now: float, key: int) -> list[Reservation]:
--- a/larklb/quota/fallback.py
+++ b/larklb/quota/fallback.py
@@ -1,8 +1,9 @@
 """Decisions taken while a customer's owner cannot be asked, and their settlement with it afterwards.
 
-A limiter keeps copies of its owners' buckets, a bucket of its own share for each customer whose owner does
-not answer, the shares (``shares.py``), the counts of what it admitted by itself (``settlement.py``), and the
-time at which each other limiter was last heard.  The decision module calls it; it does no input or output.
+A limiter keeps bucket copies (what the owners' replies said of their buckets), a bucket of its own share for
+each customer whose owner does not answer, the shares (``shares.py``), the counts of what it admitted by
+itself (``settlement.py``), and the time at which each other limiter was last heard.  The decision module
+calls it; it does no input or output.
 """
 
 from __future__ import annotations
@@ -26,11 +27,12 @@
 from larklb.quota.table_limits import evict_fullest, evict_oldest
 from larklb.records import Copy, PendingRequest
 
-# An older copy of the owner's bucket no longer stands in for the owner (from the design).
+# An older bucket copy no longer stands in for the owner (from the design).
 COPY_MAX_AGE_MS = 1000.0
-# For this long after a bucket was made, peers' copies correct it.
+# For this long after a bucket was made, peers' copies of it correct it.  For this long after its start a
+# limiter counts as starting.
 WARMUP_MS = 1000.0
-# After this many failed asks in a row the share decides instead of the copy.
+# After this many failed asks in a row the share decides instead of the bucket copy.
 MAX_COPY_FAILURES = 4
 # A limiter that has a share and was not heard for this long is asked to answer.
 PEER_QUIET_MS = 400.0
@@ -40,7 +42,7 @@
 GOLDEN_RATIO = 0.618
 # Sizes of packed items in a message.
 COUNT_BYTES, COPY_BYTES = 22, 12
-# Copies sent to an owner that has just started; they fill about five messages.
+# Bucket copies sent to an owner that has just started; they fill about five messages.
 MAX_STARTUP_COPIES = 90
 # Interval between checks of which limiters are unreachable.
 PEER_CHECK_INTERVAL_MS = 100.0
@@ -58,8 +60,10 @@
         self.shares = Shares(entitlements.reserve, entitlements.max_customers)
         # The clock goes on over a restart on the same machine, so a later start has a greater incarnation.
         self.settlement = Settlement(int(now / 100.0) & 0xFFFFFFFF)
+        # Bucket copies, by customer.
         self.copies: dict[int, Copy] = {}
-        # Plan that the requests name, bucket, and the part of the quota that the bucket had last.
+        # By customer: plan that the requests name, bucket, and the part of the quota that the bucket had
+        # last.
         self.share_buckets: dict[int, tuple[int, TokenBucket, float]] = {}
         self.last_heard_at: dict[int, float] = {}
         self.unreachable: frozenset[int] = frozenset()
@@ -67,7 +71,7 @@
         # nothing: no share is set aside for silent limiters, and what they admit is settled all the same.
         self.can_detect_silence = True
         self.last_peer_check_at = self.last_report_at = -math.inf
-        # Owners that have just started: since when, and the customers whose copies they are still to get.
+        # Owners that have just started: since when, and the customers whose bucket copies are to be sent.
         self.requested_copies: dict[int, tuple[float, list[int]]] = {}
         # When the limiters of a customer reached each other again after a separation.
         self.reunited_at: dict[int, float] = {}
@@ -84,7 +88,7 @@
     # Reachability of peers ----------------------------------------------------------------
 
     def on_message(self, now: float, peer: int) -> None:
-        """Notes that a message from a peer has arrived."""
+        """Notes that a message from a peer has arrived; one that was unreachable is checked again at once."""
         self.last_heard_at[peer] = now
         if peer in self.unreachable:
             self.last_peer_check_at = -math.inf
@@ -127,14 +131,14 @@
         """Takes the units of a peer's count that are new from the bucket; returns the confirmation."""
         is_first = (sender, count.key) not in self.settlement.peer_counts
         new_units = self.settlement.on_count(now, sender, count)
-        # The copy that set the bucket already lacks the units that its sender had admitted.
+        # The bucket copy that set the bucket already lacks the units that its sender had admitted.
         in_copy = is_first and bucket.copied and now - bucket.born < 2 * WARMUP_MS
         if new_units and not in_copy:
             bucket.settle(now, new_units, MAX_DEBT_BURSTS * bucket.burst)
         return self.settlement.confirmation_for(sender, count.key)
 
     def on_copy(self, now: float, bucket: TokenBucket, left: float) -> None:
-        """Lowers a bucket made within the last WARMUP_MS to the tokens in a peer's copy of it."""
+        """Lowers a bucket made within the last WARMUP_MS to ``left``, the tokens in a peer's copy of it."""
         if now - bucket.born >= WARMUP_MS:
             return
         bucket.tokens = min(bucket.fill(now), left)
@@ -148,7 +152,9 @@
                 if self.enabled and self.is_starting(now) else b"")
 
     def on_peer_started(self, now: float, sender: int, incarnation: int) -> bool:
-        """Drops the shares of a restarted limiter's former incarnation; returns whether copies are due.
+        """Drops the shares of a restarted limiter's former incarnation.
+
+        Returns whether bucket copies are due to it, of which it gets the newest.
 
         The escrow that was kept for the former incarnation is released.
         """
@@ -165,10 +171,10 @@
         return bool(newest_first)
 
     def _startup_copies(self, now: float, owner: int, space: int) -> Iterator[bytes]:
-        """Packed copies for an owner that has lost its buckets, the last used first, as far as they fit.
+        """Packed bucket copies for an owner that has lost its buckets, the newest first, as far as they fit.
 
         One message is sent for them at once; the rest goes with other messages, since more messages would
-        delay asks and verdicts.
+        delay asks and replies.
         """
         since, keys = self.requested_copies.get(owner, (now, []))
         while keys and now - since < WARMUP_MS and space >= COPY_BYTES:
@@ -187,7 +193,7 @@
         return min(plan.burst, copy.left - copy.let_in + (now - copy.at) * plan.rate / 1000.0)
 
     def tokens_left(self, now: float, request: PendingRequest) -> float | None:
-        """Tokens that the copy shows now, or None without a copy or a rate.
+        """Tokens that the bucket copy shows now, or None without a copy or a rate.
 
         They are sent with each ask, so that a restarted owner's bucket is rebuilt by those who use it.
         """
@@ -197,10 +203,11 @@
     def refusal_wait(self, now: float, request: PendingRequest, inbox: float, usual: float) -> float | None:
         """Milliseconds to wait where the owner is expected to refuse, else None.
 
-        It is expected to where a fresh copy shows too few tokens, or where it refused more than once in a
-        row.  Repeated refusals hold for as long as one ask from each of the customer's limiters needs to
-        fill the owner's inbox, which takes ``inbox`` messages a second.  Where the refusal was for want of
-        a free slot, the wait is at most ``usual`` ms: the next answer frees one.
+        It is expected to where a fresh bucket copy shows too few tokens, or where it refused more than once
+        in a row; but not where a reservation holds enough units.  Repeated refusals hold for as long as one
+        ask from each of the customer's limiters needs to fill the owner's inbox, which takes ``inbox``
+        messages a second.  Where the refusal was for want of a free slot, the wait is at most ``usual`` ms,
+        the usual latency: the next answer frees one.
         """
         copy = self.copies.get(request.customer_key)
         if (copy is None
@@ -216,13 +223,14 @@
         empty = left is not None and age <= COPY_MAX_AGE_MS and left < request.units
         return (request.units - left) / request.plan.rate * 1000.0 if left is not None and empty else None
 
-    def decide(self, now: float, request: PendingRequest, out: int, failures: int) -> tuple[bool, float]:
+    def decide(self, now: float, request: PendingRequest, in_flight: int,
+               failures: int) -> tuple[bool, float]:
         """Whether a request is admitted without the owner, and the ms to wait if it is not.
 
-        A fresh copy less what was admitted since decides, else this limiter's share.  ``out`` counts the
-        customer's attempts in flight from here; ``failures`` the asks of the owner that failed in a row.
-        One failure may be chance; after several, other limiters too go by their copies and together would
-        admit too much.
+        A fresh bucket copy less what was admitted since decides, else this limiter's share.  ``in_flight``
+        counts the customer's requests in flight from here, ``failures`` the asks of the owner that failed in
+        a row.  One failure may be chance; after several, other limiters too go by their copies and together
+        would admit too much.
         """
         copy, plan = self.copies.get(request.customer_key), request.plan
         fresh = (copy is not None and now - copy.at <= COPY_MAX_AGE_MS
@@ -235,12 +243,15 @@
             return admitted, (request.units - left) / plan.rate * 1000.0 if left is not None else 0.0
         bucket = self._share_bucket(now, request)
         admitted = ((not plan.rate or bucket.tokens >= min(request.units, bucket.burst))
-                    and (not plan.most_open or out < math.ceil(plan.most_open / request.spread)))
+                    and (not plan.most_open or in_flight < math.ceil(plan.most_open / request.spread)))
         bucket.tokens -= request.units if admitted and plan.rate else 0.0
         return admitted, bucket.wait_for(request.units)
 
     def _share_bucket(self, now: float, request: PendingRequest) -> TokenBucket:
-        """The bucket of this limiter's share of a customer's quota, with its figures up to date."""
+        """The bucket of this limiter's share of a customer's quota, with its figures up to date.
+
+        A new one holds the share of the tokens that the bucket copy shows, if there is one.
+        """
         part = (max(MIN_SHARE, self.shares.local_share(now, request.customer_key, request.spread))
                 if self.enabled else 1.0 / request.spread)
         if request.customer_key not in self.share_buckets:
@@ -266,7 +277,7 @@
                                             request.units)
 
     def on_ask_reply(self, now: float, request: PendingRequest, reply: pw.AskReply) -> None:
-        """Replaces the copy by what the owner's verdict says; the share's bucket is dropped."""
+        """Replaces the bucket copy by what the owner's reply says; the share's bucket is dropped."""
         previous = self.copies.pop(request.customer_key, None)
         evict_oldest(self.copies, self.entitlements.max_customers)
         refused = 0 if reply.granted else 1 + (previous.refused if previous else 0)
@@ -286,7 +297,7 @@
         return [count]
 
     def piggybacked_items(self, now: float, peer: int, space: int) -> Iterator[bytes]:
-        """Packed items that fit into ``space`` bytes of an outgoing message: counts due, then copies."""
+        """Packed items that fit into ``space`` bytes of a message: counts due, then bucket copies."""
         for count in self.settlement.due_counts(now, peer) if self.enabled else ():
             if space < COUNT_BYTES:
                 return
@@ -313,7 +324,7 @@
     # Upkeep -------------------------------------------------------------------------------
 
     def expire(self, now: float, most_due: float) -> None:
-        """Drops copies and share buckets that are no longer needed, so that state follows recent traffic.
+        """Drops bucket copies, share buckets and other state that is no longer needed.
 
         ``most_due``: the longest time in ms that a request may take.
         """
@@ -330,8 +341,9 @@
         self.reunited_at = {key: at for key, at in self.reunited_at.items() if now - at < DEMAND_EXPIRY_MS}
 
     def describe(self, now: float, key: int, owned: tuple[int, TokenBucket] | None) -> dict[str, object]:
-        """A customer's state for operators.
+        """A customer's state for operators; ``owned`` is its plan and bucket if this limiter is the owner.
 
+        ``owner``: whether it is;
         ``sure``: whether the count here is exact; ``part``: the part of the quota that is used here;
         ``unsettled``: units not yet confirmed by the owner; ``off``: units by which the count here may be
         off at most; ``apart``: the unreachable limiters; ``share``: the share granted by the owner, if any.
@@ -339,26 +351,26 @@
         local, copy, granted = (self.settlement.local_counts.get(key), self.copies.get(key),
                                 self.shares.granted.get(key))
         unsettled = max(0.0, local.units - local.confirmed) if local is not None else 0.0
-        found: dict[str, object] = {"owner": owned is not None, "sure": True, "part": 1.0,
-                                    "unsettled": unsettled, "off": unsettled,
-                                    "apart": sorted(self.unreachable_peers(now))}
+        row: dict[str, object] = {"owner": owned is not None, "sure": True, "part": 1.0,
+                                  "unsettled": unsettled, "off": unsettled,
+                                  "apart": sorted(self.unreachable_peers(now))}
         if owned is not None:
             bucket = owned[1]
             since = self.shares.separated_since.get(key)
             if since is not None and bucket.part < 1.0:
                 off = bucket.burst + (1.0 - bucket.part + self.shares.reserve) * bucket.rate * (
                     now - since) / 1000.0
-                found |= {"sure": False, "part": round(bucket.part, 3), "off": round(off, 1)}
-            return found
+                row |= {"sure": False, "part": round(bucket.part, 3), "off": round(off, 1)}
+            return row
         owner = local.owner if local is not None else copy.owner if copy is not None else None
         silence = now - self.last_heard_at.get(owner, self.started_at) if owner is not None else 0.0
         if silence > PEER_TIMEOUT_MS and key in self.share_buckets:
             plan = self.entitlements.effective_plan(now, key, self.share_buckets[key][0]).plan
             share = self.share_buckets[key][2]
             off = unsettled + plan.burst + (1.0 - share) * plan.rate * silence / 1000.0
-            found |= {"sure": False, "part": round(share, 3), "off": round(off, 1)}
+            row |= {"sure": False, "part": round(share, 3), "off": round(off, 1)}
         elif unsettled >= UNIT_STEP:
-            found["sure"] = False
+            row["sure"] = False
         if granted is not None:
-            found["share"] = round(granted.share, 3)
-        return found
+            row["share"] = round(granted.share, 3)
+        return row
--- a/larklb/quota/reservations.py
+++ b/larklb/quota/reservations.py
@@ -1,8 +1,8 @@
 """Reservations: units set aside in advance for a customer and a window of time.
 
 The owner of the customer keeps each reservation and serves from it what the bucket would refuse, over all
-limiters together.  The other limiters hold a copy, from which each may draw a fixed part while the owner
-cannot be asked.  All instants are Unix milliseconds; the caller converts its clock.
+limiters together.  The other limiters hold a copy of the reservation, from which each may draw a fixed part
+while the owner cannot be asked.  All instants are Unix milliseconds; the caller converts its clock.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 
 from larklb.quota.ring import digest
 
-# Of one reservation.
+# Units of one reservation.
 MAX_UNITS = 1e9
-# 31 days.
+# Length of the window of one reservation: 31 days.
 MAX_WINDOW_MS = 31 * 86400e3
 # For so long after its window a reservation can still be looked up.
 RETENTION_MS = 7 * 86400e3
-# At one limiter, including those that are over.
+# Reservations at one limiter, including those that are over.
 MAX_RESERVATIONS = 10_000
 # Units; smaller differences are rounding errors.
 UNIT_TOLERANCE = 1e-9
@@ -95,14 +95,14 @@
 
 @dataclass
 class Reservation:
-    """One reservation as this limiter knows it; one that is not owned is a copy."""
+    """One reservation as this limiter knows it; one that is not ``owned`` is a copy of the owner's."""
 
     wanted: Wanted
     owned: bool
     state: State = State.HELD
-    # Units drawn by verdicts of the owner.
+    # Units drawn by grants of the owner.
     drawn: float = 0.0
-    # Units drawn by limiters that could not ask the owner, as they reported them.
+    # Units drawn by limiters that could not ask the owner, as they reported them, by limiter.
     remote_draws: dict[int, float] = field(default_factory=dict)
 
     @property
@@ -240,8 +240,9 @@
 
     def open_for(self, key: int, wall: float) -> Iterable[Reservation]:
         """The customer's reservations from which units may be drawn, the one that ends first in front."""
-        found = [r for r in self.by_key.get(key, ()) if r.advance(wall) is State.OPEN]
-        return sorted(found, key=lambda r: (r.wanted.end, r.wanted.name)) if len(found) > 1 else found
+        reservations = [r for r in self.by_key.get(key, ()) if r.advance(wall) is State.OPEN]
+        return (sorted(reservations, key=lambda r: (r.wanted.end, r.wanted.name)) if len(reservations) > 1
+                else reservations)
 
     def expire(self, wall: float) -> None:
         """Removes reservations that have been over for longer than RETENTION_MS."""
--- a/larklb/quota/ring.py
+++ b/larklb/quota/ring.py
@@ -5,7 +5,7 @@
 import hashlib
 from collections.abc import Sequence
 
-# Per gateway, from the design: evens out the gateways' shares of the ring.
+# Virtual nodes of each gateway, from the design: they even out the gateways' shares of the ring.
 VIRTUAL_NODES = 128
 # Length of the arc of the ring in which each gateway has one virtual node.
 ARC = (1 << 64) // VIRTUAL_NODES
@@ -17,7 +17,10 @@
 
 
 def ring_owner(key: int, members: Sequence[int]) -> int:
-    """The first member clockwise of the key on one ring of all gateways, each with a node in every arc."""
+    """The first member clockwise of the key on one ring of all gateways, each with a node in every arc.
+
+    ``key`` is a 64-bit digest.
+    """
     arc, at = divmod(key, ARC)
     while True:
         nodes = [(place, g) for g in members if (place := digest(f"{g}:{arc % VIRTUAL_NODES}") % ARC) > at]
--- a/larklb/quota/settlement.py
+++ b/larklb/quota/settlement.py
@@ -16,7 +16,7 @@
 
 # Resolution of the units in messages.
 UNIT_STEP = 1 / 16
-# Between two transmissions of a count that is not confirmed.
+# Interval between two transmissions of a count that is not confirmed.
 RESEND_INTERVAL_MS = 250.0
 # Both sides drop a settled count that has not changed for this long.
 COUNT_EXPIRY_MS = 120_000.0
@@ -27,7 +27,10 @@
 
 
 class Count(NamedTuple):
-    """Units that the sender's incarnation has admitted by itself for a customer; ``confirmed``: settled."""
+    """Units that the sender's incarnation has admitted by itself for a customer.
+
+    ``confirmed`` of them are settled with an owner.
+    """
 
     key: int
     # Number of the plan that the customer's requests name.
@@ -47,7 +50,7 @@
 
 @dataclass
 class LocalCount:
-    """A count of this limiter: ``told`` is when it was last sent, ``at`` when it last changed."""
+    """A count of this limiter: ``told`` is when it was last sent, ``at`` when it last changed (ms)."""
 
     owner: int
     plan: int
@@ -59,7 +62,7 @@
 
 @dataclass
 class PeerCount:
-    """The most that this owner has received of another limiter's count, and when."""
+    """The most that this owner has received of another limiter's count, and when (ms)."""
 
     incarnation: int
     units: float
@@ -155,8 +158,8 @@
     def is_current(self, now: float, sender: int, incarnation: int) -> bool:
         """Whether a message is from its sender's present incarnation, which is noted if it is new.
 
-        That is the one of the greatest number, or any that follows one not heard for
-        INCARNATION_TIMEOUT_MS: numbers come from a clock that starts anew when the machine does.
+        The present one has the greatest number.  Any other may follow one that was not heard for
+        INCARNATION_TIMEOUT_MS, because numbers come from a clock that starts anew when the machine does.
         """
         newest = self.incarnations.get(sender, incarnation)
         if incarnation < newest and now - self.last_heard_at.get(sender, now) <= INCARNATION_TIMEOUT_MS:
--- a/larklb/quota/shares.py
+++ b/larklb/quota/shares.py
@@ -1,14 +1,15 @@
 """Shares of a customer's quota, for the time in which its owner and other limiters cannot reach each other.
 
 Shares.  While all limiters are reachable, the owner measures what each limiter of a customer is asked for.
-With its verdicts it tells each the share of the customer's quota that this demand amounts to, and the demand
-of all together.  A limiter that cannot reach the owner goes on with its share of the rate and of the tokens
-that its copy of the owner's bucket shows.  An owner that does not hear a limiter takes the share that it
-granted it out of its own bucket and holds it in escrow.  So the shares of all sides add up to the quota.
+With its replies to asks it tells each the share of the customer's quota that this demand amounts to, and the
+demand of all together.  A limiter that cannot reach the owner goes on with its share of the rate and of the
+tokens that its copy of the owner's bucket shows.  An owner that does not hear a limiter takes the share that
+it granted it out of its own bucket and holds it in escrow.  So the shares of all sides add up to the quota.
 
 Traffic that moves.  Where a side is asked for much more than its share would explain, its share grows to its
 own demand over the demand of all before the separation, by at most ``reserve``.  A reserve of 0 keeps to the
-quota and may refuse too much; a reserve of 1 serves all and may exceed the quota.
+quota and may refuse too much; a reserve of 1 serves all and may exceed the quota.  It has nothing to do with
+reservations (``reservations.py``).
 
 Rejoining.  Counts of what was admitted during the separation (``settlement.py``) are taken from the escrow
 first, then from the bucket.  What is left of the escrow returns to the bucket a short time after all
@@ -41,7 +42,7 @@
 
 @dataclass(slots=True)
 class PeerDemand:
-    """Demand that a limiter reported, in units a second, and the share granted to it."""
+    """Demand that a limiter reported at ``at`` (ms), in units a second, and its share, 0 to 1."""
 
     demand: float
     at: float
@@ -50,7 +51,10 @@
 
 @dataclass(slots=True)
 class GrantedShare:
-    """This limiter's share of a customer's quota and the demand of all, as the owner last reported them."""
+    """This limiter's share of a customer's quota (0 to 1) and the demand of all limiters in units a second.
+
+    Both are as the owner reported them at ``at`` (ms).
+    """
 
     share: float
     total: float
@@ -141,7 +145,7 @@
     # As a limiter that cannot ask ---------------------------------------------------------
 
     def accept_share(self, now: float, key: int, share: float, total: float) -> None:
-        """Stores the share and the demand of all that an owner's verdict reported."""
+        """Stores the share and the demand of all that an owner's reply reported."""
         self.granted.pop(key, None)
         evict_oldest(self.granted, self.max_customers)
         self.granted[key] = GrantedShare(share, total, now)
@@ -201,14 +205,18 @@
                 restarts: int = 0, cuts: int = 1) -> ErrorBound:
     """The most by which the units admitted may exceed or fall short of one perfect bucket, at any instant.
 
+    ``rate`` is in units a second and ``burst`` in units; ``spread`` is the number of the customer's limiters.
+    ``loss`` is the fraction of messages lost, and ``apart_s`` the seconds that each of ``cuts`` separations
+    lasts.
+
     Derived in ``docs/design/losing-the-counter.md``.  It holds for any demand, and so is wide where demand
     is small.
 
     Over: until a cut is noticed, each limiter but the owner goes by its copy of the bucket (a burst, and the
     rate for PEER_TIMEOUT_MS) and the slack.  Then the shares add up to one quota, and each limiter may grow
-    by ``reserve``.  Lost messages leave each limiter one copy's worth of unsettled units; a restart costs a
-    burst.  Under: what a perfect bucket could have granted during the separation, what is in escrow until
-    all is settled, and a debt.
+    by ``reserve``.  Lost messages leave each limiter one bucket copy's worth of unsettled units; a restart
+    costs a burst.  Under: what a perfect bucket could have granted during the separation, what is in escrow
+    until all is settled, and a debt.
     """
     others = max(0, spread - 1)
     if not others:
--- a/larklb/quota/table_limits.py
+++ b/larklb/quota/table_limits.py
@@ -1,7 +1,7 @@
 """Limits on the number of customers that a limiter keeps state of.
 
-A customer that comes once leaves a bucket, a copy or a count.  They expire, but with plans that fill slowly
-that takes hours, so memory needs a limit of its own.
+A customer that comes once leaves a bucket, a bucket copy or a count.  They expire, but with plans that fill
+slowly that takes hours, so memory needs a limit of its own.
 """
 
 from __future__ import annotations
@@ -18,8 +18,10 @@
 PROCESS_BASE_MB = 26
 # Part of the remaining memory that customers' state may take.
 CUSTOMER_MEMORY_PART = 0.75
+# Customers kept in each table however little memory there is.
 MIN_CUSTOMERS = 1_000
-# One bucket in so many is evicted at once, because finding them costs a sort.
+# The fraction of a full table that is evicted at once is one divided by this, because finding the fullest
+# buckets costs a sort.
 EVICTION_DIVISOR = 8
 
 K = TypeVar("K")
@@ -33,7 +35,7 @@
 
 
 def evict_oldest(table: dict[K, Any], max_customers: int) -> None:
-    """Makes room for one more entry by deleting the oldest ones."""
+    """Makes room for one more entry by deleting the oldest ones, which are in front of the table."""
     while len(table) >= max_customers:
         del table[next(iter(table))]
 
@@ -49,8 +51,8 @@
         return
 
     def missing(bucket: TokenBucket) -> float:
-        lack = bucket.burst - bucket.fill(now) if bucket.rate > 0 else 1e9 * (bucket.open > 0)
-        return lack + 1e9 * (bucket.part < 1.0 or bucket.escrow > 0)
+        shortage = bucket.burst - bucket.fill(now) if bucket.rate > 0 else 1e9 * (bucket.open > 0)
+        return shortage + 1e9 * (bucket.part < 1.0 or bucket.escrow > 0)
 
     rows = sorted(buckets, key=lambda key: missing(buckets[key][1]))
     for key in rows[:max(1, max_customers // EVICTION_DIVISOR)]:
--- a/larklb/quota_owner.py
+++ b/larklb/quota_owner.py
@@ -17,7 +17,11 @@
 
 
 class QuotaOwner:
-    """The part of a gateway that decides on the quotas it owns."""
+    """The part of a gateway that decides on the quotas it owns.
+
+    ``buckets`` holds, by customer key, the index of the plan that requests name and the bucket.  ``leases``
+    is keyed by lease id: the sender of the ask and the ask's number.
+    """
 
     settings: io.Settings
     entitlements: Entitlements
@@ -29,7 +33,7 @@
     actions: list[io.Action]
 
     def bucket_rows(self) -> list[tuple[int, str, float, float]]:
-        """The owned buckets for a store, as rows of customer key, plan, tokens, and the time of the count."""
+        """The owned buckets for a store, as rows of customer key, plan name, tokens, and their time in ms."""
         return [(key, self.settings.plans[p].name, min(b.tokens, b.burst), b.at)
                 for key, (p, b) in self.buckets.items()]
 
@@ -55,14 +59,15 @@
         self.fallback.apply_share(now, key, bucket)
         return bucket
 
-    def _owner_verdict(self, now: float, name: tuple[int, int], key: int, plan_index: int, units: float,
-                       lease_ms: float) -> QuotaLease:
-        """The owner's verdict on an ask, as a lease of at most ``lease_ms``.
+    def _decide_ask(self, now: float, lease_id: tuple[int, int], key: int, plan_index: int, units: float,
+                    lease_ms: float) -> QuotaLease:
+        """The owner's decision on an ask, as a lease of at most ``lease_ms``.
 
-        ``name`` is the sender and the number of the ask.  A repeated ask gets the same verdict.
+        The units are taken from the bucket; where it has too few, they are drawn on a reservation.  The lease
+        id is the sender and the number of the ask: a repeated ask gets the same lease and takes nothing.
         """
-        if name in self.leases:
-            return self.leases[name]
+        if lease_id in self.leases:
+            return self.leases[lease_id]
         effective, bucket = (
             self.entitlements.effective_plan(now, key, plan_index),
             self._owned_bucket(now, key, plan_index),
@@ -78,16 +83,20 @@
             self.actions.append(drawn)
         bucket.open += granted
         until = now + min(lease_ms, self.max_deadline)
-        self.leases[name] = QuotaLease(key, plan_index, granted, units, until, not granted, effective.number,
-                                       effective.version, drawn.tag if drawn is not None else 0)
-        return self.leases[name]
+        self.leases[lease_id] = QuotaLease(
+            key, plan_index, granted, units, until, not granted, effective.number, effective.version,
+            drawn.tag if drawn is not None else 0)
+        return self.leases[lease_id]
+
+    def _end_lease(self, now: float, lease_id: tuple[int, int], returned: float) -> None:
+        """Ends a lease; ``returned`` of its units go back to the bucket or reservation that they came from.
 
-    def _end_lease(self, now: float, name: tuple[int, int], returned: float) -> None:
-        """Ends a lease and gives back ``returned`` of its units."""
-        lease = self.leases.get(name)
+        A negative number takes more units from the bucket.  Nothing happens if the lease is over.
+        """
+        lease = self.leases.get(lease_id)
         # The release has overtaken its ask, which must not be granted any more.
         if lease is None and self.fallback.enabled:
-            self.leases[name] = QuotaLease(0, 0, False, 0.0, now + self.max_deadline, True)
+            self.leases[lease_id] = QuotaLease(0, 0, False, 0.0, now + self.max_deadline, True)
         if lease is None or lease.over:
             return
         lease.over = True
--- a/larklb/records.py
+++ b/larklb/records.py
@@ -1,4 +1,4 @@
-"""Records that a gateway keeps of requests, of grants and of other limiters' buckets; types only."""
+"""Records that a gateway keeps of requests, of grants and of buckets that other gateways own; types only."""
 
 from __future__ import annotations
 
@@ -30,14 +30,15 @@
     named_plan: int
     # Version of the plans that it is judged under.
     plan_version: int
-    # Asks for the quota only and is not sent to a server.
+    # It asks for the quota only and is not sent to a server.
     quota_only: bool = False
-    # Reservation that it draws on; 0 for none.
+    # Tag of the reservation that its units are drawn on; 0 for none.
     reservation: int = 0
-    # Owner and ask number of the grant, by which the lease is released.
+    # Owner and ask number of the grant, by which the owner's lease is released.
     grant: tuple[int, int] | None = None
-    # Number of the ask whose verdict it waits for.
+    # Number of the ask whose reply it waits for.
     pending_ask: int | None = None
+    # The decision on its quota allows it to be sent.
     admitted: bool = False
     # A release of the ask was sent: a grant that still arrives is void and must not be released again.
     grant_released: bool = False
@@ -45,6 +46,7 @@
     beyond_quota: bool = False
     # Its body cannot be sent a second time.
     not_repeatable: bool = False
+    # The client needs no further answer; attempts may still be in flight.
     ended: bool = False
     attempts: list[Attempt] = field(default_factory=list)
     # Attempts of earlier tries at other limiters.
@@ -69,9 +71,10 @@
 
 @dataclass
 class QuotaLease:
-    """The owner's record of an ask: a repeated ask gets the same verdict and takes no further units.
+    """The owner's record of an ask, granted or not: a repeated ask gets the same reply and takes no units.
 
-    It is in force until ``until`` (ms), or until ``over`` is set.
+    It is in force until ``until`` (ms), or until ``over`` is set, as it is from the start for an ask that was
+    refused.  Without units it stands for a release that arrived before its ask.
     """
 
     customer: int
@@ -83,16 +86,16 @@
     # Index and version of the plan that the ask was judged under.
     judged: int = 0
     version: int = 0
-    # Reservation that the units come from; 0 for none.
+    # Tag of the reservation that the units come from; 0 for none.
     reservation: int = 0
 
 
 @dataclass
 class Copy:
-    """An owner's bucket as its last verdict described it, at time ``at`` (ms).
+    """A bucket copy: an owner's bucket as its last reply to an ask described it, at time ``at`` (ms).
 
-    ``left`` are its tokens, ``open`` its open grants, and ``let_in`` counts what was admitted since without
-    the owner.
+    ``left`` are its tokens, ``open`` its open grants, and ``let_in`` counts the units that were admitted
+    since without the owner.
     """
 
     plan: int
@@ -103,5 +106,5 @@
     # Consecutive refusals by the owner.
     refused: int = 0
     let_in: float = 0.0
-    # Units that could be drawn on reservations beyond the tokens.
+    # Units that could be drawn on one reservation of the customer, beyond the tokens.
     reserved: float = 0.0
--- a/larklb/server_selection.py
+++ b/larklb/server_selection.py
@@ -23,7 +23,8 @@
     """The part of a gateway that chooses servers.
 
     ``server_limit`` is the number of attempts in flight that a server of mean weight may have, from all
-    gateways together.  Judgements are made by topic, see ``larklb.health.Server``.
+    gateways together.  ``usual_latency`` is in ms, by class.  ``topics`` are the topics of judgements by
+    class, see ``larklb.health.Server``.
     """
 
     settings: io.Settings
@@ -39,8 +40,10 @@
     def _choose_server(self, now: float, request: PendingRequest) -> Server | None:
         """The server that the next attempt of the request goes to; None if none has room.
 
-        The size of the samples that are compared grows with the share of all load that is visible here: where
-        little is visible, the least loaded of all servers would be the same one each time.
+        A probe of an avoided zone takes precedence.  Else random samples of the servers in reach are
+        compared, then all of these, then all available servers.  The size of the samples grows with the share
+        of all load that is visible here: where little is visible, the least loaded of all servers would be
+        the same one each time.
         """
         if self.zones.reduced_fractions and (probe := self._choose_probe(now, request)) is not None:
             return probe
@@ -133,7 +136,11 @@
     def _may_retry_on(
         self, request: PendingRequest, ran: list[Attempt], server: Server, now: float
     ) -> bool:
-        """Whether a request may be sent to this server although the attempts ``ran`` may have run."""
+        """Whether a request may be sent to this server although the attempts ``ran`` may have run.
+
+        ``ran`` has the first such attempt in front: the window starts with it, and a later server must share
+        its dedup scope.
+        """
         if request.service_class.repeat is io.RepeatPolicy.SAFE:
             return True
         if (
@@ -146,7 +153,7 @@
             scope is io.DedupScope.ZONE or server.entry.cell == first.cell))
 
     def _record_judgement(self, now: float, server: Server, sample: float, *topics: int) -> None:
-        """Adds a sample of the server's slowness to the moving average of each topic."""
+        """Adds a sample of the server's slowness to the moving average of each topic, and to the findings."""
         for topic in topics:
             decayed = server.decayed_slowness(now, topic)
             slowness = decayed + const.JUDGEMENT_WEIGHT * (min(MAX_SLOWNESS, sample) - decayed)
--- a/larklb/servers.py
+++ b/larklb/servers.py
@@ -20,14 +20,16 @@
 
 # A peer's report of its attempts in flight is ignored when it is older than this.
 PEER_REPORT_MAX_AGE_MS = 1000.0
-# Weight of one answer in the usual latency, and of one send in the mean number of attempts in flight.
+# Weight of one answer in the usual latency of its class, and of one attempt sent in the mean number of
+# attempts in flight per server.
 EWMA_WEIGHT = 0.05
-# Time for which the median slowness is cached, as a part of the aim.
+# Time for which the median slowness is cached, as a multiple of the aim of a class.  Also the interval, as a
+# multiple of the smallest aim, at which ``decide.py`` checks the queue while no attempt is in flight.
 MEDIAN_CACHE_AIMS = 0.05
 # Servers whose median slowness is taken; a random sample where there are more.
 MEDIAN_SAMPLE = 25
-# Part of the capacity of a cold server that is used.  The rest is a margin, because reports from other
-# gateways arrive late.
+# Part of the capacity of a cold server that is used.  The rest is a margin, because reports of attempts in
+# flight from other gateways arrive late.
 COLD_CAPACITY_SHARE = 0.5
 
 
@@ -42,18 +44,18 @@
         self.by_name: dict[str, Server] = {}
         # Version of the list of servers.
         self.version = 0
-        # Servers that may get new attempts.
+        # Servers that the list gives as up; only they get new attempts.
         self.up: list[Server] = []
         # Servers with attempts in flight, from this gateway or reported by a peer.
         self.with_work: dict[str, Server] = {}
         # Running sums of the weights of ``up``.
         self.cumulative_weights: list[float] = []
         self.reach = Reach(settings.number, settings.gateways)
-        # The subset of the servers that this gateway prefers, and the running sums of their weights.
+        # The subset of the available servers that this gateway prefers; the running sums of their weights.
         self.in_reach: list[Server] = []
         self.in_reach_cumulative_weights: list[float] = []
         self.by_short_id: dict[int, Server] = {}
-        # Median slowness by class and plan, with the time of its computation.
+        # Time of computation (ms) and median slowness, by the topics of a class and a plan.
         self.median_cache: dict[tuple[int, int], tuple[float, float]] = {}
         # Moving average of the attempts in flight per server, from all gateways.
         self.mean_in_flight = 1.0
@@ -100,7 +102,7 @@
 
     def _update_reach(self) -> None:
         """Recomputes the servers in reach from the list, the traffic and the zones that are avoided."""
-        avoided = {name for name, part in self.zones.reduced_fractions.items() if part <= 0.0}
+        avoided = {name for name, fraction in self.zones.reduced_fractions.items() if fraction <= 0.0}
         self.available = [s for s in self.up if s.entry.zone not in avoided] if avoided else self.up
         skipped = [s.entry.zone in avoided for s in self.up] if avoided else ()
         self.in_reach = [self.up[i] for i in self.reach.select([s.short_id for s in self.up], skipped)]
@@ -121,8 +123,9 @@
         self._update_reach()
 
     def clean(self, now: float, verdicts: dict[tuple[int, int], DecayingSlowness]) -> Iterable[int]:
-        """Removes servers that are gone, and expired judgements; returns the short ids of those removed.
+        """Removes expired judgements, and servers that are gone and have no attempt in flight from here.
 
+        Returns the short ids of the servers removed.
         ``verdicts`` are the fleet's current ones, by short id and topic.
         """
         gone = []
@@ -138,25 +141,28 @@
                 self.with_work.pop(server.entry.server, None)
                 gone.append(server.short_id)
             server.fleet_verdicts = {
-                topic: mark
+                topic: verdict
                 for topic in server.fleet_verdicts
-                if (mark := verdicts.get((server.short_id, topic)))
+                if (verdict := verdicts.get((server.short_id, topic)))
             }
         return gone
 
-    def set_fleet_verdict(self, short_id: int, topic: int, mark: DecayingSlowness | None) -> None:
+    def set_fleet_verdict(self, short_id: int, topic: int, verdict: DecayingSlowness | None) -> None:
         """Sets the fleet's verdict on a server for a topic, or removes it with None."""
         if short_id in self.by_short_id:
             verdicts = self.by_short_id[short_id].fleet_verdicts
-            if mark is not None:
-                verdicts[topic] = mark
+            if verdict is not None:
+                verdicts[topic] = verdict
             else:
                 verdicts.pop(topic, None)
 
     # Attempts in flight -------------------------------------------------------------------
 
     def peer_reported(self, now: float, peer: int, in_flight: tuple[tuple[int, int], ...] | None) -> None:
-        """A message from a peer arrived, with its attempts in flight by short id, or None without them."""
+        """Records the attempts in flight that a peer reported: pairs of a server's short id and a count.
+
+        None, for a message without them, leaves the previous ones in force as if they were reported now.
+        """
         self._add_peer_report(peer, -1)
         previous = self.peer_reports.pop(peer, (now, ()))[1]
         self.peer_reports[peer] = (now, previous if in_flight is None else in_flight)
@@ -184,7 +190,7 @@
                 self.work_changed(server)
 
     def work_changed(self, server: Server) -> None:
-        """The attempts in flight at a server have changed.
+        """Updates ``with_work`` after the attempts in flight at a server have changed.
 
         Servers with attempts in flight are kept apart, so that sums need not visit all servers.
         """
@@ -202,8 +208,8 @@
 
         Attempts that hang in an avoided zone must not count against the capacity of the others.
         """
-        parts = self.zones.reduced_fractions
-        return [s for s in self.busy() if parts.get(s.entry.zone, 1.0)] if parts else self.busy()
+        fractions = self.zones.reduced_fractions
+        return [s for s in self.busy() if fractions.get(s.entry.zone, 1.0)] if fractions else self.busy()
 
     def own_in_flight(self) -> tuple[tuple[int, int], ...]:
         """Attempts in flight from this gateway, as pairs of a server's short id and a count."""
@@ -214,7 +220,7 @@
         return len(self.by_short_id[short_id].attempts) if short_id in self.by_short_id else 0
 
     def attempt_sent(self, now: float, server: Server) -> None:
-        """An attempt was sent to the server."""
+        """Updates the averages and the servers in reach after an attempt was sent to the server."""
         server.last_sent_at, server.wait_factor = now, 1.0
         self.work_changed(server)
         busy = self.busy()
@@ -227,15 +233,19 @@
     # Capacity -----------------------------------------------------------------------------
 
     def warm_share(self, server: Server, now: float) -> float:
-        """The share of its capacity that a server is sure to have by now; 0 where its zone is avoided."""
+        """The share of its capacity that a server is sure to have by now, from 0 to 1.
+
+        It is 0 where the zone is avoided.  Where traffic is returning to the zone, it is the zone's fraction,
+        except for a server started since the zone was last left: that one warms up like any new server.
+        """
         started = server.entry.started
-        part = (
+        fraction = (
             self.zones.reduced_fractions.get(server.entry.zone, 1.0) if self.zones.reduced_fractions else 1.0
         )
-        if part < 1.0 and (
-            not part or started is None or started < self.zones.last_left_at(server.entry.zone)
+        if fraction < 1.0 and (
+            not fraction or started is None or started < self.zones.last_left_at(server.entry.zone)
         ):
-            return part
+            return fraction
         if started is None or now - started >= self.settings.warm_within:
             return 1.0
         return (
@@ -264,8 +274,9 @@
         )
 
     def median_slowness(self, now: float, topics: tuple[int, int], usual: float, aim: float) -> float:
-        """The median slowness of the servers in reach, or of a sample of them.
+        """The median slowness of the servers in reach, or of a sample of them, cached for a short time.
 
+        ``usual`` is the usual latency and ``aim`` the latency target of the class, both in ms.
         Servers are judged relative to it, so that whatever slows all of them ejects none.
         """
         at, median = self.median_cache.get(topics, (-math.inf, 1.0))
--- a/tests/test_hardening.py
+++ b/tests/test_hardening.py
@@ -100,7 +100,7 @@
 
 FAILURE_POINTS = [
     "larklb.quota.entitlements.Entitlements.new_bucket",
-    "larklb.decide.Gateway._owner_verdict",
+    "larklb.decide.Gateway._decide_ask",
     "larklb.decide.Gateway._choose_server",
     "larklb.decide.Gateway._send_attempt",
     "larklb.quota.bucket.TokenBucket.fill",
