--- a/benchmarks/load.py
+++ b/benchmarks/load.py
@@ -1,4 +1,4 @@
-"""What the measurements share: load on limiters over kept connections, CPU and memory of a process."""
+"""Shared by the benchmarks: a load on limiters over persistent connections, CPU and memory of a process."""
 
 from __future__ import annotations
 
@@ -13,37 +13,37 @@
 
 
 def machine() -> str:
-    """For the figures: what they were taken on."""
-    names = [line.partition(":")[2].strip() for line in Path("/proc/cpuinfo").read_text().splitlines()
-             if line.startswith("model name")]
-    kind = names[0] if names else platform.machine()
-    return f"{os.cpu_count()} x {kind}, Python {platform.python_version()}"
+    """Returns the number and model of the CPUs and the Python version, to be printed with the figures."""
+    models = [line.partition(":")[2].strip() for line in Path("/proc/cpuinfo").read_text().splitlines()
+              if line.startswith("model name")]
+    model = models[0] if models else platform.machine()
+    return f"{os.cpu_count()} x {model}, Python {platform.python_version()}"
 
 
 def cpu_seconds(pid: int) -> float:
-    """Time that all threads of a process have had, to the nanosecond (proc(5), schedstat)."""
+    """Returns the CPU time of all threads of a process in s, with ns resolution (proc(5), schedstat)."""
     return sum(int(path.read_text().split()[0])
                for path in Path(f"/proc/{pid}/task").glob("*/schedstat")) / 1e9
 
 
 def memory_mb(pid: int) -> float:
-    """Resident memory of a process."""
+    """Returns the resident memory of a process in MB."""
     return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * os.sysconf("SC_PAGE_SIZE") / 1e6
 
 
 class Submitter:
-    """One kept connection that sends a job as soon as the last one is answered."""
+    """One persistent connection that sends a job as soon as the last one is answered."""
 
     def __init__(self) -> None:
         self.statuses: Counter[int] = Counter()
-        self.broken = 0                  # jobs that ended without an answer
+        self.unanswered = 0              # jobs that ended without an answer
 
-    async def run(self, port: int, texts: asyncio.Queue[str] | list[str], stop: asyncio.Event) -> None:
-        """Until ``stop`` is set or a list of texts is at its end."""
-        source = iter(texts) if isinstance(texts, list) else None
+    async def run(self, port: int, requests: asyncio.Queue[str] | list[str], stop: asyncio.Event) -> None:
+        """Sends requests until ``stop`` is set or a list of requests is exhausted."""
+        iterator = iter(requests) if isinstance(requests, list) else None
         streams = None
         while not stop.is_set():
-            text = next(source, None) if source is not None else await texts.get()   # type: ignore[union-attr]
+            text = next(iterator, None) if iterator is not None else await requests.get()  # type: ignore[union-attr]
             if text is None:
                 break
             try:
@@ -56,7 +56,7 @@
                     streams[1].close()
                     streams = None
             except (OSError, asyncio.IncompleteReadError):
-                self.broken += 1
+                self.unanswered += 1
                 if streams is not None:
                     streams[1].close()
                     streams = None
@@ -66,7 +66,7 @@
                 streams[1].close()
 
 
-def orders(count: int, accounts: int, plan: str = "wide", spread: int = 1) -> list[str]:
-    """Jobs of so many customers in turn."""
+def job_requests(count: int, accounts: int, plan: str = "wide", spread: int = 1) -> list[str]:
+    """Returns the requests of ``count`` jobs, of ``accounts`` customers in turn."""
     return [job(service="place-order" if i % 2 else "stock-check", plan=plan, account=1 + i % accounts,
                 spread=spread) for i in range(count)]
