--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,14 +1,15 @@
-"""What control costs by size: slopes by limiters, servers, routes, tenants, services; with hollow processes.
+"""Cost of the control plane by size: slopes by limiters, servers, routes, tenants and services.
 
-A hollow process is the program's own limiter (its home, replica, follower, quotas, choice of server and all
-the wiring between them) on a network and a clock that are simulated: no socket, no disk, no sleeping, many in
-one process.  Every word is encoded and decoded as on the wire.  CPU is this process's time around each word
-and turn (``time.process_time``), with the garbage collector off; where a cost is for one word, the median of
-its kind.  What a word waits for a busy processor is not simulated, so that storms look better than they are.
-Memory is what ``tracemalloc`` sees.  The process keeps itself under ``MOST_BYTES``.
+The limiters are simulated: each is the program's own limiter (registry replica, configuration replica,
+subscriber, quotas, selection of servers, and the wiring between them) on a simulated network and clock,
+without sockets, disks or sleeping, with many limiters in one process.  Each message is encoded and decoded as
+on the wire.  CPU is the time of this process for each message and tick (``time.process_time``), with the
+garbage collector off; the cost of one message is the median of its kind.  The time that messages wait for a
+busy processor is not simulated, so that storms of messages look better than they are.  Memory is measured by
+``tracemalloc``.  The process limits itself to ``MAX_ADDRESS_SPACE_BYTES``.
 
-Each slope is a least-squares line through the points measured, which stand beside it; ``at target`` is that
-line at the operators' size two years from now.  Last line: ``slopes measured`` and how many.
+Each slope is a least-squares line through the measured points, which are printed next to it; ``at target`` is
+the value of the line at the operators' size in two years.  Last line: ``slopes measured`` and their number.
 
     python -m benchmarks.capacity [--quick]
 """
@@ -64,19 +65,25 @@
 from larklb.schema.document import digest, parse
 from larklb.wheel import Timer, Wheel
 
-PERIOD_MS = 1_500.0        # between a server's beats, as on the operators' sites
-WAY_MS = 1.0               # of a word between two limiters
+# Time between two heartbeats of a server, as at the operators' sites.
+HEARTBEAT_PERIOD_MS = 1_500.0
+# Delay of a message between two limiters.
+NETWORK_DELAY_MS = 1.0
 ZONES = ("a", "b", "c", "d", "e", "f")
-SETTLE_MS = 5_000.0        # in which the core founds its group and is a home
-JOIN_MS = 1_000.0          # over which the limiters of a fabric start
-REST_MS = 4_000.0          # measured at rest
-MOST_BYTES = 3_500_000_000  # of address space: a storm ends this process before it ends others
+# Time in which the core founds its group and starts to serve as home.
+CORE_START_MS = 5_000.0
+# Time over which the other limiters start.
+JOIN_MS = 1_000.0
+# Duration of the measurement at rest.
+REST_MS = 4_000.0
+# Limit of the address space, so that a storm ends this process rather than others.
+MAX_ADDRESS_SPACE_BYTES = 3_500_000_000
 
 # The operators' size in about two years.
-LIMITERS, SERVERS, SERVICES, ROUTES, TENANTS, CONTROL = 2_200, 34_000, 1_500, 30_000, 57_000, 17
+LIMITERS, SERVERS, SERVICES, ROUTES, TENANTS, CORE_MACHINES = 2_200, 34_000, 1_500, 30_000, 57_000, 17
 
-_ENCODE = msgspec.json.Encoder()
-_DECODE = msgspec.json.Decoder(dict[str, Any])
+_ENCODER = msgspec.json.Encoder()
+_DECODER = msgspec.json.Decoder(dict[str, Any])
 _MESSAGE = TypeVar("_MESSAGE", bound=Message)
 
 
@@ -85,48 +92,51 @@
 
 @define
 class Meter:
-    """What was spent and sent since the last reset, by role and kind of word."""
+    """CPU used and messages sent since the last reset, by role and by kind of message or work."""
 
-    spent: dict[tuple[str, str], list[float]] = field(factory=lambda: defaultdict(list))    # s each
-    words: Counter[tuple[str, str]] = field(factory=Counter)
+    cpu_samples: dict[tuple[str, str], list[float]] = field(factory=lambda: defaultdict(list))    # s each
+    messages: Counter[tuple[str, str]] = field(factory=Counter)
     bytes: Counter[tuple[str, str]] = field(factory=Counter)
 
     def reset(self) -> None:
-        """Forgets all of it."""
-        self.spent.clear()
-        self.words.clear()
+        """Resets all measurements."""
+        self.cpu_samples.clear()
+        self.messages.clear()
         self.bytes.clear()
 
-    def cpu(self, role: str, kind: str = "") -> float:
-        """Seconds of a role, of one kind of word or of all."""
-        return sum(sum(s) for (r, k), s in self.spent.items() if r == role and kind in ("", k))
+    def total_cpu(self, role: str, kind: str = "") -> float:
+        """Returns the CPU time of a role in s, for one kind or for all."""
+        return sum(sum(s) for (r, k), s in self.cpu_samples.items() if r == role and kind in ("", k))
 
-    def each(self, role: str, kind: str) -> float:
-        """Microseconds for one word of a kind; 0 where there was none."""
-        return statistics.median(self.spent[role, kind]) * 1e6 if self.spent.get((role, kind)) else 0.0
+    def median_us(self, role: str, kind: str) -> float:
+        """Returns the median CPU time for one message of a kind in us, 0 if there was none."""
+        return (statistics.median(self.cpu_samples[role, kind]) * 1e6 if self.cpu_samples.get((role, kind))
+                else 0.0)
 
 
-class HollowWheel(Wheel):
-    """The clock and timers of one limiter, by the fabric's time."""
+class SimulatedWheel(Wheel):
+    """The clock and the timers of one limiter, in simulated time; timers of an ended limiter do not fire."""
 
-    def __init__(self, fabric: Fabric, owner: Callable[[], bool]) -> None:
-        self.fabric, self.owner = fabric, owner
+    def __init__(self, fabric: Fabric, is_running: Callable[[], bool]) -> None:
+        self.fabric, self.is_running = fabric, is_running
 
     def now(self) -> float:
+        """Returns the simulated time in ms."""
         return self.fabric.now
 
-    def after(self, delay: float, act: Callable[..., object], *args: Any) -> Timer:
-        timer = Timer(act, args)
-        self.fabric.at(delay, self._fire, timer)
+    def after(self, delay: float, callback: Callable[..., object], *args: Any) -> Timer:
+        """Calls ``callback`` with ``args`` after ``delay`` ms."""
+        timer = Timer(callback, args)
+        self.fabric.schedule(delay, self._fire, timer)
         return timer
 
     def _fire(self, timer: Timer) -> None:
-        if timer.callback is not None and self.owner():
+        if timer.callback is not None and self.is_running():
             timer.callback(*timer.args)
 
 
-class HollowTransport(Transport):
-    """Words over the fabric."""
+class SimulatedTransport(Transport):
+    """Sends the messages of one limiter over the simulated network."""
 
     def __init__(self, fabric: Fabric, node: str, ip: str,
                  on_message: Callable[[AnyMessage], object]) -> None:
@@ -134,44 +144,46 @@
         self.fabric = fabric
 
     def send(self, ip: str, message: Message) -> None:
+        """Sends a message to a limiter."""
         message = messages.with_sender(message, self.node, self.ip)
         if ip == self.ip:
-            self.fabric.at(0.0, self.fabric.local, ip, message)
+            self.fabric.schedule(0.0, self.fabric.deliver_locally, ip, message)
             return
-        self.fabric.carry(ip, kind_of(message), messages.encode(message) + b"\n")
+        self.fabric.transmit(ip, message_kind(message), messages.encode(message) + b"\n")
 
 
-class HollowCore(Core):
-    """A core machine's part on a disk that is always done."""
+class SimulatedCore(Core):
+    """The core of a core machine whose disk completes each save immediately."""
 
     fabric: Fabric
 
-    def done_at_once(self, ready: Ready) -> None:
-        """A save on it."""
-        self.fabric.saved += sum(map(len, (ready.save or {}).values()))
+    def complete_save(self, ready: Ready) -> None:
+        """Counts the bytes of a save and reports its success."""
+        self.fabric.saved_bytes += sum(map(len, (ready.save or {}).values()))
         self.handle_save_result(self.fabric.now, ready, True)
 
 
-class Hollow(Limiter):
-    """One limiter without sockets; ``disk`` makes it a core machine."""
-
-    def __init__(self, fabric: Fabric, node: str, zone: str, disk: str, life: int) -> None:
-        s = Settings(path="", node=node, ip=node, zone=zone, region="r", bootstrap=True, data_dir="",
-                     counted=False, memory_mb=300, descriptors=3000, cores=1.0, edge=None, readiness=None,
-                     control=None,
-                     ports=(1, 2), seeds=(), zones=dict.fromkeys(ZONES, "r"),
-                     heartbeat_period_ms=PERIOD_MS, tolerance=1)
-        super().__init__(s)
-        me = Member(node, node, zone, life, disk)
-        self.life = life
-        self.wheel = HollowWheel(fabric, lambda: fabric.of.get(node) is self)
+class SimulatedLimiter(Limiter):
+    """One limiter without sockets; with a ``disk`` it is a core machine."""
+
+    def __init__(self, fabric: Fabric, node: str, zone: str, disk: str, incarnation: int) -> None:
+        settings = Settings(
+            path="", node=node, ip=node, zone=zone, region="r", bootstrap=True, data_dir="",
+            counted=False, memory_mb=300, descriptors=3000, cores=1.0, edge=None, readiness=None,
+            control=None,
+            ports=(1, 2), seeds=(), zones=dict.fromkeys(ZONES, "r"),
+            heartbeat_period_ms=HEARTBEAT_PERIOD_MS, tolerance=1)
+        super().__init__(settings)
+        local_member = Member(node, node, zone, incarnation, disk)
+        self.incarnation = incarnation
+        self.wheel = SimulatedWheel(fabric, lambda: fabric.limiters.get(node) is self)
         self.random = random.Random(node)
         self.started_at = fabric.now
-        self.transport = HollowTransport(fabric, node, node, self.handle_message)
+        self.transport = SimulatedTransport(fabric, node, node, self.handle_message)
         self.plane = ControlPlane(
-            s,
-            me,
-            f"{node} {life}",
+            settings,
+            local_member,
+            f"{node} {incarnation}",
             fabric.now,
             send=self.transport.send,
             after=self.wheel.after,
@@ -185,190 +197,200 @@
         self.quota_exchange = QuotaExchange(quotas, self.wheel, self.transport.send, self.count)
         self.zone_exchange = ZoneExchange(self.choice, self.transport.send)
         if disk:
-            core = HollowCore(
-                s, me, None, fabric.now, 1, self.transport.send, lambda ready: core.done_at_once(ready)
+            core = SimulatedCore(
+                settings, local_member, None, fabric.now, 1, self.transport.send,
+                lambda ready: core.complete_save(ready)
             )
             core.fabric = fabric
             self.plane.core = core
 
-    def turn(self) -> None:
-        """The first turn; the others follow by the wheel."""
+    def start_ticking(self) -> None:
+        """Runs the first tick, which schedules the next one."""
         self._tick()
 
 
-def decoded(line: bytes, kind: type[_MESSAGE]) -> _MESSAGE:
-    """A message that is known to be of a kind."""
+def decode_as(line: bytes, message_type: type[_MESSAGE]) -> _MESSAGE:
+    """Decodes a message of a known type."""
     message = messages.decode(line)
-    assert isinstance(message, kind)
+    assert isinstance(message, message_type)
     return message
 
 
-_OF_HOME = ("beat", "has", "rows", "known", "sync", "synced", "range", "fetch", "peek")
+# Kinds of messages that a home handles.
+_HOME_KINDS = ("beat", "has", "rows", "known", "sync", "synced", "range", "fetch", "peek")
 
 
-def kind_of(message: Message) -> str:
-    """The kind of a message; a delta that brings rows is another than one that says nothing is new."""
+def message_kind(message: Message) -> str:
+    """Returns the kind of a message; deltas with rows are counted apart from empty ones."""
     if isinstance(message, Delta) and message.rows:
         return "delta+rows"
     return str(message.__struct_config__.tag)
 
 
-def role_of(kind: str) -> str:
-    """Whose work a word is at its receiver."""
-    return "home" if kind in _OF_HOME else "holder" if kind == "raft" else "limiter"
+def receiver_role(kind: str) -> str:
+    """Returns the role of the receiver of a kind of message."""
+    return "home" if kind in _HOME_KINDS else "holder" if kind == "raft" else "limiter"
 
 
 class Fabric:
-    """Hollow limiters, ``cores`` of them core machines, and servers that beat."""
+    """Simulated limiters, of which the first ``cores`` are core machines, and servers with heartbeats."""
 
     def __init__(self, limiters: int, servers: int, cores: int = 3, zones: int = 3) -> None:
         self.now = 0.0
         self.events: list[tuple[float, int, Callable[..., object], tuple[Any, ...]]] = []
-        self.order = itertools.count()
+        self.event_numbers = itertools.count()
         self.meter = Meter()
-        self.saved = 0                     # bytes that went to disks
-        self.of: dict[str, Hollow] = {}
+        self.saved_bytes = 0               # written to the disks
+        self.limiters: dict[str, SimulatedLimiter] = {}
         self.zones = ZONES[:zones]
         self.seeds = [f"n{i:05}" for i in range(cores)]
         self.cores = [self.start(node, f"d{i}") for i, node in enumerate(self.seeds)]
-        self.run(SETTLE_MS)
-        self.servers: dict[str, tuple[Server, Hollow]] = {}
-        self._serve(servers)
-        self.rest = [f"n{i:05}" for i in range(cores, limiters)]
-        for node in self.rest:
-            self.at(JOIN_MS * ring_digest(node) / 2.0 ** 64, self.start, node)
+        self.run(CORE_START_MS)
+        self.servers: dict[str, tuple[Server, SimulatedLimiter]] = {}
+        self._start_servers(servers)
+        self.other_nodes = [f"n{i:05}" for i in range(cores, limiters)]
+        for node in self.other_nodes:
+            self.schedule(JOIN_MS * ring_digest(node) / 2.0 ** 64, self.start, node)
         self.run(JOIN_MS)
         self.settle(30_000.0)
-        self.run(PERIOD_MS)
+        self.run(HEARTBEAT_PERIOD_MS)
 
-    def at(self, delay: float, act: Callable[..., object], *args: Any) -> None:
-        """Does something ``delay`` ms from now."""
-        heapq.heappush(self.events, (self.now + delay, next(self.order), act, args))
+    def schedule(self, delay: float, action: Callable[..., object], *args: Any) -> None:
+        """Calls ``action`` with ``args`` after ``delay`` ms."""
+        heapq.heappush(self.events, (self.now + delay, next(self.event_numbers), action, args))
 
-    def run(self, ms: float) -> None:
-        """Lets time pass."""
-        until = self.now + ms
+    def run(self, duration: float) -> None:
+        """Advances the simulation by ``duration`` ms."""
+        until = self.now + duration
         while self.events and self.events[0][0] <= until:
-            self.now, _, act, args = heapq.heappop(self.events)
-            act(*args)
+            self.now, _, action, args = heapq.heappop(self.events)
+            action(*args)
         self.now = until
 
-    def settle(self, most: float) -> float:
-        """Until every limiter has its home's whole table, at most so long; the ms it took."""
-        began = self.now
-        while self.now - began < most and not all(n.subscriber.complete for n in self.of.values()):
+    def settle(self, max_duration: float) -> float:
+        """Runs until every limiter has the whole table of its home; returns the time that took in ms.
+
+        Stops after ``max_duration`` ms.
+        """
+        started = self.now
+        while self.now - started < max_duration and not all(
+                n.subscriber.complete for n in self.limiters.values()):
             self.run(10.0)
-        return self.now - began
+        return self.now - started
 
-    def start(self, node: str, disk: str = "") -> Hollow:
-        """A limiter starts, or starts anew."""
+    def start(self, node: str, disk: str = "") -> SimulatedLimiter:
+        """Starts a limiter, or restarts it as a new incarnation."""
         zone = self.zones[int(node[1:]) % len(self.zones)]
-        life = self.of[node].life + 1 if node in self.of else 1
-        hollow = self.of[node] = Hollow(self, node, zone, disk, life)
-        spread = (ring_digest(node) >> 8) % 100        # not all turns at the same moment
-        self.at(float(spread), self.turn, hollow)
-        return hollow
-
-    def turn(self, hollow: Hollow) -> None:
-        """The first turn of a limiter; the wheel's later ones come through ``metered`` as well."""
-        real = hollow._tick
-
-        def metered() -> None:
-            began = time.process_time()
-            real()
-            role = "core turn" if hollow.core is not None else "limiter"
-            self.meter.spent[role, "turn"].append(time.process_time() - began)
-
-        hollow._tick = metered                         # type: ignore[method-assign]
-        hollow.turn()
-
-    def carry(self, ip: str, kind: str, line: bytes) -> None:
-        """A word goes to another limiter."""
-        self.meter.words[role_of(kind), kind] += 1
-        self.meter.bytes[role_of(kind), kind] += len(line)
-        self.at(WAY_MS, self.hear, ip, kind, line)
-
-    def hear(self, ip: str, kind: str, line: bytes) -> None:
-        """... and is heard there, if it is there."""
-        if (hollow := self.of.get(ip)) is not None:
-            began = time.process_time()
-            hollow.handle_message(messages.decode(line))
-            self.meter.spent[role_of(kind), kind].append(time.process_time() - began)
-
-    def local(self, ip: str, message: AnyMessage) -> None:
-        """A message of a limiter to itself."""
-        if (hollow := self.of.get(ip)) is not None:
-            hollow.handle_message(message)
+        incarnation = self.limiters[node].incarnation + 1 if node in self.limiters else 1
+        limiter = self.limiters[node] = SimulatedLimiter(self, node, zone, disk, incarnation)
+        offset = (ring_digest(node) >> 8) % 100        # so that the limiters do not all tick simultaneously
+        self.schedule(float(offset), self.start_ticking, limiter)
+        return limiter
+
+    def start_ticking(self, limiter: SimulatedLimiter) -> None:
+        """Runs the first tick of a limiter, and measures the CPU of all its ticks."""
+        original_tick = limiter._tick
+
+        def metered_tick() -> None:
+            started = time.process_time()
+            original_tick()
+            role = "core turn" if limiter.core is not None else "limiter"
+            self.meter.cpu_samples[role, "turn"].append(time.process_time() - started)
+
+        limiter._tick = metered_tick                   # type: ignore[method-assign]
+        limiter.start_ticking()
+
+    def transmit(self, ip: str, kind: str, line: bytes) -> None:
+        """Counts an encoded message to another limiter and schedules its delivery."""
+        self.meter.messages[receiver_role(kind), kind] += 1
+        self.meter.bytes[receiver_role(kind), kind] += len(line)
+        self.schedule(NETWORK_DELAY_MS, self.deliver, ip, kind, line)
+
+    def deliver(self, ip: str, kind: str, line: bytes) -> None:
+        """Has a limiter handle an encoded message and measures its CPU; ignored if it is not running."""
+        if (limiter := self.limiters.get(ip)) is not None:
+            started = time.process_time()
+            limiter.handle_message(messages.decode(line))
+            self.meter.cpu_samples[receiver_role(kind), kind].append(time.process_time() - started)
+
+    def deliver_locally(self, ip: str, message: AnyMessage) -> None:
+        """Has a limiter handle a message to itself, which is neither encoded nor measured."""
+        if (limiter := self.limiters.get(ip)) is not None:
+            limiter.handle_message(message)
 
     # Servers ------------------------------------------------------------------------------
 
-    def _serve(self, count: int) -> None:
-        """All servers are known to all homes, and beat from now on."""
-        for server in servers_of(count, self.zones):
-            near = [c for c in self.cores if c.settings.zone == server.zone] or self.cores
-            self.servers[server.id] = (server, near[ring_digest(server.id) % len(near)])
+    def _start_servers(self, count: int) -> None:
+        """Adds servers that all homes know, and that send heartbeats from now on."""
+        for server in make_servers(count, self.zones):
+            nearby = [c for c in self.cores if c.settings.zone == server.zone] or self.cores
+            self.servers[server.id] = (server, nearby[ring_digest(server.id) % len(nearby)])
         rows = [(name, server.to_row()) for name, (server, _) in self.servers.items()]
         line = messages.encode(messages.with_sender(RowsUpdate(members=[], servers=rows), "", ""))
-        for core in self.cores:
-            assert core.core is not None
-            core.core.home.handle_rows_update(self.now, decoded(line, RowsUpdate))
+        for limiter in self.cores:
+            assert limiter.core is not None
+            limiter.core.home.handle_rows_update(self.now, decode_as(line, RowsUpdate))
         for name in self.servers:
-            self.at(PERIOD_MS * ring_digest(name) / 2.0 ** 64, self.beat, name)
+            self.schedule(HEARTBEAT_PERIOD_MS * ring_digest(name) / 2.0 ** 64, self.send_heartbeat, name)
+
+    def send_heartbeat(self, name: str, repeat: bool = True) -> None:
+        """Sends a server's heartbeat and measures its handling, from the body of the request on.
 
-    def beat(self, name: str, again: bool = True) -> None:
-        """A server's call, as the control address takes it behind HTTP."""
-        server, hollow = self.servers[name]
+        With ``repeat`` it schedules the next one.
+        """
+        server, limiter = self.servers[name]
         server = evolve(server, sequence=server.sequence + 1)
-        self.servers[name] = (server, hollow)
-        body = heartbeat_of(server)
-        began = time.process_time()
-        told = calls.parse_heartbeat(body)
-        assert hollow.core is not None
-        home = hollow.core.home
-        home.server_heartbeat(self.now, evolve(server, target=told.target), bool)
-        home.push(self.now, hollow.core.offer)
-        hollow.core.flush()
-        self.meter.spent["home", "heartbeat"].append(time.process_time() - began)
-        if again:
-            self.at(PERIOD_MS, self.beat, name)
+        self.servers[name] = (server, limiter)
+        body = heartbeat_body(server)
+        started = time.process_time()
+        parsed = calls.parse_heartbeat(body)
+        assert limiter.core is not None
+        home = limiter.core.home
+        home.server_heartbeat(self.now, evolve(server, target=parsed.target), bool)
+        home.push(self.now, limiter.core.offer)
+        limiter.core.flush()
+        self.meter.cpu_samples["home", "heartbeat"].append(time.process_time() - started)
+        if repeat:
+            self.schedule(HEARTBEAT_PERIOD_MS, self.send_heartbeat, name)
 
     def drain(self, name: str) -> None:
-        """A server says that it leaves."""
-        server, hollow = self.servers[name]
-        self.servers[name] = (evolve(server, state=DRAINING), hollow)
-        self.beat(name, again=False)
+        """Sends a heartbeat by which a server announces that it drains."""
+        server, limiter = self.servers[name]
+        self.servers[name] = (evolve(server, state=DRAINING), limiter)
+        self.send_heartbeat(name, repeat=False)
 
     def change(self, kind: str, base: int, document: dict[str, Any]) -> list[Answer]:
-        """An operator's call at the leader; the answers fill the list when they come."""
+        """Starts an operator's call at the leader; returns a list to which the answers will be appended."""
         answers: list[Answer] = []
-        for hollow in self.cores:
-            if hollow.core is not None and hollow.core.replica.is_leader:
-                began = time.process_time()
-                hollow.core.call(self.now, kind, base, json.dumps(document), answers.append)
-                self.meter.spent["holder", "call"].append(time.process_time() - began)
+        for limiter in self.cores:
+            if limiter.core is not None and limiter.core.replica.is_leader:
+                started = time.process_time()
+                limiter.core.call(self.now, kind, base, json.dumps(document), answers.append)
+                self.meter.cpu_samples["holder", "call"].append(time.process_time() - started)
         return answers
 
 
-# --- made-up loads of any size
+# --- generated data of any size
 
 
-def servers_of(count: int, zones: Iterable[str]) -> list[Server]:
-    """So many servers, of services of 23 each, as at the target."""
-    places = tuple(zones)
+def make_servers(count: int, zones: Iterable[str]) -> list[Server]:
+    """Returns ``count`` servers, with 23 in each service, as at the target size."""
+    zone_names = tuple(zones)
     return [Server(f"i-{ring_digest(f's{i}'):016x}"[:12], f"svc{i // 23:04}x", f"10.{i >> 16}.{i >> 8 & 255}."
-                   f"{i & 255}:8080", places[i % len(places)], 4, "v1", sequence=1) for i in range(count)]
+                   f"{i & 255}:8080", zone_names[i % len(zone_names)], 4, "v1", sequence=1)
+            for i in range(count)]
 
 
-def heartbeat_of(server: Server) -> bytes:
-    """A server's call as it sends it."""
+def heartbeat_body(server: Server) -> bytes:
+    """Returns the body of a server's heartbeat as the server sends it."""
     return json.dumps({"address": server.address, "info": {
         "target": server.target, "version": server.version, "zone": server.zone, "capacity": server.slots},
         "observed": {"state": "draining" if server.state == DRAINING else "steady",
                      "sequence": server.sequence, "warmupLeftMs": 0}}).encode()
 
 
-def document_of(routes: int, tenants: int, services: int, version: int = 1) -> dict[str, Any]:
-    """A configuration of a size: 12 routes to a host, two keys to a tenant."""
+def make_document(routes: int, tenants: int, services: int, version: int = 1) -> dict[str, Any]:
+    """Returns a configuration of a size, with 12 routes per host and two keys per tenant."""
     paths = [{"name": f"r-{i:07x}",
               "prefix": f"/p{ring_digest(f'r{i}') % 10 ** 6:06}-{i}/",
               "routeType": "safe" if i % 2 else "unsafe", "timeoutMs": 2500, "setpointMs": 400,
@@ -388,7 +410,10 @@
 
 @define
 class Slope:
-    """A line through points: what was measured, by what, and where the target lies."""
+    """A line through measured points.
+
+    Points are pairs of a size, in units of ``per``, and a value in ``unit``; ``target`` is the target size.
+    """
 
     name: str
     unit: str
@@ -397,238 +422,252 @@
     target: float
 
     def line(self) -> tuple[float, float]:
-        """Base and slope, by least squares."""
+        """Returns the intercept and the slope of the least-squares line."""
         xs, ys = [p[0] for p in self.points], [p[1] for p in self.points]
-        fitted = statistics.linear_regression(xs, ys)
-        return fitted.intercept, fitted.slope
+        fit = statistics.linear_regression(xs, ys)
+        return fit.intercept, fit.slope
 
     def at(self, x: float) -> float:
-        """The line at a size."""
+        """Returns the value of the line at a size."""
         base, slope = self.line()
         return base + slope * x
 
     def row(self) -> str:
-        """As it is printed."""
+        """Returns the printed row of the slope."""
         base, slope = self.line()
         points = "  ".join(f"{x:g}: {y:.4g}" for x, y in self.points)
         return (f"{self.name:<58} {self.unit:<9} {base:>10.4g} {slope:>+11.4g} a {self.per:<13} "
                 f"{self.at(self.target):>10.4g} at {self.target:<6g} | {points}")
 
 
-def spent(act: Callable[[], object], least: float = 0.05, most: int = 2000) -> float:
-    """CPU seconds of one call: the median of as many as fill ``least`` seconds."""
-    found: list[float] = []
-    while sum(found) < least and len(found) < most:
-        began = time.process_time()
-        act()
-        found.append(time.process_time() - began)
-    return statistics.median(found)
+def median_cpu(action: Callable[[], object], min_total: float = 0.05, max_calls: int = 2000) -> float:
+    """Returns the median CPU time of one call in s.
+
+    Calls ``action`` until the calls have taken ``min_total`` s or there were ``max_calls``.
+    """
+    samples: list[float] = []
+    while sum(samples) < min_total and len(samples) < max_calls:
+        started = time.process_time()
+        action()
+        samples.append(time.process_time() - started)
+    return statistics.median(samples)
 
 
-def held(make: Callable[[], object]) -> float:
-    """Bytes that what is made keeps."""
+def retained_bytes(make: Callable[[], object]) -> float:
+    """Returns the bytes of memory that the result of ``make`` occupies."""
     gc.collect()
     tracemalloc.start()
-    kept = make()
+    result = make()
     size = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    del kept
+    del result
     return float(size)
 
 
 @define
-class Found:
+class Slopes:
     """All slopes by name."""
 
-    of: dict[str, Slope] = field(factory=dict)
+    by_name: dict[str, Slope] = field(factory=dict)
 
     def add(self, name: str, unit: str, per: str, x: float, y: float, target: float) -> None:
-        """One point of a slope."""
-        if name not in self.of:
-            self.of[name] = Slope(name, unit, per, [], target)
-        self.of[name].points.append((x, y))
+        """Adds a point to a slope."""
+        if name not in self.by_name:
+            self.by_name[name] = Slope(name, unit, per, [], target)
+        self.by_name[name].points.append((x, y))
 
 
-# --- the measurements, one by one
+# --- the measurements
 
 
-def at_rest(found: Found, limiters: int, servers: int, cores: int, by: str) -> Fabric:
-    """A fabric at rest, with nothing changing; ``by`` is what this run varies."""
+def measure_rest(slopes: Slopes, limiters: int, servers: int, cores: int, by: str) -> Fabric:
+    """Measures a fabric in which nothing changes, and returns it.
+
+    ``by`` is the size that varies between runs: ``limiters``, ``servers`` or ``cores``.
+    """
     gc.collect()
     fabric = Fabric(limiters, servers, cores)
     meter, seconds = fabric.meter, REST_MS / 1000.0
     meter.reset()
     fabric.run(REST_MS)
     x, per, target = {"limiters": (limiters, "limiter", LIMITERS), "servers": (servers, "server", SERVERS),
-                      "cores": (cores, "core machine", CONTROL)}[by]
-    plain = limiters - cores
-    silent = sum(s.silent for s in fabric.of[fabric.seeds[0]].subscriber.servers.values())
-    words, sent = sum(meter.words.values()) / seconds, sum(meter.bytes.values()) / seconds / 1e3
-    print(f"at rest, {limiters} limiters, {servers} servers, {cores} core machines: {words:.0f} words a s, "
-          f"{sent:.0f} KB/s, {silent} servers taken for silent; CPU us each: "
-          + ", ".join(f"{r} {k} {meter.each(r, k):.0f}" for r, k in sorted(meter.spent)), flush=True)
-    tag = f"rest by {by}: "
-    own = sum(meter.cpu("limiter", kind) for kind in ("turn", "delta", "offer"))
-    own_bytes = sum(meter.bytes["home", k] for k in ("beat", "peek")) + sum(
+                      "cores": (cores, "core machine", CORE_MACHINES)}[by]
+    subscribers = limiters - cores
+    silent = sum(s.silent for s in fabric.limiters[fabric.seeds[0]].subscriber.servers.values())
+    message_rate, kb_rate = sum(meter.messages.values()) / seconds, sum(meter.bytes.values()) / seconds / 1e3
+    print(f"at rest, {limiters} limiters, {servers} servers, {cores} core machines: "
+          f"{message_rate:.0f} words a s, {kb_rate:.0f} KB/s, {silent} servers taken for silent; "
+          "CPU us each: "
+          + ", ".join(f"{r} {k} {meter.median_us(r, k):.0f}" for r, k in sorted(meter.cpu_samples)),
+          flush=True)
+    prefix = f"rest by {by}: "
+    limiter_cpu = sum(meter.total_cpu("limiter", kind) for kind in ("turn", "delta", "offer"))
+    limiter_bytes = sum(meter.bytes["home", k] for k in ("beat", "peek")) + sum(
         meter.bytes["limiter", k] for k in ("delta", "offer"))
 
     def add(name: str, unit: str, y: float, per: str = per, x: float = x, target: float = target) -> None:
-        found.add(tag + name, unit, per, x, y, target)
+        slopes.add(prefix + name, unit, per, x, y, target)
 
-    if plain:
-        add("CPU of a limiter", "ms/s", own / plain / seconds * 1e3)
-        add("bytes of a limiter, in and out", "B/s", own_bytes / plain / seconds)
-    add("CPU of a home's turns", "ms/s", meter.cpu("core turn") / cores / seconds * 1e3)
+    if subscribers:
+        add("CPU of a limiter", "ms/s", limiter_cpu / subscribers / seconds * 1e3)
+        add("bytes of a limiter, in and out", "B/s", limiter_bytes / subscribers / seconds)
+    add("CPU of a home's turns", "ms/s", meter.total_cpu("core turn") / cores / seconds * 1e3)
     if by == "limiters":
-        each = ("subscriber", limiters / cores, LIMITERS / CONTROL)
-        add("CPU of a home for a limiter's beat", "us", meter.each("home", "beat"), *each)
-        add("CPU of a home for a server's beat", "us", meter.each("home", "heartbeat"), *each)
+        per_core = ("subscriber", limiters / cores, LIMITERS / CORE_MACHINES)
+        add("CPU of a home for a limiter's beat", "us", meter.median_us("home", "beat"), *per_core)
+        add("CPU of a home for a server's beat", "us", meter.median_us("home", "heartbeat"), *per_core)
     elif by == "servers":
-        each = ("server there", servers / cores, SERVERS / CONTROL)
-        add("CPU of a home for a sync", "us", meter.each("home", "sync"), *each)
-        add("bytes of a sync", "B", meter.bytes["home", "sync"] / max(1, meter.words["home", "sync"]), *each)
+        per_core = ("server there", servers / cores, SERVERS / CORE_MACHINES)
+        add("CPU of a home for a sync", "us", meter.median_us("home", "sync"), *per_core)
+        add("bytes of a sync", "B", meter.bytes["home", "sync"] / max(1, meter.messages["home", "sync"]),
+            *per_core)
     else:
-        add("syncs that a core machine sends", "words/s", meter.words["home", "sync"] / cores / seconds)
+        add("syncs that a core machine sends", "words/s", meter.messages["home", "sync"] / cores / seconds)
     return fabric
 
 
-def events(found: Found, fabric: Fabric, by: str, x: int, target: int) -> None:
-    """A drain, a join, one change of configuration and a herd of restarts, on a fabric at rest."""
+def measure_events(slopes: Slopes, fabric: Fabric, by: str, x: int, target: int) -> None:
+    """Measures a drain, a join, a change of configuration and simultaneous restarts on a fabric at rest.
+
+    ``x`` is the size of the fabric in units of ``by``, and ``target`` the target size.
+    """
     meter = fabric.meter
 
     def add(name: str, unit: str, y: float, for_home: bool = False) -> None:
-        own = for_home and by == "limiters"
-        found.add(f"by {by}: {name}", unit, "subscriber" if own else by[:-1], x / 3.0 if own else x, y,
-                  target / CONTROL if own else target)
+        by_subscriber = for_home and by == "limiters"
+        slopes.add(f"by {by}: {name}", unit, "subscriber" if by_subscriber else by[:-1],
+                   x / 3.0 if by_subscriber else x, y, target / CORE_MACHINES if by_subscriber else target)
 
-    name = next(iter(fabric.servers))
+    server = next(iter(fabric.servers))
     meter.reset()
-    fabric.drain(name)
+    fabric.drain(server)
     fabric.run(400.0)
-    told = sum(n.subscriber.servers[name].state == DRAINING for n in fabric.of.values())
-    rows = meter.words["limiter", "delta+rows"]
-    words = [("limiter", "delta+rows"), ("home", "rows"), ("home", "known"), ("home", "has")]
-    add("drain: CPU of a limiter for the row", "us", meter.each("limiter", "delta+rows"))
-    add("drain: CPU of a home to merge and push the row", "us", meter.each("home", "rows"), True)
-    add("drain: CPU of a home for a 'has'", "us", meter.each("home", "has"), True)
-    add("drain: words for it", "words", sum(meter.words[w] for w in words))
-    add("drain: bytes for it", "B", sum(meter.bytes[w] for w in words))
-    print(f"  a drain is known by {told} of {len(fabric.of)} limiters after 0.4 s, {rows} deltas with rows")
+    informed = sum(n.subscriber.servers[server].state == DRAINING for n in fabric.limiters.values())
+    drain_deltas = meter.messages["limiter", "delta+rows"]
+    kinds = [("limiter", "delta+rows"), ("home", "rows"), ("home", "known"), ("home", "has")]
+    add("drain: CPU of a limiter for the row", "us", meter.median_us("limiter", "delta+rows"))
+    add("drain: CPU of a home to merge and push the row", "us", meter.median_us("home", "rows"), True)
+    add("drain: CPU of a home for a 'has'", "us", meter.median_us("home", "has"), True)
+    add("drain: words for it", "words", sum(meter.messages[k] for k in kinds))
+    add("drain: bytes for it", "B", sum(meter.bytes[k] for k in kinds))
+    print(f"  a drain is known by {informed} of {len(fabric.limiters)} limiters after 0.4 s, "
+          f"{drain_deltas} deltas with rows")
     if by == "limiters":
-        some = next(iter(fabric.of.values()))
-        found.add("quota: CPU to find the last owner's address", "us", "limiter", x,
-                  spent(lambda: some.quota_exchange._send(-2, {})) * 1e6, target)
+        limiter = next(iter(fabric.limiters.values()))
+        slopes.add("quota: CPU to find the last owner's address", "us", "limiter", x,
+                   median_cpu(lambda: limiter.quota_exchange._send(-2, {})) * 1e6, target)
 
-    node = f"n{90_000 + len(fabric.of):05}"
+    node = f"n{90_000 + len(fabric.limiters):05}"
     meter.reset()
-    fabric.rest.append(node)
+    fabric.other_nodes.append(node)
     fabric.start(node)
     fabric.run(2_000.0)
-    add("join: deltas with rows", "words", meter.words["limiter", "delta+rows"])
+    add("join: deltas with rows", "words", meter.messages["limiter", "delta+rows"])
     add("join: bytes of them", "B", meter.bytes["limiter", "delta+rows"])
-    add("join: CPU of all limiters", "ms", meter.cpu("limiter", "delta+rows") * 1e3)
+    add("join: CPU of all limiters", "ms", meter.total_cpu("limiter", "delta+rows") * 1e3)
 
-    version, took = 2, 0.0
+    version, elapsed = 2, 0.0
     meter.reset()
-    answers = fabric.change("replace", 0, document_of(24, 8, 2, version))
-    while took < 5_000.0 and not all(n.version == version for n in fabric.of.values()):
+    answers = fabric.change("replace", 0, make_document(24, 8, 2, version))
+    while elapsed < 5_000.0 and not all(n.version == version for n in fabric.limiters.values()):
         fabric.run(10.0)
-        took += 10.0
+        elapsed += 10.0
     print(f"  a configuration of 24 routes: answered {[a.status for a in answers]}, in force everywhere "
-          f"after {took:.0f} ms, sent whole {meter.words['limiter', 'config']} times", flush=True)
+          f"after {elapsed:.0f} ms, sent whole {meter.messages['limiter', 'config']} times", flush=True)
     add("configuration of 24 routes: bytes to limiters", "B", meter.bytes["limiter", "config"])
     meter.reset()
-    for again in fabric.rest:
-        fabric.start(again)
-    took = fabric.settle(60_000.0)
-    count, homes = len(fabric.rest), meter.cpu("home") + meter.cpu("core turn")
-    deltas, size = meter.words["limiter", "delta+rows"], meter.bytes["limiter", "delta+rows"]
-    needed = count * -(-(len(fabric.servers) + len(fabric.of)) // 300)
-    print(f"  a herd of {count} restarts is whole after {took:.0f} ms: {deltas} deltas with rows, {needed} "
-          f"would hold the tables ({deltas / needed:.1f} times), {size / 1e6:.1f} MB; CPU of homes "
-          f"{homes:.2f} s, of limiters {meter.cpu('limiter'):.2f} s", flush=True)
+    for restarted in fabric.other_nodes:
+        fabric.start(restarted)
+    elapsed = fabric.settle(60_000.0)
+    count, home_cpu = len(fabric.other_nodes), meter.total_cpu("home") + meter.total_cpu("core turn")
+    deltas, size = meter.messages["limiter", "delta+rows"], meter.bytes["limiter", "delta+rows"]
+    needed = count * -(-(len(fabric.servers) + len(fabric.limiters)) // 300)
+    print(f"  a herd of {count} restarts is whole after {elapsed:.0f} ms: {deltas} deltas with rows, "
+          f"{needed} would hold the tables ({deltas / needed:.1f} times), {size / 1e6:.1f} MB; CPU of homes "
+          f"{home_cpu:.2f} s, of limiters {meter.total_cpu('limiter'):.2f} s", flush=True)
     add("herd: deltas with rows, for a limiter", "words", deltas / count)
     add("herd: bytes of them, for a limiter", "KB", size / count / 1e3)
-    add("herd: CPU of the homes, for a limiter", "ms", homes / count * 1e3)
+    add("herd: CPU of the homes, for a limiter", "ms", home_cpu / count * 1e3)
 
 
-def tables(found: Found, servers: int) -> None:
-    """One home and one follower with so many servers, by themselves."""
-    told = servers_of(servers, ZONES)
-    rows = [(s.id, s.to_row()) for s in told]
+def measure_tables(slopes: Slopes, count: int) -> None:
+    """Measures one home and one subscriber with ``count`` servers, without a fabric."""
+    servers = make_servers(count, ZONES)
+    rows = [(s.id, s.to_row()) for s in servers]
     line = messages.encode(messages.with_sender(RowsUpdate(members=[], servers=rows), "", ""))
-    me = Member("n0", "n0", "a", 1, "d0", ring_number=0, grant=1)
+    core_member = Member("n0", "n0", "a", 1, "d0", ring_number=0, grant=1)
 
-    def home_of() -> RegistryReplica:
-        home = RegistryReplica(me, PERIOD_MS, 0.0)
+    def make_home() -> RegistryReplica:
+        home = RegistryReplica(core_member, HEARTBEAT_PERIOD_MS, 0.0)
         home.ready = True
-        home.handle_rows_update(0.0, decoded(line, RowsUpdate))
+        home.handle_rows_update(0.0, decode_as(line, RowsUpdate))
         return home
 
-    def tables_of() -> tuple[Subscriber, list[bytes]]:
-        source, lines = home_of(), list[bytes]()
-        follower = Subscriber(evolve(me, node="n1", ip="n1", disk=""), ["n0"])
-        follower.add_core(0.0, me)
-        follower.tick(0.0)
-        for _ in range(servers // 300 + 3):
-            beat = MemberHeartbeat(sender="n1", address="n1", member=follower.local_member.to_row(),
-                                   have=follower.revision, of=("n0", 1))
-            source.handle_heartbeat(0.0, beat, (0, ""))
+    def fill_subscriber() -> tuple[Subscriber, list[bytes]]:
+        source, lines = make_home(), list[bytes]()
+        subscriber = Subscriber(evolve(core_member, node="n1", ip="n1", disk=""), ["n0"])
+        subscriber.add_core(0.0, core_member)
+        subscriber.tick(0.0)
+        for _ in range(count // 300 + 3):
+            heartbeat = MemberHeartbeat(sender="n1", address="n1", member=subscriber.local_member.to_row(),
+                                        have=subscriber.revision, of=("n0", 1))
+            source.handle_heartbeat(0.0, heartbeat, (0, ""))
             for _, message in source.outbox:
                 lines.append(messages.encode(messages.with_sender(message, "n0", "n0")))
-                follower.handle_delta(0.0, decoded(lines[-1], Delta))
+                subscriber.handle_delta(0.0, decode_as(lines[-1], Delta))
             source.outbox.clear()
-        assert len(follower.servers) == servers
-        return follower, lines
+        assert len(subscriber.servers) == count
+        return subscriber, lines
 
     def add(name: str, unit: str, y: float) -> None:
-        found.add("table: " + name, unit, "server", servers, y, SERVERS)
+        slopes.add("table: " + name, unit, "server", count, y, SERVERS)
 
-    add("memory of a home", "MB", held(home_of) / 1e6)
-    home, (follower, lines) = home_of(), tables_of()
-    lean = Subscriber(evolve(me, node="n1", ip="n1", disk=""), ["n0"])
+    add("memory of a home", "MB", retained_bytes(make_home) / 1e6)
+    home, (subscriber, lines) = make_home(), fill_subscriber()
+    template = Subscriber(evolve(core_member, node="n1", ip="n1", disk=""), ["n0"])
 
     def refill() -> Subscriber:
-        lean.servers = {}
-        fresh = Subscriber(lean.local_member, ["n0"])
-        fresh.add_core(0.0, me)
+        template.servers = {}
+        fresh = Subscriber(template.local_member, ["n0"])
+        fresh.add_core(0.0, core_member)
         fresh.tick(0.0)
         for raw in lines:
-            fresh.handle_delta(0.0, decoded(raw, Delta))
+            fresh.handle_delta(0.0, decode_as(raw, Delta))
         return fresh
 
-    add("memory of a follower", "MB", held(refill) / 1e6)
+    add("memory of a follower", "MB", retained_bytes(refill) / 1e6)
     add("a whole table on the wire", "KB", sum(map(len, lines)) / 1e3)
-    add("CPU of a limiter to take a whole table", "ms", spent(refill) * 1e3)
-    choice = ServerSelector("a", dict.fromkeys(ZONES, "r"), 1)
+    add("CPU of a limiter to take a whole table", "ms", median_cpu(refill) * 1e3)
+    selector = ServerSelector("a", dict.fromkeys(ZONES, "r"), 1)
 
-    def places() -> list[ServerState]:
+    def server_states() -> list[ServerState]:
         return [ServerState(s.id, s.target, s.address, s.zone, s.slots, draining=False, silent=s.silent)
-                for s in follower.servers.values()]
+                for s in subscriber.servers.values()]
 
-    def chosen() -> ServerSelector:
-        kept = ServerSelector("a", {}, 1)
-        kept.update(places())
-        return kept
+    def fill_selector() -> ServerSelector:
+        filled = ServerSelector("a", {}, 1)
+        filled.update(server_states())
+        return filled
 
-    add("memory of the choice", "MB", held(chosen) / 1e6)
-    add("CPU of the choice for any change of a row", "ms", spent(lambda: choice.update(places())) * 1e3)
+    add("memory of the choice", "MB", retained_bytes(fill_selector) / 1e6)
+    add("CPU of the choice for any change of a row", "ms",
+        median_cpu(lambda: selector.update(server_states())) * 1e3)
 
-    lives = itertools.count(1)
+    incarnations = itertools.count(1)
 
-    def digests() -> None:
+    def recompute_digests() -> None:
         home.range_digests = None
         home._current_digests()
 
-    add("CPU of a home for digests after a change", "ms", spent(digests) * 1e3)
-    add("CPU of a home for a turn over leases", "ms", spent(lambda: home.registry.expire(0.0)) * 1e3)
+    add("CPU of a home for digests after a change", "ms", median_cpu(recompute_digests) * 1e3)
+    add("CPU of a home for a turn over leases", "ms", median_cpu(lambda: home.registry.expire(0.0)) * 1e3)
     add("CPU of a home to find and encode a whole table", "ms",
-        spent(lambda: [messages.encode(message) for message in chunks(home, lives)]) * 1e3)
+        median_cpu(lambda: [messages.encode(message) for message in table_deltas(home, incarnations)]) * 1e3)
 
 
-def chunks(home: RegistryReplica, lives: Iterator[int]) -> list[Delta]:
-    """What a new subscriber is sent, piece by piece."""
-    member, deltas, have = Member("n9", "n9", "a", next(lives)).to_row(), list[Delta](), 0
+def table_deltas(home: RegistryReplica, incarnations: Iterator[int]) -> list[Delta]:
+    """Returns the deltas by which a new subscriber receives the whole table of a home."""
+    member, deltas, have = Member("n9", "n9", "a", next(incarnations)).to_row(), list[Delta](), 0
     while have < home.table.revision:
         home.handle_heartbeat(
             0.0, MemberHeartbeat(sender="n9", address="n9", member=member, have=have, of=("n0", 1)), (0, ""))
@@ -640,196 +679,211 @@
     return deltas
 
 
-def configuration(found: Found, size: tuple[int, int, int], by: str) -> None:
-    """The holder's and a limiter's work on a configuration of routes, tenants, services; ``by`` is what
-    varies."""
-    part = ("routes", "tenants", "services").index(by)
-    document = document_of(*size)
-    body, line = json.dumps(document).encode(), _ENCODE.encode(document)
-    route = {"host": "h00000.example", "paths": [{**document["hosts"][0]["paths"][0], "timeoutMs": 2600}]}
-    call = Call("amend", 1, {"version": 2, "upsert": {"hosts": [route]}, "remove": {}}, "x")
+def measure_configuration(slopes: Slopes, size: tuple[int, int, int], by: str) -> None:
+    """Measures the work of a configuration replica and of a limiter on a configuration.
+
+    ``size`` is the number of routes, tenants and services; ``by`` names the one that varies between runs.
+    """
+    index = ("routes", "tenants", "services").index(by)
+    document = make_document(*size)
+    body, line = json.dumps(document).encode(), _ENCODER.encode(document)
+    host = {"host": "h00000.example", "paths": [{**document["hosts"][0]["paths"][0], "timeoutMs": 2600}]}
+    call = Call("amend", 1, {"version": 2, "upsert": {"hosts": [host]}, "remove": {}}, "x")
 
     def add(name: str, unit: str, y: float) -> None:
-        found.add(f"config by {by}: {name}", unit, by[:-1], size[part], y, (ROUTES, TENANTS, SERVICES)[part])
+        slopes.add(f"config by {by}: {name}", unit, by[:-1], size[index], y,
+                   (ROUTES, TENANTS, SERVICES)[index])
 
     add("bytes on the wire", "KB", len(line) / 1e3)
-    add("CPU to amend and check (holder)", "ms", spent(lambda: apply(document, call)) * 1e3)
-    add("CPU for its digest (holder)", "ms", spent(lambda: digest(document)) * 1e3)
-    add("CPU to encode it for the disk (holder)", "ms", spent(lambda: encode(document)) * 1e3)
-    add("CPU to read a call (holder)", "ms", spent(lambda: parse(body)) * 1e3)
-    add("CPU to send it once (home)", "ms", spent(lambda: _ENCODE.encode(document)) * 1e3)
+    add("CPU to amend and check (holder)", "ms", median_cpu(lambda: apply(document, call)) * 1e3)
+    add("CPU for its digest (holder)", "ms", median_cpu(lambda: digest(document)) * 1e3)
+    add("CPU to encode it for the disk (holder)", "ms", median_cpu(lambda: encode(document)) * 1e3)
+    add("CPU to read a call (holder)", "ms", median_cpu(lambda: parse(body)) * 1e3)
+    add("CPU to send it once (home)", "ms", median_cpu(lambda: _ENCODER.encode(document)) * 1e3)
     add("CPU to take it (limiter)", "ms",
-        spent(lambda: prepare_configuration(schema.check(_DECODE.decode(line), 0))) * 1e3)
-    add("memory of the document (holder)", "MB", held(lambda: _DECODE.decode(line)) / 1e6)
+        median_cpu(lambda: prepare_configuration(schema.check(_DECODER.decode(line), 0))) * 1e3)
+    add("memory of the document (holder)", "MB", retained_bytes(lambda: _DECODER.decode(line)) / 1e6)
     add("memory in force (limiter)", "MB",
-        held(lambda: prepare_configuration(schema.check(_DECODE.decode(line), 0))) / 1e6)
+        retained_bytes(lambda: prepare_configuration(schema.check(_DECODER.decode(line), 0))) / 1e6)
     if by == "routes":
         routes = prepare_configuration(schema.check(document, 0)).routes
         paths = [(h["host"], h["paths"][0]["prefix"] + "x") for h in document["hosts"]]
-        some = random.Random(1).choices(paths, k=500)
-        add("CPU to find a request's route", "us", spent(
-            lambda: [routes.find(h, p) for h, p in some]) / len(some) * 1e6)
+        requests = random.Random(1).choices(paths, k=500)
+        add("CPU to find a request's route", "us", median_cpu(
+            lambda: [routes.find(h, p) for h, p in requests]) / len(requests) * 1e6)
 
 
-def quotas(found: Found, limiters: int) -> None:
-    """Quotas on a ring of so many limiters, as asker and as owner."""
+def measure_quotas(slopes: Slopes, limiters: int) -> None:
+    """Measures the quotas at an asking limiter and at an owner, with ``limiters`` limiters on the ring."""
     numbers = {i: f"n{i}" for i in range(limiters)}
     ring = sorted(numbers)
 
     def add(name: str, unit: str, y: float) -> None:
-        found.add("quota: " + name, unit, "limiter", limiters, y, LIMITERS)
+        slopes.add("quota: " + name, unit, "limiter", limiters, y, LIMITERS)
 
     names = [f"t{i:05}x" for i in range(400)]
     owners = {n: ring_owner(ring_digest(n), ring) for n in names[:40 if limiters > 100 else 400]}
-    turns = iter(range(1 << 30))
-    add("CPU to find a tenant's owner anew", "ms", spent(
-        lambda: ring_owner(ring_digest(f"x{next(turns)}"), ring)) * 1e3)
+    name_numbers = iter(range(1 << 30))
+    add("CPU to find a tenant's owner anew", "ms", median_cpu(
+        lambda: ring_owner(ring_digest(f"x{next(name_numbers)}"), ring)) * 1e3)
     owner = next(iter(owners.values()))
-    mine = next(t for t, o in owners.items() if o == owner)
-    allowance = Allowance(mine, 1e6, 1e6)
-    asker = Quotas("n", 0.0, 1, first_start=True)
-    holder = Quotas("o", 0.0, 2, first_start=True)
-    me = next(i for i in ring if i != owner)
-    asker.set_limiters(0.0, numbers, me)
-    holder.set_limiters(0.0, numbers, owner)
+    tenant = next(t for t, o in owners.items() if o == owner)
+    allowance = Allowance(tenant, 1e6, 1e6)
+    asker_quotas = Quotas("n", 0.0, 1, first_start=True)
+    owner_quotas = Quotas("o", 0.0, 2, first_start=True)
+    asker = next(i for i in ring if i != owner)
+    asker_quotas.set_limiters(0.0, numbers, asker)
+    owner_quotas.set_limiters(0.0, numbers, owner)
     sizes: list[int] = []
     clock = itertools.count()
 
     def ask() -> float:
         now = 0.01 * next(clock)
-        began = time.process_time()
-        asked = asker.request(now, allowance)
-        assert isinstance(asked, Ask)
-        question = QuotaMessage(message=asked.message)
-        there = messages.encode(messages.with_sender(question, "n00009", "10.128.0.9"))
-        first = time.process_time()
-        answer = holder.handle_request(now, me, decoded(there, QuotaMessage).message)
+        started = time.process_time()
+        request = asker_quotas.request(now, allowance)
+        assert isinstance(request, Ask)
+        question = QuotaMessage(message=request.message)
+        request_line = messages.encode(messages.with_sender(question, "n00009", "10.128.0.9"))
+        sent = time.process_time()
+        answer = owner_quotas.handle_request(now, asker, decode_as(request_line, QuotaMessage).message)
         assert answer is not None
-        back = messages.encode(messages.with_sender(QuotaMessage(message=answer), "n00009", "10.128.0.9"))
-        second = time.process_time()
-        asker.handle_reply(now, decoded(back, QuotaMessage).message)
-        sizes.append(len(there) + len(back))
-        asks.append(time.process_time() - second + first - began)
-        owned.append(second - first)
+        reply_line = messages.encode(
+            messages.with_sender(QuotaMessage(message=answer), "n00009", "10.128.0.9"))
+        answered = time.process_time()
+        asker_quotas.handle_reply(now, decode_as(reply_line, QuotaMessage).message)
+        sizes.append(len(request_line) + len(reply_line))
+        asker_cpu.append(time.process_time() - answered + sent - started)
+        owner_cpu.append(answered - sent)
         return 0.0
 
-    asks: list[float] = []
-    owned: list[float] = []
-    spent(ask, most=1500)
-    add("CPU of an ask at the asker", "us", statistics.median(asks) * 1e6)
-    add("CPU of an ask at the owner", "us", statistics.median(owned) * 1e6)
+    asker_cpu: list[float] = []
+    owner_cpu: list[float] = []
+    median_cpu(ask, max_calls=1500)
+    add("CPU of an ask at the asker", "us", statistics.median(asker_cpu) * 1e6)
+    add("CPU of an ask at the owner", "us", statistics.median(owner_cpu) * 1e6)
     add("bytes of an ask and its verdict", "B", statistics.median(sizes))
-    without = {i: n for i, n in numbers.items() if i != limiters - 1}
-    # A bucket that is made soon after such a change may have another owner: everybody is asked to agree.
-    fresh = Quotas("f", 0.0, 3, first_start=True)
-    fresh.set_limiters(0.0, numbers, 0)
-    fresh.set_limiters(10.0, without, 0)
-    ring = sorted(without)
-    tenant = next(t for t in (f"o{i}" for i in itertools.count()) if ring_owner(ring_digest(t), ring) == 0)
-    fresh.request(20.0, Allowance(tenant, 10.0, 10.0))
+    remaining = {i: n for i, n in numbers.items() if i != limiters - 1}
+    # A bucket that is created soon after a change of the ring may have had another owner: its owner sends a
+    # hello to all limiters, which have to agree on the ring.
+    new_owner_quotas = Quotas("f", 0.0, 3, first_start=True)
+    new_owner_quotas.set_limiters(0.0, numbers, 0)
+    new_owner_quotas.set_limiters(10.0, remaining, 0)
+    ring = sorted(remaining)
+    new_tenant = next(
+        t for t in (f"o{i}" for i in itertools.count()) if ring_owner(ring_digest(t), ring) == 0)
+    new_owner_quotas.request(20.0, Allowance(new_tenant, 10.0, 10.0))
     add("hellos of one owner after a change of the ring", "words", sum(
-        message["k"] == "hello" for _, message in fresh.pending_messages(100.0)))
+        message["k"] == "hello" for _, message in new_owner_quotas.pending_messages(100.0)))
 
-    def askers() -> Quotas:
-        full = Quotas("o", 0.0, 2, first_start=True)
-        full.set_limiters(0.0, numbers, owner)
+    def ask_from_all() -> Quotas:
+        quotas = Quotas("o", 0.0, 2, first_start=True)
+        quotas.set_limiters(0.0, numbers, owner)
         for number in ring:
             if number != owner:
-                full.handle_request(1.0, number, {"k": "ask", "n": 1, "t": mine, "r": 10.0, "b": 10.0, "v": 1,
-                                         "life": 1, "spent": 0, "heard": 0})
-        return full
+                quotas.handle_request(1.0, number, {
+                    "k": "ask", "n": 1, "t": tenant, "r": 10.0, "b": 10.0, "v": 1,
+                    "life": 1, "spent": 0, "heard": 0})
+        return quotas
 
-    add("memory of a bucket that all ask for", "KB", held(askers) / 1e3)
+    add("memory of a bucket that all ask for", "KB", retained_bytes(ask_from_all) / 1e3)
 
 
-def picks(found: Found, servers: int) -> None:
-    """The choice of a server among so many of one service."""
-    choice = ServerSelector("a", dict.fromkeys(ZONES, "r"), 1)
-    choice.update(ServerState(s.id, "svc", s.address, s.zone, 4) for s in servers_of(servers, ZONES))
-    found.add("request: CPU to choose a server", "us", "server of it", servers,
-              spent(lambda: choice.pick(1.0, "svc", "r", 400.0)) * 1e6, SERVERS / SERVICES)
+def measure_selection(slopes: Slopes, servers: int) -> None:
+    """Measures the selection among the servers of one service."""
+    selector = ServerSelector("a", dict.fromkeys(ZONES, "r"), 1)
+    selector.update(ServerState(s.id, "svc", s.address, s.zone, 4) for s in make_servers(servers, ZONES))
+    slopes.add("request: CPU to choose a server", "us", "server of it", servers,
+               median_cpu(lambda: selector.pick(1.0, "svc", "r", 400.0)) * 1e6, SERVERS / SERVICES)
 
 
-def http_beat() -> float:
-    """CPU us to read a server's call from its bytes and to write the answer, on a kept connection."""
-    body = heartbeat_of(servers_of(1, ZONES)[0])
-    call = (b"POST /larklb/instances/i-7f3a91c2/heartbeat HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n"
-            b"Content-Type: application/json\r\n\r\n" % len(body)) + body
-    http = h11.Connection(h11.SERVER)
+def heartbeat_http_us() -> float:
+    """Returns the CPU time in us to parse a server's heartbeat request and to write its response.
 
-    def one() -> None:
-        http.receive_data(call)
-        while not isinstance(http.next_event(), h11.EndOfMessage):
+    The connection is persistent.
+    """
+    body = heartbeat_body(make_servers(1, ZONES)[0])
+    request = (b"POST /larklb/instances/i-7f3a91c2/heartbeat HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n"
+               b"Content-Type: application/json\r\n\r\n" % len(body)) + body
+    connection = h11.Connection(h11.SERVER)
+
+    def handle() -> None:
+        connection.receive_data(request)
+        while not isinstance(connection.next_event(), h11.EndOfMessage):
             pass
-        http.send(h11.Response(status_code=200, headers=[("Content-Length", "2")]))
-        http.send(h11.Data(data=b"{}"))
-        http.send(h11.EndOfMessage())
-        http.start_next_cycle()
+        connection.send(h11.Response(status_code=200, headers=[("Content-Length", "2")]))
+        connection.send(h11.Data(data=b"{}"))
+        connection.send(h11.EndOfMessage())
+        connection.start_next_cycle()
 
-    return spent(one) * 1e6
+    return median_cpu(handle) * 1e6
 
 
 # --- all of it
 
 
-def measure(quick: bool) -> Found:
-    """Every slope; with ``quick`` through fewer and smaller sizes."""
-    found, both = Found(), Found()
+def measure_all(quick: bool) -> Slopes:
+    """Returns every slope; with ``quick`` from fewer and smaller sizes."""
+    slopes, combined = Slopes(), Slopes()
     print("\nfabrics")
     for limiters in (12, 60) if quick else (12, 60, 200, 600):
-        fabric = at_rest(found, limiters, 27, 3, "limiters")
-        events(found, fabric, "limiters", limiters, LIMITERS)
+        fabric = measure_rest(slopes, limiters, 27, 3, "limiters")
+        measure_events(slopes, fabric, "limiters", limiters, LIMITERS)
     for servers in (27, 1_000) if quick else (27, 1_000, 4_000):
-        fabric = at_rest(found, 12, servers, 3, "servers")
-        events(found, fabric, "servers", servers, SERVERS)
+        fabric = measure_rest(slopes, 12, servers, 3, "servers")
+        measure_events(slopes, fabric, "servers", servers, SERVERS)
     for cores in (3, 6) if quick else (3, 6, 9, 17):
-        at_rest(found, cores, 300, cores, "cores")
+        measure_rest(slopes, cores, 300, cores, "cores")
     if not quick:
-        # Both at once: a herd that doesn't get its table in one piece.
+        # Many limiters and many servers: simultaneous restarts whose table does not fit into one delta.
         for limiters in (12, 60, 200):
-            fabric = at_rest(both, limiters, 1_000, 3, "limiters")
-            events(both, fabric, "limiters", limiters, LIMITERS)
-        for name, slope in both.of.items():
+            fabric = measure_rest(combined, limiters, 1_000, 3, "limiters")
+            measure_events(combined, fabric, "limiters", limiters, LIMITERS)
+        for name, slope in combined.by_name.items():
             if "herd" in name:
-                found.of[name + ", 1,000 servers"] = evolve(slope, name=name + ", 1,000 servers")
-        at_rest(both, 4, 30_000, 3, "servers")     # more beats than a sync holds
+                slopes.by_name[name + ", 1,000 servers"] = evolve(slope, name=name + ", 1,000 servers")
+        measure_rest(combined, 4, 30_000, 3, "servers")     # more heartbeats than fit into one sync
     del fabric
     gc.collect()
     for servers in (27, 1_000, 4_000) if quick else (27, 1_000, 34_000):
-        tables(found, servers)
+        measure_tables(slopes, servers)
         gc.collect()
     for routes in (24, 300, 1_000) if quick else (24, 1_000, 30_000):
-        configuration(found, (routes, 8, 2), "routes")
+        measure_configuration(slopes, (routes, 8, 2), "routes")
     for tenants in (8, 300, 1_000) if quick else (8, 1_000, 57_000):
-        configuration(found, (24, tenants, 2), "tenants")
+        measure_configuration(slopes, (24, tenants, 2), "tenants")
     for services in (2, 100) if quick else (2, 100, 1_500):
-        configuration(found, (24, 8, services), "services")
+        measure_configuration(slopes, (24, 8, services), "services")
     for limiters in (12, 60, 200) if quick else (12, 60, 200, 600):
-        quotas(found, limiters)
+        measure_quotas(slopes, limiters)
     for servers in (2, 23, 100) if quick else (2, 23, 100, 400):
-        picks(found, servers)
-    return found
+        measure_selection(slopes, servers)
+    return slopes
 
 
 async def run(quick: bool) -> int:
-    """The limiter's parts ask for a running loop when they are made; nothing is ever left to it."""
-    began = time.process_time()
+    """Runs the benchmark and prints it; returns 0.
+
+    It is a coroutine only because the parts of a limiter need a running loop at their creation; nothing is
+    scheduled on that loop.
+    """
+    started = time.process_time()
     logging.disable(logging.ERROR)
     print(f"machine: {machine()}; {'quick' if quick else 'full'}")
     gc.disable()
-    resource.setrlimit(resource.RLIMIT_AS, (MOST_BYTES, MOST_BYTES))
-    found = measure(quick)
-    print(f"\nHTTP of a server's beat: {http_beat():.0f} us of CPU, on a kept connection")
+    resource.setrlimit(resource.RLIMIT_AS, (MAX_ADDRESS_SPACE_BYTES, MAX_ADDRESS_SPACE_BYTES))
+    slopes = measure_all(quick)
+    print(f"\nHTTP of a server's beat: {heartbeat_http_us():.0f} us of CPU, on a kept connection")
     print(f"\n{'slope':<58} {'unit':<9} {'base':>10} {'slope':>11}   {'for':<13} {'at target':>10}")
-    for slope in found.of.values():
+    for slope in slopes.by_name.values():
         print(slope.row())
     peak = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1e3
-    print(f"\nCPU of the whole: {time.process_time() - began:.0f} s, memory at its peak: {peak:.0f} MB")
-    print(f"slopes measured: {len(found.of)}")
+    print(f"\nCPU of the whole: {time.process_time() - started:.0f} s, memory at its peak: {peak:.0f} MB")
+    print(f"slopes measured: {len(slopes.by_name)}")
     return 0
 
 
 def main() -> int:
+    """Parses the options, runs the benchmark and returns its exit code."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--quick", action="store_true")
     return asyncio.run(run(parser.parse_args().quick))
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -17,22 +17,22 @@
 
     async def run_fabric() -> capacity.Fabric:
         fabric = capacity.Fabric(6, 30)
-        limiters = list(fabric.of.values())
+        limiters = list(fabric.limiters.values())
         assert all(n.subscriber.complete and len(n.choice.servers) == 30 for n in limiters)
         assert len(set(n.subscriber.local_member.ring_number for n in limiters)) == 6
         fabric.meter.reset()
         name = next(iter(fabric.servers))
         fabric.drain(name)
-        answers = fabric.change("replace", 0, capacity.document_of(24, 8, 2, 1))
+        answers = fabric.change("replace", 0, capacity.make_document(24, 8, 2, 1))
         fabric.run(400.0)
         assert all(n.choice.servers[name].draining for n in limiters)
         assert [a.status for a in answers] == [200] and all(n.version == 1 for n in limiters)
         return fabric
 
     meter = asyncio.run(run_fabric()).meter
-    assert meter.words["limiter", "delta+rows"] >= 3 and meter.bytes["home", "beat"] > 300
+    assert meter.messages["limiter", "delta+rows"] >= 3 and meter.bytes["home", "beat"] > 300
     # Each core machine sends the drain to the other two and waits for a majority before it reports the drain.
-    assert meter.words["home", "rows"] >= 2 and meter.words["home", "known"] >= 1
+    assert meter.messages["home", "rows"] >= 2 and meter.messages["home", "known"] >= 1
 
 
 def test_slope_is_the_line_through_its_points() -> None:
