--- a/tests/test_adopt.py
+++ b/tests/test_adopt.py
@@ -90,7 +90,7 @@
             for i in range(3):
                 assert (await ask(first.port, job(account=i)))[0] == 200
             await asyncio.sleep(2.5)
-            assert receiver.deliveries == 0, "it holds its folder"
+            assert receiver.deliveries == 0, "a running instance holds the lock of its folder"
         await receiver.stop()
     asyncio.run(go())
 
--- a/tests/test_bulk.py
+++ b/tests/test_bulk.py
@@ -139,7 +139,8 @@
             assert whole[:2] == (200, digest_line(body))
             for stopped in (held, carried):
                 assert stopped[0] == 408 and stopped[2] < 9
-            assert yard.nodes[0].attempts["begun"] == 2, "the second body had not come to be sent on"
+            assert yard.nodes[0].attempts["begun"] == 2, (
+                "a body that still fits in the buffer is not forwarded before it is complete")
     asyncio.run(go())
 
 
@@ -162,7 +163,8 @@
             assert status in (502, 503) and first.attempts["begun"] == begun + 1
             first.cut_after = 0
             writer.write(job().encode())
-            assert (await asyncio.wait_for(read_answer(reader), 5))[0] == 200, "the connection goes on"
+            assert (await asyncio.wait_for(read_answer(reader), 5))[0] == 200, (
+                "the client's connection remains usable")
     asyncio.run(go())
 
 
@@ -186,7 +188,7 @@
         bed.give(0, io.StreamStarted(f"a{n}", 0, "s0", 10.0))
     assert bed.gateways[0].servers["s0"].in_flight() == 0
     bed.ask(0, "b", plan="open")
-    assert len(bed.of(io.Refuse, "b")) == 1, "two are still out"
+    assert len(bed.of(io.Refuse, "b")) == 1, "two streamed answers still occupy the customer's slots"
     bed.end(0, "a0")
     bed.ask(0, "c", plan="open")
     assert len(bed.of(io.Send, "c")) == 1
@@ -210,7 +212,8 @@
                 await asyncio.wait((asyncio.ensure_future(writer.drain()), answering),
                                    return_when=asyncio.FIRST_COMPLETED)
             assert (await asyncio.wait_for(answering, 5))[0] == 413
-            assert not any(len(name) == 16 for name in yard.nodes[0].attempts), "no node has had all of it"
+            assert not any(len(name) == 16 for name in yard.nodes[0].attempts), (
+                "no node received a complete body")
     asyncio.run(go())
 
 
--- a/tests/test_check_consensus.py
+++ b/tests/test_check_consensus.py
@@ -54,7 +54,7 @@
     start, steps, faults, why = SHORTEST[name]
     with pytest.raises(CounterexampleError, match=why) as found:
         seeded(name).explore(steps, faults, 1_000_000, (start,))
-    assert len(found.value.steps) == steps, "breadth first: no shorter one"
+    assert len(found.value.steps) == steps, "breadth-first search finds a shortest trace"
 
 
 def test_command_prints_the_trace(capsys: pytest.CaptureFixture[str]) -> None:
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -790,7 +790,9 @@
     world.run(3000)
     propose(world, second, list(world.machines.values()))
     world.run(1000)
-    assert not any(replica.founded for replica in world.replicas()), "its proposer may still be there"
+    assert not any(replica.founded for replica in world.replicas()), (
+        "a founding is not replaced before its proposer has been silent for the timeout"
+    )
     world.run(5000)
     propose(world, second, list(world.machines.values()))
     world.check_end()
@@ -802,7 +804,9 @@
     propose(world, learner, list(world.machines.values()))
     world.run(3000)
     assert learner.replica is not None and learner.replica.version == world.wait_for_leader().version
-    assert learner.disk not in learner.replica.voters and len(learner.replica.voters) == 3, "a spare"
+    assert learner.disk not in learner.replica.voters and len(learner.replica.voters) == 3, (
+        "the disk stays a learner, because the group has enough voters"
+    )
     world.check_end()
 
 
@@ -865,7 +869,9 @@
         voters = changed
     assert set(voters) == {"d0", "d1", "d2"}
     liveness.observe(9500, present)
-    assert next_voters(voters, "d0", set(), liveness, 19000, tolerance=1) is None, "never below it"
+    assert next_voters(voters, "d0", set(), liveness, 19000, tolerance=1) is None, (
+        "the group does not shrink below the size that its tolerance requires"
+    )
 
 
 def test_outcome_of_a_forgotten_change_is_unknown() -> None:
@@ -978,7 +984,9 @@
     reply = next(message for message in manual.sent() if message["kind"] == "append_reply")
     fields = {"prev": [1, 1], "commit": 1, "round": 2, "entries": []}
     manual.step("b", "append_entries", 1, **fields, seen=[reply["stamp"][0] + 1, 0.0])
-    assert not manual.replica.confirmed and not manual.replica.is_up_to_date(0.0), "to another life"
+    assert not manual.replica.confirmed and not manual.replica.is_up_to_date(0.0), (
+        "a message that refers to another incarnation confirms nothing"
+    )
     manual.step("b", "append_entries", 1, **fields, seen=reply["stamp"])
     assert (
         manual.replica.confirmed
@@ -1013,7 +1021,9 @@
             "stamp": [1, 0.0],
         },
     )
-    assert manual.replica._log.commit_index == 0, "another disk's word"
+    assert manual.replica._log.commit_index == 0, (
+        "an acknowledgement for another disk of that machine does not count"
+    )
     manual.step("b", "append_reply", 2, ok=True, match=2, tried=1, round=1, stamp=[1, 0.0])
     assert manual.replica._log.commit_index == 2
 
--- a/tests/test_control_plane.py
+++ b/tests/test_control_plane.py
@@ -62,12 +62,12 @@
     calls = forwarder("new", after, Timers())
     calls.forward("10.0.0.2", OperatorCall(kind="read", base=0, body="", hops=1), answers.append)
     to_old, to_new = answer_of("10.0.0.2", before[0][1], 200), answer_of("10.0.0.2", after[0][1], 503)
-    assert to_old.number == to_new.number, "numbers begin anew in each process"
+    assert to_old.number == to_new.number, "each process numbers its calls from the start"
     assert not calls.handle_answer(to_old) and not calls.handle_answer(
         answer_of("10.0.0.1", after[0][1], 503))
     assert not answers
     assert calls.handle_answer(to_new) and [a and a.result.status for a in answers] == [503]
-    assert not calls.handle_answer(to_new) and len(answers) == 1, "once"
+    assert not calls.handle_answer(to_new) and len(answers) == 1, "a repeated answer is ignored"
 
 
 def test_calls_without_an_answer_time_out_and_are_bounded() -> None:
@@ -127,16 +127,18 @@
     assert not home.fenced(1400.0) and home.fenced(1600.0)
     home.server_heartbeat(1400.0, Server("s", "t", "h:1", "z", 2, sequence=1), acknowledged.append)
     home.server_heartbeat(1600.0, Server("s", "t", "h:1", "z", 2, sequence=2), acknowledged.append)
-    assert acknowledged == [True, False], "the beat goes to one that others hear"
-    assert home.registry.by_id["s"].server.sequence == 2, "what it tells counts all the same"
+    assert acknowledged == [True, False], (
+        "a fenced core machine acknowledges no heartbeat, so that the server tries another one")
+    assert home.registry.by_id["s"].server.sequence == 2, (
+        "the unacknowledged heartbeat is applied nevertheless")
     acknowledge_sync(home, "db", 5000.0, incarnation=0)
-    assert home.fenced(5000.0), "an echo to the process before"
+    assert home.fenced(5000.0), "an echo to the previous incarnation does not count"
     acknowledge_sync(home, "dc", 5000.0)
     assert not home.fenced(5900.0)
     home.last_echo.clear()
     home.tick(9000.0, home.local_member, home.voters, None, (0, ""))
     home.handle_rows_update(9000.0, RowsUpdate(sender="b", address="b", members=[], servers=[]))
-    assert home.fenced(9000.0), "hearing others is not being heard"
+    assert home.fenced(9000.0), "received messages do not show that a majority receives those of this machine"
 
 
 def test_a_fenced_home_tells_its_subscribers_that_it_is_not_ready() -> None:
@@ -190,7 +192,7 @@
         path.unlink()
     stored, disk = _load_disk(Store(folder), str(folder))
     assert disk != first and stored is None
-    assert Store(folder).identity() == disk, "it keeps that one"
+    assert Store(folder).identity() == disk, "the new id is stored"
 
 
 def test_the_deploy_file_lists_the_packages_that_the_build_needs() -> None:
@@ -201,5 +203,6 @@
         called.add(words[0])
         if "-m" in words and words[words.index("-m") + 1] == "pip":
             called.add("pip")
-    assert called <= set(PACKAGE_OF), "name the package that brings it"
+    assert called <= set(PACKAGE_OF), (
+        "add the Debian package of each program in the build command to PACKAGE_OF")
     assert set(deploy["packages"]) == {PACKAGE_OF[name] for name in called} - {""}
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -91,7 +91,8 @@
     async def go() -> None:
         core = core_with(fails)
         job = core.take(io.Request("r", "read", "free", "c", core.wheel.now() + 9000.0))
-        assert await asyncio.wait_for(job.next(), 1) == io.Fail("r"), "at once: nothing can come of it"
+        assert await asyncio.wait_for(job.next(), 1) == io.Fail("r"), (
+            "the job fails at once, not at its due time")
         assert core.counters["errors.module"] >= 1 and core.counters["errors.overdue"] == 0
     asyncio.run(go())
 
--- a/tests/test_custody.py
+++ b/tests/test_custody.py
@@ -114,15 +114,21 @@
     assert c.handle(now, Keep(record(1, 1))).kind is ReplyKind.KEPT
     assert c.handle(now + 800.0, Claim(5, 1, 2, 8, 1, False)).kind is ReplyKind.BUSY
     c.handle(now + 800.0, cu.Heartbeat(7, 1))
-    assert c.handle(now + 1600.0, Claim(5, 1, 2, 8, 1, False)).kind is ReplyKind.BUSY, "it was heard"
+    assert c.handle(now + 1600.0, Claim(5, 1, 2, 8, 1, False)).kind is ReplyKind.BUSY, (
+        "the holder's heartbeat renewed its lease"
+    )
     given = c.handle(now + 1701.0, Claim(5, 1, 2, 8, 1, False))
     assert given.kind is ReplyKind.GIVEN and given.record is not None
     assert given.record.sent[0].age == 1701.0 and given.record.left == 4000.0 - 1701.0
-    assert c.handle(now + 1702.0, Claim(5, 1, 2, 9, 1, False)).kind is not ReplyKind.GIVEN, "one vote a term"
+    assert c.handle(now + 1702.0, Claim(5, 1, 2, 9, 1, False)).kind is not ReplyKind.GIVEN, (
+        "a custodian gives one vote per term"
+    )
     assert c.handle(now + 1703.0, Keep(record(1, 2))).kind is ReplyKind.SUPERSEDED, (
-        "the former holder is fenced"
+        "records of the former term are rejected"
+    )
+    assert c.handle(now + 1704.0, Claim(5, 2, 3, 9, 1, False)).kind is ReplyKind.BODY_MISMATCH, (
+        "the same key with another body is rejected"
     )
-    assert c.handle(now + 1704.0, Claim(5, 2, 3, 9, 1, False)).kind is ReplyKind.BODY_MISMATCH, "another body"
 
 
 def test_a_later_start_of_the_holder_ends_its_lease_at_once() -> None:
@@ -146,7 +152,9 @@
     body = cu.Content("r", b"POST", b"/", (), b"x" * 2000, "s", "p", "c", 1.0, 0, 1)
     assert c.handle(0.0, Claim(5, 1, 1, 7, 1, False)).kind is ReplyKind.GIVEN
     assert c.handle(0.0, Keep(record(1, 1, content=body))).kind is ReplyKind.FULL and c.refused == 1
-    assert c.handle(0.0, Keep(record(1, 2))).kind is ReplyKind.KEPT, "without its contents"
+    assert c.handle(0.0, Keep(record(1, 2))).kind is ReplyKind.KEPT, (
+        "a record without contents is stored even if one with contents does not fit"
+    )
     for key in (11, 12, 13):
         assert c.handle(0.0, Claim(key, 1, 1, 7, 1, False)).kind is ReplyKind.GIVEN
     assert c.handle(0.0, Claim(14, 1, 1, 7, 1, False)).kind is ReplyKind.FULL
@@ -164,14 +172,16 @@
         assert len(set(group)) == 3 and {zones[i] for i in group} == {"a", "b", "c"}
         members.update(group)
     assert min(members.values()) > 140 and max(members.values()) < 260
-    assert len(set(cu.group_of(1, 9, {i: "a" for i in range(9)}))) == 3, "one zone is no reason for less"
+    assert len(set(cu.group_of(1, 9, {i: "a" for i in range(9)}))) == 3, (
+        "a key has three custodians even if there is only one zone"
+    )
 
 
 # Processes --------------------------------------------------------------------------------
 
 
 class Racks:
-    """Counts what runs at the nodes of a yard; each node is in a rack that suppresses repeated keys."""
+    """Counts what runs at the nodes of a cluster; each node is in a rack that suppresses repeated keys."""
 
     def __init__(self, yard: Cluster, work: float, racks: int = 8) -> None:
         self.ran: Counter[str] = Counter()
@@ -256,7 +266,7 @@
     await yard.limiters[0].stop(signal.SIGKILL)
     nodes.gate.set()
     broken = [key for key, (status, _) in zip(keys, await asyncio.gather(*tasks), strict=True) if not status]
-    assert len(broken) >= 20, "it had them in hand"
+    assert len(broken) >= 20, "the killed limiter had orders in flight"
     again = [orders.order_with_retries(1 + i % 3, key, 100 + i) for i, key in enumerate(broken)]
     return {key: status for key, (status, _) in zip(broken, await asyncio.gather(*again), strict=True)}
 
@@ -288,7 +298,9 @@
         first, _ = await orders.order(0, "a" * 32, 1)
         assert first == (200 if step == "answer passed on" else 0)
         back = [await orders.order(limiter, "a" * 32, 1 + limiter, repeat=True) for limiter in (1, 2, 3)]
-        assert {status for status, _ in back} == {200} and len(set(back)) == 1, "all are told the same"
+        assert {status for status, _ in back} == {200} and len(set(back)) == 1, (
+            "all retries get the same answer"
+        )
         assert nodes.ran["a" * 32] == 1
     held(tmp_path, act, work=0.1, environment={"LARKLB_FAULT": f"{step}:1"})
 
@@ -346,7 +358,9 @@
         status, _ = await orders.order(group[0], "e" * 32, 2, repeat=True)
         assert status == 503 and nodes.ran["e" * 32] == 1
         nodes.gate.set()
-        assert (await orders.order(group[1], "f" * 32, 3))[0] == 200, "a first try is served"
+        assert (await orders.order(group[1], "f" * 32, 3))[0] == 200, (
+            "a first try is served although two custodians have restarted"
+        )
     held(tmp_path, act, work=0.1)
 
 
@@ -357,7 +371,7 @@
             if limiter.number not in but and (await limiter.counters()).get("custody.inherited"):
                 return limiter.number
         await asyncio.sleep(0.02)
-    raise AssertionError("nobody took it over")
+    raise AssertionError("no limiter has taken over the job")
 
 
 @pytest.mark.parametrize("how", [signal.SIGKILL, signal.SIGTERM])
@@ -386,8 +400,10 @@
         await asyncio.gather(*(limiter.stop() for limiter in yard.limiters[1:]))
         told = [read(tmp_path / "var" / f"n{i}" / "use") for i in range(4)]
         counted = sum(t.counted.tries for t in told[1:]) + len(told[0].begun) + told[0].counted.tries
-        assert 30 <= counted <= 40, "none twice; one that died before its count counts nowhere"
-        assert len(told[0].begun) > 20, "what was in flight at the lost one counts at its next start"
+        assert 30 <= counted <= 40, (
+            "no order is counted twice; one whose limiter died before counting it is not counted"
+        )
+        assert len(told[0].begun) > 20, "orders in flight at the killed limiter are counted at its next start"
     held(tmp_path, act, work=0.1, custody=STRICT + '[state]\nfolder = "var"\n[ledger]\n')
 
 
@@ -452,7 +468,7 @@
             assert ends[2] == 200 and set(ends) <= {200, 502, 503}, ends
             assert not rig.cells.executed_twice()
             after = await orders.order(0, "a" * 32, 5, repeat=True)
-            assert after[0] == 200, "the links are back: what was kept is given"
+            assert after[0] == 200, "once the partition has healed, the stored answer is returned"
             assert not rig.cells.executed_twice()
     asyncio.run(go())
 
--- a/tests/test_daily.py
+++ b/tests/test_daily.py
@@ -217,7 +217,8 @@
             reopened = await open_kept_alive()
             await asyncio.sleep(1.2)
             reopened[1].write(job().encode())
-            assert (await read_answer(reopened[0]))[0] == 200, "kept again"
+            assert (await read_answer(reopened[0]))[0] == 200, (
+                "connections are kept alive again after UNDRAIN")
             await _drain(limiter, port)
             assert await limiter.stop() == 0
     asyncio.run(go())
@@ -319,7 +320,7 @@
             yard.nodes[0].reply = yard.nodes[1].reply = refuse
             before = yard.attempts().total()
             assert (await ask(limiter.port, job()))[0] == 503
-            assert yard.attempts().total() == before + 1, "one attempt, as the new file says"
+            assert yard.attempts().total() == before + 1, "the new configuration allows a single attempt"
             statistics = await figures(port)
             assert statistics["responses"]["place-order"]["ok"] == 1 and statistics["config_applied"] == 1
             assert statistics["responses"]["once-only"]["ok"] == 1
--- a/tests/test_desk.py
+++ b/tests/test_desk.py
@@ -68,9 +68,12 @@
             assert status == 1 and said.startswith("+ version 2 from") and "1 customers assigned" in said
             status, said = await larklb("plans", "apply", str(new), operator)
             assert status == 0 and said.count("taken") == 3
-            assert sum([await granted(x, 3) for x in limiters]) == 0, "a larger burst is no gift"
-            assert sum([await granted(x, 5, account=2) for x in limiters]) == 15, "now on another plan"
-            assert sum([await granted(x, 5, account=3) for x in limiters]) == 5, "nor to idle ones"
+            assert sum([await granted(x, 3) for x in limiters]) == 0, (
+                "a larger burst adds no tokens to a spent bucket")
+            assert sum([await granted(x, 5, account=2) for x in limiters]) == 15, (
+                "customer 2 is on plan wide now")
+            assert sum([await granted(x, 5, account=3) for x in limiters]) == 5, (
+                "a larger burst adds no tokens to the bucket of an idle customer either")
             status, said = await larklb("plans", "show", operator, "--live", "--json")
             assert status == 0 and [json.loads(line)["counts"] for line in said.splitlines()] == [2, 2, 2]
             by_version: dict[tuple[str, int], int] = {}
@@ -116,7 +119,7 @@
             newest_versions = {r["name"]: r["newest"] for r in map(json.loads, said.splitlines())}
             assert status == 1 and newest_versions == {owner.name: 2, other.name: 2, third.name: 3}
             versions = {r["version"] for r in await rows(operator) if r["account"] == f"{1:016x}"}
-            assert versions == {2}, "the owner's version, whichever limiter asked"
+            assert versions == {2}, "requests are stamped with the owner's version, whichever limiter asked"
     asyncio.run(go())
 
 
@@ -144,11 +147,13 @@
             row = json.loads(said)
             assert status == 0 and (row["state"], row["copies"]) == ("open", 2)
             assert row["limiter"] == limiters[0].name
-            assert (await reserve(operator, "refit", "9", until="+700"))[0] == 3, "another window, one id"
+            assert (await reserve(operator, "refit", "9", until="+700"))[0] == 3, (
+                "the same id with another window is refused")
             status, said = await reserve(operator, "much", "1e6")
             assert status == 3 and "customer's share is 2 units a second" in said
             assert (await reserve(operator, "odd", "-1"))[0] == 3
-            assert sum([await granted(x, 5) for x in limiters]) == 15, "10 of the bucket, 5 reserved"
+            assert sum([await granted(x, 5) for x in limiters]) == 15, (
+                "10 units of the bucket and 5 reserved units")
             for x in limiters:
                 await x.stop(signal.SIGKILL)
             for x in limiters:
@@ -166,7 +171,7 @@
             assert {r["id"]: r["state"] for r in map(json.loads, said.splitlines())} == {
                 "refit": "spent", "next": "cancelled"}
             await limiters[0].stop(signal.SIGKILL)
-            assert (await reserve(operator, "late", "3"))[0] == 1, "only the owner can decide"
+            assert (await reserve(operator, "late", "3"))[0] == 1, "only the owner can accept a reservation"
             status, said = await larklb("reserve", "list", operator)
             assert status == 1 and "(copy)" in said and limiters[0].name in said
     asyncio.run(go())
@@ -182,7 +187,7 @@
             await owner.stop(signal.SIGKILL)
             await asyncio.sleep(max(0.0, begin.timestamp() - time.time()) + 0.1)
             remote_draws = [await granted(x, 10) for x in others]
-            assert remote_draws == [5, 5], "a slice of 3 each, and 6 / 3 reserved units"
+            assert remote_draws == [5, 5], "each limiter grants its share of 3 units and 6 / 3 reserved units"
             for x in others:
                 await x.stop(signal.SIGKILL)            # their draws must survive as well
                 await x.start()
@@ -191,7 +196,7 @@
                 await granted(x, 3)
             _, said = await larklb("reserve", "show", operator, "refit", "--json")
             assert (row := json.loads(said))["apart"] == 4.0 and row["left"] == 2.0 and row["state"] == "open"
-            assert await granted(owner, 8) == 6, "4 that are left in the bucket, and 2 reserved"
+            assert await granted(owner, 8) == 6, "4 units that are left in the bucket and 2 reserved units"
     asyncio.run(go())
 
 
--- a/tests/test_fleet_decisions.py
+++ b/tests/test_fleet_decisions.py
@@ -56,7 +56,9 @@
             paces[i].record_allowance(at, 0, allowed)
         allowances = [a for a in allowances if a[0] > now]
     seconds = [sum(s <= t < s + 1000 for t in arrivals) for s in range(0, 20000, 1000)]
-    assert seconds[0] <= INBOX * INBOX_FRACTION * 2 + senders, "before the first allowances have come"
+    assert seconds[0] <= INBOX * INBOX_FRACTION * 2 + senders, (
+        "the rate is limited before the first allowances arrive"
+    )
     assert max(seconds[3:]) <= INBOX and min(seconds[3:]) >= 0.4 * INBOX, seconds
 
 
@@ -102,7 +104,9 @@
     pace.start_request(at, 100, 1, 525.0)
     pace.next_retry(at + again, 100)
     pace.record_answer(at + 400.0, 100)
-    assert pace.peers[1].smoothed_rtt == before, "it may be the answer to either"
+    assert pace.peers[1].smoothed_rtt == before, (
+        "the answer to a retried request is no RTT sample: it may belong to either transmission"
+    )
     pace.clean(at + 1e6)
     assert not pace.peers and not pace.pending and not pace.inbox_by_peer
 
@@ -113,7 +117,7 @@
     for n in range(1000):
         now += 40.0
         pace.record_arrival(now, n % 5)
-    assert not pace.is_cut_off(now + 200.0), "five words are missing: that is chance"
+    assert not pace.is_cut_off(now + 200.0), "the absence of five expected messages may be chance"
     pace.start_request(now, 1, 3, 525.0)
     assert pace.next_retry(now + 200.0, 1) is not None
     assert pace.is_cut_off(now + 400.0) and pace.next_retry(now + 400.0, 1) is None
@@ -123,7 +127,9 @@
     assert not pace.is_cut_off(now + 800.0)
     lonely = PeerPacer(INBOX, TICK, AIM)
     lonely.record_arrival(0.0, 1)
-    assert not lonely.is_cut_off(5000.0), "who seldom hears a word misses none"
+    assert not lonely.is_cut_off(5000.0), (
+        "a long silence does not indicate a cut-off if messages are infrequent"
+    )
 
 
 # Subsets ----------------------------------------------------------------------------------
@@ -163,7 +169,9 @@
         parts, near = reach.cold_capacity_shares(digests), set(reach.select(digests))
         whole = [a + b for a, b in zip(whole, parts, strict=True)]
         if len(near) < servers:
-            assert {n for n, part in enumerate(parts) if part > 0} == near, "who sends there has a part of it"
+            assert {n for n, part in enumerate(parts) if part > 0} == near, (
+                "a limiter has a share of the cold capacity of exactly the servers in its reach"
+            )
     assert whole == pytest.approx([1.0] * servers)
 
 
@@ -210,11 +218,11 @@
         v.receive(0.0, 2, finding(1, 12.0, stamp))
     assert v.verdict(0.0, 7, 1) == 1.0
     v.record_evidence(0.0, 7, 1, 12.0)
-    assert v.verdict(0.0, 7, 1) == 1.0, "one's own evidence is no word of others"
+    assert v.verdict(0.0, 7, 1) == 1.0, "a limiter's own evidence does not count towards the quorum"
     v.receive(0.0, 2, finding(2, 5.0))
-    assert v.verdict(0.0, 7, 1) == 5.0, "the second worst"
+    assert v.verdict(0.0, 7, 1) == 5.0, "the verdict is the second worst finding of other limiters"
     assert v.verdict(HALF, 7, 1) == 3.0 and v.verdict(20 * HALF, 7, 1) < 1.01
-    assert v.verdict(0.0, 7, 2) == 1.0, "a node that fails for one class fails for that class"
+    assert v.verdict(0.0, 7, 2) == 1.0, "findings about one class do not affect other classes"
 
 
 def test_in_a_fleet_of_three_one_observer_suffices() -> None:
@@ -244,7 +252,7 @@
     assert v.verdict(0.0, 7, 1) == 1.0
     assert is_newer_stamp(5, 65500) and not is_newer_stamp(65500, 5) and not is_newer_stamp(5, 5)
     v.receive(0.0, 3, finding(0, 12.0, 9))
-    assert 0 not in v.findings[7, 1], "of one's own former self"
+    assert 0 not in v.findings[7, 1], "findings of this limiter's former incarnation are ignored"
 
 
 def test_later_good_findings_of_a_quorum_void_bad_ones() -> None:
@@ -252,12 +260,14 @@
     for observer in (1, 2, 3):
         v.receive(1000.0, observer, finding(observer, 12.0, 100, age=500.0))
     v.receive(1100.0, 4, finding(4, 1.0, 100))
-    assert v.verdict(1100.0, 7, 1) > BAD_SLOWNESS, "one may be lucky"
+    assert v.verdict(1100.0, 7, 1) > BAD_SLOWNESS, (
+        "the good finding of a single observer does not void bad ones"
+    )
     v.receive(1200.0, 5, finding(5, 1.0, 100))
     assert v.verdict(1200.0, 7, 1) == 1.0
     v.receive(1400.0, 1, finding(1, 12.0, 110))
     v.receive(1400.0, 2, finding(2, 12.0, 110))
-    assert v.verdict(1400.0, 7, 1) > BAD_SLOWNESS, "and it failed again"
+    assert v.verdict(1400.0, 7, 1) > BAD_SLOWNESS, "newer bad findings of a quorum count again"
 
 
 def test_an_observer_that_finds_most_subjects_bad_retracts_its_findings() -> None:
@@ -271,13 +281,15 @@
     for subject in range(10):
         sure.record_evidence(float(subject), subject, 1, 12.0 if subject in (3, 5) else 1.0)
     assert {f.subject for f in sure.findings_for(10.0, 5, 20) if f.slowness >= BAD_SLOWNESS} == {3, 5}
-    assert SELF_SUSPICION_MIN_SUBJECTS > 2, "two bad nodes that were looked at alone are no reason to doubt"
+    assert SELF_SUSPICION_MIN_SUBJECTS > 2, "two bad nodes alone do not make a limiter suspect itself"
 
 
 def test_a_finding_is_sent_once_to_a_peer_and_in_a_limited_number_of_messages() -> None:
     v = Verdicts(0, 200, HALF)
     v.receive(0.0, 9, finding(3))
-    assert not list(v.findings_for(0.0, 9, 6)) and not list(v.findings_for(0.0, 3, 6)), "they know"
+    assert not list(v.findings_for(0.0, 9, 6)) and not list(v.findings_for(0.0, 3, 6)), (
+        "a finding is not sent back to its sender or its observer"
+    )
     for peer in range(20, 20 + v.sends_per_finding):
         assert v.has_severe_unsent(0.0) and len(list(v.findings_for(0.0, peer, 6))) == 1
     assert not v.has_severe_unsent(0.0) and not list(v.findings_for(0.0, 199, 6))
@@ -335,7 +347,9 @@
         for observer in (5, 6, 7):
             assert not m.is_silent(now, subject)
             v.receive(now, observer, finding(observer, 8.0, 50, subject, LIMITER))
-    assert [m.state(now, peer) for peer in (1, 2)] == ["silent", "heard"], "own ears outweigh others"
+    assert [m.state(now, peer) for peer in (1, 2)] == ["silent", "heard"], (
+        "a recent message from the peer itself overrides the findings of others"
+    )
     assert m.rows(now) == {"heard": [2], "quiet": [], "silent": [1]}
     heard_at[1] = now + 10.0
     assert not m.is_silent(now + 10.0, 1)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -155,13 +155,13 @@
         bed.run(1500)
     breaker = bed.gateways[non_owner].breakers[1 - non_owner]
     assert breaker.failures >= 3 and not breaker.allows(bed.now)
-    assert 1 <= len(bed.of(io.Send)) <= 3, "half of the quota"
+    assert 1 <= len(bed.of(io.Send)) <= 3, "without its owner the gateway grants its share, half of the quota"
     bed.cut = False
     bed.ask(1 - non_owner, "x",
             customer=next(f"k{i}" for i in range(99) if owner_of(f"k{i}", 2) == non_owner))
     bed.run(300)
     assert bed.gateways[non_owner].breakers[1 - non_owner].allows(
-        bed.now), "a word from the owner closes it early"
+        bed.now), "a message from the owner closes the breaker early"
 
 
 def test_restarted_owner_does_not_grant_a_second_burst() -> None:
@@ -336,7 +336,7 @@
     bed.give(0, io.ServerList(io.ListKind.LOST))
     bed.run(1500.0)
     assert bed.of(io.Subscribe) == [io.Subscribe()] and bed.gateways[0].server_pool.up, (
-        "and the old list counts on"
+        "the former server list remains in use"
     )
 
 
--- a/tests/test_gateway_process.py
+++ b/tests/test_gateway_process.py
@@ -215,7 +215,7 @@
         writer.write(request(route, method, body, attempt_id, headers, time_left))
         got = await read(reader, bodiless=method == b"HEAD")
         writer.close()
-        assert got is not None, "no answer"
+        assert got is not None, "the connection was closed without an answer"
         return got
 
     async def wait_until(self, done: Callable[[], bool]) -> None:
@@ -388,9 +388,10 @@
             server_state.draining = name != first
         assert (await env.send("unsafe", attempt_id=b"a2")).body == b"whole"
         assert [call.server for call in env.received].count(first) == 2
-        assert env.connections == 3, "a new one, though the first rested"
+        assert env.connections == 3, (
+            "an unsafe request opens a new connection although an unidentified one is idle")
         assert (await env.send("safe", attempt_id=b"a3")).body == b"whole"
-        assert env.connections == 3, "what may run twice goes there"
+        assert env.connections == 3, "a safe request opens no new connection"
     run_scenario(test)
 
 
--- a/tests/test_hardening.py
+++ b/tests/test_hardening.py
@@ -211,7 +211,8 @@
     """Its numbers were below those of its previous incarnation: its counts were never settled again."""
     owner = Settlement(1)
     assert owner.on_count(0.0, 3, Count(9, 0, 9_000_000, 4.0, 0.0)) == 4.0
-    assert owner.on_count(500.0, 3, Count(9, 0, 70, 2.0, 0.0)) == 0.0, "a late word of the one before it"
+    assert owner.on_count(500.0, 3, Count(9, 0, 70, 2.0, 0.0)) == 0.0, (
+        "a lower incarnation is taken for a late message of a former one")
     restarted_at = 500.0 + INCARNATION_TIMEOUT_MS
     assert owner.on_count(restarted_at, 3, Count(9, 0, 70, 2.0, 0.0)) == 2.0
     assert owner.on_count(restarted_at, 3, Count(9, 0, 70, 3.0, 0.0)) == 1.0
@@ -304,7 +305,7 @@
         assert [type(e) for e in events] == [io.PeerMessage] and core.counters["errors.peers_socket"] == 1
         listener.close()
         await asyncio.sleep(peers.REOPEN_DELAY_MS / 1000.0 + 0.1)
-        assert listener.transport is None, "and an orderly end is one"
+        assert listener.transport is None, "a socket that was closed in order is not reopened"
     asyncio.run(go())
 
 
--- a/tests/test_lab_fleet.py
+++ b/tests/test_lab_fleet.py
@@ -62,7 +62,9 @@
 
     audit = asyncio.run(run())
     assert not audit.violations(script.load("bad-link")), audit.figures
-    assert [v for v in verdicts if set(v["observers"]) == {"0"}], "they were told"
+    assert [v for v in verdicts if set(v["observers"]) == {"0"}], (
+        "the findings of limiter 0 reached the others"
+    )
     assert not [v for v in verdicts if v["verdict"] > 1.0 and len(set(v["observers"]) - {"0"}) == 0]
     others = outcomes_of(audit, {1, 2, 3, 4, 5}, 2.0, 8.5)
     assert others.count("in time") >= 0.99 * len(others) and len(others) > 50
@@ -76,7 +78,7 @@
 @pytest.mark.parametrize("name", ["split", "one-way", "flapping"])
 def test_quotas_keep_their_bound_while_limiters_are_partitioned(name: str, tmp_path: Path) -> None:
     audit, _ = run_day(name, tmp_path)
-    assert audit.figures["refused"] > 0.3, "the quotas bind"
+    assert audit.figures["refused"] > 0.3, "the quotas limit the load"
     assert audit.figures["served"] > 0.2
 
 
@@ -124,7 +126,7 @@
 
 
 def test_fleet_status_reports_verdicts_and_disagreements(tmp_path: Path) -> None:
-    """A failing node and a limiter whose messages reach nobody are reported while the faults last only."""
+    """A failing node and a limiter whose messages reach nobody are reported only while the faults last."""
     # At a low rate only two limiters may send to the node, and a verdict needs two observers besides oneself.
     day = script.Script(words="", length=15.0, load=script.Load(rate=160.0), fault=(
         script.Fault(at=3.0, what="failing", lasts=7.0, to=("s0",)),
@@ -158,12 +160,12 @@
     asyncio.run(run())
     assert reports["before"][0] == 0 and len(reports["before"][1]) == 6
     status, rows = reports["while"]
-    assert status == 1, "they disagree"
+    assert status == 1, "the exit status reports the disagreement"
     text = reports["while text"][1][0]["text"]
     assert any(f"n{i} does not hear n0, which hears it" in text for i in range(1, 6)), text
     found = verdicts_on_s0()
     assert found and max(len(v["observers"]) for v in found) >= 2
-    assert any(v["verdict"] >= BAD_SLOWNESS for v in found), "by two others"
+    assert any(v["verdict"] >= BAD_SLOWNESS for v in found), "the fleet's verdict is bad at some limiter"
     assert not [v for r in rows for v in r["verdicts"] if v["node"] != "s0" and v["topic"] != "limiter"
                 and v["verdict"] >= BAD_SLOWNESS]
     assert reports["after"][0] == 0, reports["after text"][1][0]["text"]
@@ -192,7 +194,7 @@
 
     old = items(1)
     assert [(i.server, i.slow) for i in old if isinstance(i, pw.HealthReport)] == [
-        (7, 12.0)], "its sender's own"
+        (7, 12.0)], "an older version receives only the sender's own findings"
     assert not [i for i in old if isinstance(i, Finding)]
     x.pace.record_allowance(10.0, 2, 5.0)
     assert {i.subject for i in items(2) if isinstance(i, Finding)} == {7, 8}
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -133,7 +133,8 @@
     assert 13 <= slots[0] <= 14 and 13 <= slots[1] <= 14 and 2 <= slots[2] <= 3 and sum(slots) <= 30
     at += LEASE_MS + MAX_ATTEMPT_MS - 1.0
     kept = lender.handle_request(at, 2, LeaseRequest(5, int(at), int(at) - 500, 0, 0, 30), 30)
-    assert kept is not None and kept.slots <= 14, "the first may still have attempts out"
+    assert kept is not None and kept.slots <= 14, (
+        "slots stay reserved for the first holder while its attempts may be in flight")
     free = lender.handle_request(at + 2.0, 2, LeaseRequest(5, int(at) + 2, int(at), 0, 0, 30), 30)
     assert free is not None and free.slots == 30
     lender.clean(at + 1e6)
@@ -149,9 +150,9 @@
         b._act(i, g.actions)
     for n in range(6):
         b.ask(1, f"r{n}", plan="free")
-    assert len(b.of(io.Send)) == 1, "its base"
+    assert len(b.of(io.Send)) == 1, "the base slots of the limiter"
     b.run(300.0)
-    assert len(b.of(io.Send)) == 5, "its base and all that is lent"
+    assert len(b.of(io.Send)) == 5, "the base slots of the limiter and all slots that are lent"
     b.end(1, "r0")
     b.run(50.0)
     assert len(b.of(io.Send)) == 6
@@ -174,13 +175,14 @@
         lender.handle_request(150.0, 1, request, 4)
     for request in others[1].report_holdings(100.0, 0, lambda node: 0):
         lender.handle_request(150.0, 2, request, 4)
-    assert lender.reported == {2}, "another node's ask does not make up for it"
+    assert lender.reported == {2}, "a request for another node does not replace the lost report"
     first = lender.handle_request(151.0, 2, LeaseRequest(nodes[1], 151, 0, 0, 0, 4), 4)
     assert first is not None and first.slots == 0
     for request in others[0].report_holdings(200.0, 0, lambda node: 0):
         lender.handle_request(250.0, 1, request, 4)
     then = lender.handle_request(251.0, 2, LeaseRequest(nodes[1], 251, 151, 0, 0, 4), 4)
-    assert lender.reported == {1, 2} and then is not None and then.slots == 2, "the first has the others"
+    assert lender.reported == {1, 2} and then is not None and then.slots == 2, (
+        "the first holder has the other two slots")
 
 
 def test_further_attempts_stay_within_a_fraction_of_the_first_ones() -> None:
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -37,7 +37,7 @@
         b.record_failure(0.0, jitter=0.5)
     assert not b.allows(BREAKER_OPEN_MS * 1.09)
     assert b.allows(BREAKER_OPEN_MS * 1.11)
-    assert not b.allows(BREAKER_OPEN_MS * 1.11), "one trial only"
+    assert not b.allows(BREAKER_OPEN_MS * 1.11), "only a single trial is allowed"
     b.record_failure(BREAKER_OPEN_MS * 1.2, jitter=0.0)
     assert not b.allows(BREAKER_OPEN_MS * 1.3)
 
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -78,8 +78,9 @@
     one, two = version(1, 1000, FASTER), version(2, 30000, SLOWER)
     old = successor(settings_catalogue(PLANS), catalogue(one, two), 5000.0)
     assert [v.effective_at for v in old.versions] == [-math.inf, 5000.0, 30000.0], (
-        "the past counts from its arrival")
-    assert successor(old, catalogue(one, two), 9000.0).versions == old.versions, "the same file again"
+        "a version dated in the past takes effect on its arrival")
+    assert successor(old, catalogue(one, two), 9000.0).versions == old.versions, (
+        "the same catalogue again changes nothing")
     three = version(3, 40000, f'[version.customers]\n"{C}" = "free"')
     for bad, why in (((one,), "ends with version 1"), ((two, three), "version 1, which is here"),
                      ((version(1, 1000, SLOWER), two), "version 1 differs"),
@@ -147,7 +148,7 @@
     away = TokenBucket(1.0, 3.0, 0.5, 0.0)
     away.change(0.0, 0.0, 0.0)
     away.change(9000.0, 1.0, 3.0)
-    assert away.tokens == 0.5, "through a plan without a rate a bucket rests"
+    assert away.tokens == 0.5, "a bucket keeps its tokens while its plan has no rate"
 
 
 # The decision module with a catalogue -------------------------------------------------------
@@ -207,11 +208,13 @@
     b.cut = True
     b.ask(other, "t", customer=C)
     b.run(1000)
-    assert stamps(b)["t"].version == (3 if knows[1] else 0), "a fallback stamps its own"
+    assert stamps(b)["t"].version == (3 if knows[1] else 0), (
+        "a limiter without contact to the owner stamps its own version")
     assert max(len(a.data) for a in b.of(io.SendToPeer)) <= pw.MAX_DATAGRAM_BYTES
     longer = [item for a in b.of(io.SendToPeer) for item in pw.unpack(a.data)
               if isinstance(item, pw.AskReply) and item.plan is not None]
-    assert bool(longer) == (knows == (True, True)), "an older program would drop the whole message"
+    assert bool(longer) == (knows == (True, True)), (
+        "only peers that can parse it get the extended reply; others would drop the whole message")
 
 
 def test_newer_version_of_a_peer_is_logged_once_and_not_adopted() -> None:
@@ -269,7 +272,8 @@
         for i in range(5):
             b.ask(0, f"{at}-{i}", customer=C)
     sent = [a.request.split("-")[0] for a in b.of(io.Send)]
-    assert [sent.count(str(at)) for at in (900, 1500, 2500)] == [3, 5, 0], "nothing filled while it rested"
+    assert [sent.count(str(at)) for at in (900, 1500, 2500)] == [3, 5, 0], (
+        "the bucket does not fill while the customer is on another plan")
     assert {s.plan for s in stamps(b).values()} == {"rate", "free"}
 
 
@@ -311,7 +315,8 @@
     with pytest.raises(RefusedError, match="fleet's share is 2 units a second"):
         book.add(others[3], True, 0.0, rate=1.0)
     book.cancel("o0", 0.0)
-    assert book.add(others[3], True, 0.0, rate=1.0).state is State.HELD, "what is cancelled is free again"
+    assert book.add(others[3], True, 0.0, rate=1.0).state is State.HELD, (
+        "a cancelled reservation frees its part of the fleet's share")
 
 
 def reserving(*reserved: Wanted, owned: bool = True) -> Entitlements:
@@ -346,7 +351,8 @@
     for i in range(10):
         b.ask((owner, other)[i % 2], f"r{i}", customer=C)
         b.run(100)
-    assert len(b.of(io.Send)) in (7, 8), "three of the bucket, four reserved, and one that has filled since"
+    assert len(b.of(io.Send)) in (7, 8), (
+        "three units of the burst, four reserved, and possibly one that has accrued since")
     held = books[owner].reservations
     assert held is not None and held.by_name["refit"].state is State.SPENT
     drawn = next(a for a in b.of(io.Send) if a.stamp.reservation)
@@ -364,14 +370,14 @@
         b.ask(other, f"r{i}", customer=C)
         b.run(500)
     drawn = [s for s in stamps(b).values() if s.reservation]
-    assert len(drawn) == 2, "its part is 4 / 2 units"
+    assert len(drawn) == 2, "the limiter's part of the reservation is 4 / 2 units"
     b.cut = False
     for i in range(8):
         b.ask(other, f"s{i}", customer=C)
         b.run(300)
     held = books[owner].reservations
     assert held is not None and held.by_name["refit"].remote_draws == {other: 2.0}
-    assert not books[other].unconfirmed, "confirmed, and not told again"
+    assert not books[other].unconfirmed, "confirmed draws are not reported again"
     total = sum(1 for s in stamps(b).values() if s.reservation)
     assert total <= 4 and held.by_name["refit"].drawn + 2.0 == total
 
--- a/tests/test_request_cancellation.py
+++ b/tests/test_request_cancellation.py
@@ -108,7 +108,7 @@
     for cause in Cause:
         for safe in (True, False):
             unsent = {action_for(cause, phase, safe=safe) for phase in Phase if phase is not Phase.WAITING}
-            assert unsent == {Action.STOP}, "what hasn't been sent is never sent after its end"
+            assert unsent == {Action.STOP}, "a request that has not been sent is stopped, whatever the cause"
 
 
 @pytest.mark.parametrize("close", CLOSES)
@@ -184,7 +184,7 @@
         writer.write(request(route, headers=b"Authorization: Bearer k1\r\n"))
         await asked.wait()
         writer.close()
-        assert await becomes_true(lambda: is_idle(env)), "it waits no longer"
+        assert await becomes_true(lambda: is_idle(env)), "the request no longer waits for the quota decision"
         env.proceed.set()
         await asyncio.sleep(0.05)
         assert not env.received
@@ -207,7 +207,8 @@
         writer.write(request(route))
         await dialling.wait()
         writer.close()
-        assert await becomes_true(lambda: is_idle(env)), "the dial is called off, and blames nobody"
+        assert await becomes_true(lambda: is_idle(env)), (
+            "the dial is cancelled and does not count as a failure of the server")
         env.proceed.set()
         await asyncio.sleep(0.05)
         assert not env.received and not env.servers.open_connections
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -117,11 +117,14 @@
         bed.ask(0, f"r{i}", plan="free")
         low_load.ask(0, f"r{i}", plan="free")
         low_load.end(0, f"r{i}")
-    assert 1 <= len(bed.of(io.Send)) <= 6, "room of all servers x its part of the gateways"
+    assert 1 <= len(bed.of(io.Send)) <= 6, (
+        "the capacity of all servers times the gateway's fraction of the fleet")
     reach = {s.entry.server for s in low_load.gateways[0].server_pool.in_reach}
     assert (len(reach) < 12
-            and len({a.server for a in low_load.of(io.Send)} & reach) >= 6), "no fixed order in it"
-    assert {a.server for a in low_load.of(io.Send)} <= reach, "while those in reach have room"
+            and len({a.server for a in low_load.of(io.Send)} & reach) >= 6), (
+        "the requests are spread over the servers in reach, in no fixed order")
+    assert {a.server for a in low_load.of(io.Send)} <= reach, (
+        "servers out of reach are used only if none in reach has capacity left")
 
 
 def test_work_per_event_does_not_grow_with_the_number_of_gateways() -> None:
@@ -152,7 +155,7 @@
         bed.run(25)
     late = [a for at, _, a in bed.log if isinstance(a, io.SendToPeer) and at > bed.now - 1000
             and a.peer == owner_of("c", first_of("c"), 20, FLEET_SIZE)]
-    assert len(late) <= 12, "of 40 requests a second"
+    assert len(late) <= 12, "most of the 40 requests a second are refused from the cache"
 
 
 def test_server_that_is_full_for_one_plan_still_gets_other_plans() -> None:
@@ -192,7 +195,8 @@
     for r in range(150):
         bed.ask(1, f"r{r}", plan="open", customer="c", first=0, spread=FLEET_SIZE)
         bed.run(20)
-    assert len(bed.of(io.Send)) >= 16, "two slots of a tenth of a second each, in three seconds"
+    assert len(bed.of(io.Send)) >= 16, (
+        "two slots that are each occupied for 100 ms serve at least 16 requests in 3 s")
 
 
 def test_findings_about_failing_servers_reduce_wasted_attempts() -> None:
--- a/tests/test_schema.py
+++ b/tests/test_schema.py
@@ -78,10 +78,11 @@
     found = check(document, 0)
     assert found.tenants is not None and found.tenants[0].rate_per_s == 0
     assert found.hosts[0].paths[0].tries == 2
-    assert Keys(found).tenant("") is None, "an empty key is none"
+    assert Keys(found).tenant("") is None, "an empty key identifies no tenant"
     del document["tenants"]
     assert not Keys(check(document, 0)).needed
-    assert Keys(check({**document, "tenants": []}, 0)).needed, "routes stay shut when the last tenant goes"
+    assert Keys(check({**document, "tenants": []}, 0)).needed, (
+        "an empty list of tenants still makes keys mandatory")
 
 
 def _path(document: dict[str, Any], i: int = 0) -> dict[str, Any]:
@@ -132,7 +133,8 @@
         check(document, 6)
     assert len(caught.value.problems) == 1 and expected_field in caught.value.problems[0]
     assert re.fullmatch(r"[^ ]+: .+: .+", caught.value.problems[0])
-    assert "k3y-one" not in str(caught.value), "a key in a log lets its reader in"
+    assert "k3y-one" not in str(caught.value), (
+        "no key may appear in an error: whoever reads it in a log could use it")
 
 
 def test_problems_are_bounded() -> None:
--- a/tests/test_settling.py
+++ b/tests/test_settling.py
@@ -63,18 +63,21 @@
 def test_former_incarnations_are_ignored_and_a_new_owner_starts_from_the_confirmed_part() -> None:
     owner = Settlement(1)
     assert owner.on_count(0.0, 3, Count(9, 0, 10, 4.0, 0.0)) == 4.0
-    assert owner.on_count(0.0, 3, Count(9, 0, 11, 2.0, 0.0)) == 2.0, "restarted: its counts begin anew"
-    assert owner.on_count(0.0, 3, Count(9, 0, 10, 9.0, 0.0)) == 0.0, "from before its restart"
+    assert owner.on_count(0.0, 3, Count(9, 0, 11, 2.0, 0.0)) == 2.0, (
+        "the counts of a new incarnation start at zero")
+    assert owner.on_count(0.0, 3, Count(9, 0, 10, 9.0, 0.0)) == 0.0, (
+        "a count of the former incarnation is ignored")
     assert owner.on_count(0.0, 3, Count(9, 0, 11, 3.0, 0.0)) == 1.0
     new_owner = Settlement(2)
     assert new_owner.on_count(0.0, 3, Count(9, 0, 11, 5.0, 3.0)) == 2.0, (
-        "what the former owner confirmed is done")
+        "units that the former owner confirmed are not charged again")
     asker = Settlement(11)
     asker.record_admitted(0.0, 9, 0, 0, 5.0)
     for confirmation in (Confirmed(9, 10, 5.0), Confirmed(8, 11, 5.0)):
         asker.on_confirmed(0.0, 0, confirmation)
     asker.on_confirmed(0.0, 1, Confirmed(9, 11, 5.0))
-    assert asker.unconfirmed_count(9) is not None, "not of this incarnation, customer or owner"
+    assert asker.unconfirmed_count(9) is not None, (
+        "confirmations for another incarnation, for another customer or from another owner are ignored")
     asker.on_confirmed(0.0, 0, Confirmed(9, 11, 5.0))
     assert asker.unconfirmed_count(9) is None
 
@@ -203,7 +206,7 @@
         side.record_request(2e4 + step * 100.0, 9, 1.0)
     assert side.local_share(2.6e4, 9, 3) == pytest.approx(expected)
     assert side.local_share(2.6e4, 8, 3) == pytest.approx(1 / 3), (
-        "of a customer that the owner told nothing of")
+        "without a share granted by the owner a customer gets an equal part")
 
 
 def test_escrow_covers_units_admitted_elsewhere_and_returns_the_rest() -> None:
@@ -214,12 +217,13 @@
     bucket.fill(2000.0)
     assert bucket.tokens == pytest.approx(12.0) and bucket.escrow == pytest.approx(16.0)
     bucket.fill(4000.0)
-    assert bucket.tokens == 20.0 and bucket.escrow == pytest.approx(28.0), "and what it could not hold"
+    assert bucket.tokens == 20.0 and bucket.escrow == pytest.approx(28.0), (
+        "tokens beyond the burst go to the escrow")
     bucket.set_part(4000.0, 1.0)
     bucket.settle(4000.0, 25.0, debt=20.0)
     assert bucket.tokens == 20.0 and bucket.escrow == pytest.approx(3.0)
     bucket.settle(4000.0, 50.0, debt=20.0)
-    assert bucket.tokens == -20.0, "a debt is bounded: nobody pays for it longer than two bursts take"
+    assert bucket.tokens == -20.0, "the debt is bounded, so that it takes no longer to refill than two bursts"
     bucket.escrow = 5.0
     bucket.release_escrow(4000.0)
     assert bucket.tokens == -15.0 and bucket.escrow == 0.0
@@ -270,7 +274,8 @@
     s = net.SCENARIOS["split"]
     day = net.Net(4, net.customers_of(s, 4, 10, 3, 5), net.link_of(s, 4), 5)
     day.run(34000.0)
-    assert any(g.fallback.settlement.unconfirmed for g in day.gateways.values()), "something was let in apart"
+    assert any(g.fallback.settlement.unconfirmed for g in day.gateways.values()), (
+        "units were admitted without their owner during the split")
     day.run(35000.0 + PEER_TIMEOUT_MS + ESCROW_RELEASE_DELAY_MS + 1500.0)
     for g in day.gateways.values():
         late = [m for waiting in g.fallback.settlement.unconfirmed.values() for m in waiting.values()
@@ -343,11 +348,12 @@
             assert sum(used) == 7
             relay.cut = lambda sender, to: owner.number in (sender, to)
             apart = await granted(other, 6)
-            assert 1 <= apart <= 5, "by its copy, then its share of three tokens and the slack"
+            assert 1 <= apart <= 5, (
+                "limited by the bucket copy, then by its share of three tokens and the slack")
             relay.cut = lambda sender, to: False
             await asyncio.sleep(3.5)
             rest = await granted(owner, 10) + await granted(third, 3)
-            assert 9 <= 7 + apart + rest <= 12, "all of it, and no second burst"
+            assert 9 <= 7 + apart + rest <= 12, "the limiters grant the whole quota, but no second burst"
             # The owner restarts without state; its peers' copies show that no tokens are left.
             await owner.stop()
             await owner.start()
@@ -397,9 +403,9 @@
     dry.settle(2000.0, 3.0, 6.0)
     assert 5.0 < full.tokens <= 6.0 and dry.tokens == 1.0
     full.settle(2000.0, 3.0, 6.0)
-    assert full.tokens < 4.0, "it is there once"
+    assert full.tokens < 4.0, "spilt tokens are credited only once"
     late = TokenBucket(2.0, 6.0, 6.0, 0.0)
     late.fill(2000.0)
     late.tokens = 0.0
     late.settle(4950.0, 6.0, 6.0)
-    assert late.tokens < 2.0, "what was spilt long ago would not have been there"
+    assert late.tokens < 2.0, "tokens that were spilt long ago have decayed"
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -42,7 +42,7 @@
     async def go() -> None:
         async with Cluster(tmp_path) as yard:
             assert (await ask(yard.limiters[0].port, text))[0] == status
-            assert (await ask(yard.limiters[0].port, job()))[0] == 200, "and the next one is served"
+            assert (await ask(yard.limiters[0].port, job()))[0] == 200, "the next request is served"
             assert yard.attempts().total() == 1
     asyncio.run(go())
 
@@ -61,7 +61,8 @@
             assert (await ask(port, job()))[0] == 200
             slow.write(text[-1:])
             assert (await read_answer(slow_reader))[0] == 200
-            assert b" 408 " in await asyncio.wait_for(half_reader.read(), 8), "told, and closed"
+            assert b" 408 " in await asyncio.wait_for(half_reader.read(), 8), (
+                "an incomplete request is answered with 408 before the connection is closed")
             for reader, _ in silent:
                 try:
                     assert await asyncio.wait_for(reader.read(), 8) == b""
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -154,7 +154,7 @@
     assert other.stdout is not None and other.stdout.readline() == b"looks\n"
     with pytest.raises(FolderLockedError):
         LockedFolder(tmp_path)
-    assert not is_locked(tmp_path), "two who look do not take each other for its holder"
+    assert not is_locked(tmp_path), "a concurrent check is not mistaken for a running instance"
     LockedFolder(tmp_path, patience_s=10.0).close()
     other.communicate()
 
--- a/tests/test_system_cli.py
+++ b/tests/test_system_cli.py
@@ -136,7 +136,8 @@
     whole, change = (put(tmp_path, "new.json", json.dumps(CONFIGURATION, indent=1)),
                      put(tmp_path, "c", AMENDMENT))
     assert system.main(["replace", core.address, whole, "--base", "0"]) == 0
-    assert [body for _, _, body in core.asked] == [Path(whole).read_bytes()] * 2, "sent again unchanged"
+    assert [body for _, _, body in core.asked] == [Path(whole).read_bytes()] * 2, (
+        "a retry repeats the body unchanged")
     assert {h[k] for _, h, _ in core.asked for k in h if k.lower() == calls.BASE_VERSION_HEADER} == {"0"}
     assert system.main(["amend", core.address, change, "--base", "1"]) == 1
     assert system.main(["amend", core.address, change, "--base", "1", "--json"]) == 1
@@ -152,7 +153,7 @@
     err = capsys.readouterr().err
     assert f"{bad}: hosts[0].paths[0].prefix: (missing): must be given" in err and "above 3" in err
     assert 'ADDRESS: "host": must be host:port' in err and "/none: No such file" in err
-    assert len(core.asked) == 4, "what can't be used isn't sent"
+    assert len(core.asked) == 4, "invalid input is not sent"
     monkeypatch.setattr(system_calls, "CALL_TIMEOUT_S", 0.0)
     caller = Caller([dead(answerer)], 0.0)
     monkeypatch.setattr("larklb.cli.system_config.Caller", lambda places: caller)
@@ -239,7 +240,7 @@
 def test_versions_reports_nodes_that_differ(answerer: Make, capsys: pytest.CaptureFixture[str]) -> None:
     same = fleet(answerer, [{}, {"digest": ""}, {}], ["up", "up", "down"])
     assert system.main(["versions", same[0].address]) == 0
-    assert system.main(["members", same[0].address]) == 1, "one is down"
+    assert system.main(["members", same[0].address]) == 1, "one limiter is down"
     other = fleet(answerer, [{}, {"version": 5}, {}], ["up"] * 3)
     other[2].server.shutdown()
     other[2].server.server_close()
@@ -297,14 +298,14 @@
         ["up"] * 3)
     made[2].server.shutdown()
     made[2].server.server_close()
-    assert system.main(["metrics", made[0].address]) == 1, "one is silent"
+    assert system.main(["metrics", made[0].address]) == 1, "one limiter does not answer"
     out, err = capsys.readouterr()
     families = {family.name: family for family in text_string_to_metric_families(out)}
     assert set(families) == {f"larklb_{name}" for name in (
         "members up ready leaving uptime_seconds configuration_version events words word_bytes "
         "open_connections servers servers_silent quota_tokens quota_rate quota_burst quota_apart "
         "quota_untold core_leader core_settled core_voters core_term core_log_last core_log_commit "
-        "core_version core_saving core_serves").split()}, "dashboards know these names"
+        "core_version core_saving core_serves").split()}, "dashboards depend on these metric names"
     assert "n2: 127.0.0.1" in err and all(family.documentation for family in families.values())
     found = {(s.name.removeprefix("larklb_"), *(value for _, value in sorted(s.labels.items()))): s.value
              for family in families.values() for s in family.samples}
@@ -374,7 +375,7 @@
     assert [row["node"] for row in found[f"{calls.MEMBERS}?after=limiter-98"]["members"]] == ["limiter-99"]
     assert [row["id"] for row in found[f"{calls.SERVERS}?service=t1"]["servers"]] == ["s1", "s3"]
     assert [row["tenant"] for row in found[f"{calls.QUOTAS}?tenant=skiff"]["quotas"]] == ["skiff"]
-    assert list(found.values())[-1] == 400, "a query of any length is not taken apart"
+    assert list(found.values())[-1] == 400, "a query with too many fields is rejected"
     assert not any(key in json.dumps(found) for key in KEYS)
 
 
@@ -411,9 +412,11 @@
         return found
 
     found = asyncio.run(refused())
-    assert found[0] == why.value.problems and "x; y" in found[0][1], "each as the check told it"
+    assert found[0] == why.value.problems and "x; y" in found[0][1], (
+        "problems are reported exactly as the check describes them")
     assert all(problems and all(isinstance(line, str) for line in problems) for problems in found)
-    assert [line.split(":")[0] for line in found[5]] == ["address"], "the first of an item"
+    assert [line.split(":")[0] for line in found[5]] == ["address"], (
+        "only the first problem of an item is reported")
     call = OperatorCall(number=1, session="s", kind="replace", base=0, body="", hops=1)
     answer = CallResult(400, "a; b", problems=("a; b", "c")).answer_to(call)
     passed_on = messages.decode(messages.encode(messages.with_sender(answer, "n", "10.0.0.1")))
@@ -477,7 +480,8 @@
     assert system.main(["disk", "dump", str(folder), "--generation", str(earlier)]) == 0
     before = json.loads(capsys.readouterr().out)["version"]
     names = sorted(path.name for path in folder.iterdir())
-    assert system.main(["disk", "restore", str(folder), str(earlier)]) == 1, "without --yes nothing is done"
+    assert system.main(["disk", "restore", str(folder), str(earlier)]) == 1, (
+        "nothing is changed without --yes")
     assert system.main(["disk", "restore", str(folder), str(newest), "--yes"]) == 1
     assert system.main(["disk", "restore", str(folder), "99", "--yes"]) == 2
     assert f"must be one of {earlier}, {newest}" in capsys.readouterr().err
@@ -486,10 +490,11 @@
     assert system.main(["disk", "restore", str(folder), str(earlier), "--yes", "--json"]) == 0
     assert json.loads(capsys.readouterr().out)["to"] == before
     after = Store(folder).load()
-    assert after is not None and after["ballot"] == ballot, "votes never go back"
+    assert after is not None and after["ballot"] == ballot, "restoring the log does not reset the votes"
     assert system.main(["disk", "check", str(folder), "--json"]) == 0
     assert json.loads(capsys.readouterr().out)["version"] == before < 3
-    assert system.main(["disk", "dump", str(folder), "--generation", str(newest)]) == 0, "it stays beside"
+    assert system.main(["disk", "dump", str(folder), "--generation", str(newest)]) == 0, (
+        "the replaced generation is kept")
     assert json.loads(capsys.readouterr().out)["version"] == 3
     # A limiter discards a log of another group at its start, and the disk would come back empty.
     store.save({"log": stranger.load()["log"]})                                   # type: ignore[index]
@@ -528,7 +533,7 @@
     status.mark_in_use(str(store.folder))
     assert system.main(["disk", "restore", str(store.folder), str(earlier), "--yes"]) == 2
     assert "a limiter runs on it: stop that process first" in capsys.readouterr().err
-    assert system.main(["disk", "check", str(store.folder)]) == 0, "a look is harmless"
+    assert system.main(["disk", "check", str(store.folder)]) == 0, "checking a disk in use is allowed"
     assert "while a limiter runs on it" in capsys.readouterr().out
 
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -133,7 +133,7 @@
             assert set(slow) == {200, 429} and slow[200] == 10
             assert set(yard.attempts().values()) == {1}
             assert await yard.limiters[0].stop() == 0
-            assert not list(tmp_path.glob("*.sock")), "the meeting place is left clean"
+            assert not list(tmp_path.glob("*.sock")), "the sockets of the upgrade are removed"
     asyncio.run(go())
 
 
@@ -340,7 +340,7 @@
         n: s.judgements for n, s in old.servers.items()
     }
     assert new.start(bed.now) and not any(isinstance(a, io.SendToPeer) for a in new.actions), (
-        "it does not greet"
+        "a gateway that continues with transferred state announces no start to its peers"
     )
 
 
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -135,7 +135,8 @@
         await asyncio.sleep(0)
         await asyncio.sleep(0)
         tally = read(tmp_path)
-        assert tally.counted == t.Sum(1_000_000, 1) and not tally.begun, "no byte of the others went out"
+        assert tally.counted == t.Sum(1_000_000, 1) and not tally.begun, (
+            "tries whose request was not fully sent are not counted")
         x.close()
     asyncio.run(go())
 
@@ -223,7 +224,7 @@
         assert len(x.tally.rows) <= 32 and x.counters["errors.ledger_unattributed"] > 0
         assert sum("near its bound" in r.message for r in caplog.records) == 1
         assert len(t.replay_records([t.encode(x.tally.base())]).periods) < 12, (
-            "no new period while it is full")
+            "no new period begins while the outbox is full")
         done = tmp_path / "out"
         await ex.Exporter(x, x.counters, done).all()
         await x.seal()
@@ -321,7 +322,7 @@
 
 
 async def until_dead(limiter: Limiter, number: int) -> None:
-    """Sends jobs until the process has died at its step."""
+    """Sends jobs until the process has died at the step of its fault."""
     # Some steps are reached by time, whatever the number of jobs.
     deadline, i = time.monotonic() + 20.0, 0
     while time.monotonic() < deadline:
@@ -333,7 +334,7 @@
             await ask(limiter.port, job(account=number * 1000 + i % 7, service="place-order"))
         except (OSError, asyncio.IncompleteReadError):
             await asyncio.sleep(0.01)
-    raise AssertionError(f"{limiter.environment} was not reached")
+    raise AssertionError(f"the process has not died at the step of {limiter.environment}")
 
 
 async def kill_at_step(folder: Path, step: str, number: int) -> None:
@@ -365,7 +366,7 @@
             if not list(outbox.iterdir()):
                 break
             await asyncio.sleep(0.02)
-        assert not list(outbox.iterdir()), "what is acknowledged goes"
+        assert not list(outbox.iterdir()), "acknowledged batches are removed from the outbox"
         assert round(receiver.units() * t.MICROUNITS_PER_UNIT) == found.tally.counted.units
         # Tries that the ledger counted and no node recorded were in flight at a kill and are in doubt.
         executed, doubts = set(yard.attempts()), {d.job for d in found.tally.doubts}
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -78,7 +78,9 @@
         for n in range(6):
             zones.record_outcome(10.0, name, 100 * "abc".index(name) + n, False)
     zones.evaluate(20.0)
-    assert not zones.reduced_fractions, "its own link, or a load that slows all alike"
+    assert not zones.reduced_fractions, (
+        "failures everywhere indicate the limiter's own link or a general overload"
+    )
 
 
 def test_a_zone_with_some_serving_nodes_is_not_lost() -> None:
@@ -111,7 +113,7 @@
     assert state(zones, "b") == "home"
     zones.record_outcome(450.0, "b", 105, True)
     zones.evaluate(1500.0)
-    assert state(zones, "b") == "home", "it answered after they had been given up"
+    assert state(zones, "b") == "home", "a success after the timeouts shows that the zone serves"
     for n in range(4):
         zones.record_timeout(1600.0, "b", 100 + n)
     zones.record_outcome(1700.0, "a", 0, True)
@@ -135,7 +137,7 @@
         tell(zones, 8.0, o, "b", 1.0)
     for o in (1, 2):
         tell(zones, 10.0 + 100.0 * o, o, "b")
-    assert state(zones, "b") == "home", "as many are served there"
+    assert state(zones, "b") == "home", "as many recent findings report the zone healthy as lost"
 
 
 def test_a_limiter_that_is_served_stays_and_reports_it() -> None:
@@ -153,7 +155,9 @@
     mine = zones.verdicts.findings[zones.by_name["b"].short_id, ZONE][0]
     assert mine.slowness == 1.0
     zones.evaluate(12.0 + zs.HEALTHY_EVIDENCE_MS + 1.0)
-    assert state(zones, "b") == "away", "what it saw itself is too long ago"
+    assert state(zones, "b") == "away", (
+        "outdated evidence of its own no longer overrides the findings of others"
+    )
 
 
 def test_the_remaining_weight_never_falls_below_the_minimum() -> None:
@@ -166,7 +170,7 @@
     zones = made(nodes=few)
     for o in (1, 2, 3):
         tell(zones, 10.0, o, "a")
-    assert state(zones, "a") == "home", "the rest is less than a fifth"
+    assert state(zones, "a") == "home", "the remaining zones have less than a fifth of the total weight"
     assert zones.by_name["a"].weight == 9.0
 
 
@@ -213,7 +217,7 @@
     assert all(b > a for a, b in zip(holds[:4], holds[1:4], strict=False))
     assert max(holds) <= zs.MAX_HOLD_MS * (1.0 + zs.HOLD_JITTER)
     others = {made(i).hold(replace(zones.by_name["b"])) for i in range(9)}
-    assert len(others) > 6, "not all at one moment"
+    assert len(others) > 6, "limiters return at different times because the hold is jittered"
 
 
 def test_few_limiters_probe_and_they_change_with_the_slot() -> None:
@@ -227,7 +231,7 @@
         for zones in fleet:
             if zones.zone_to_probe(now) == "b":
                 zones.record_probe(now, "b")
-                assert zones.zone_to_probe(now + 1.0) is None, "one in a slot"
+                assert zones.zone_to_probe(now + 1.0) is None, "a limiter probes a zone at most once per slot"
                 probes.append(zones.number)
     assert 0.6 * zs.PROBERS_PER_SLOT < len(probes) / 40 < 1.5 * zs.PROBERS_PER_SLOT
     assert len(set(probes)) > 0.7 * len(probes)
@@ -251,7 +255,9 @@
     assert zones.capacity_fraction("b") == 0.0 and zones.zone_to_probe(3000.0) is None
     assert "works on the rack" in zones.rows(10.0)[1]["override"]
     zones.evaluate(5001.0)
-    assert state(zones, "b") == "returning" and not zones.overrides, "nobody has to take it back"
+    assert state(zones, "b") == "returning" and not zones.overrides, (
+        "an override ends by itself when it expires"
+    )
     fail(zones, 9000.0, "a")
     assert zones.override(9001.0, "a", Override(False, 20_000.0, "the probe is wrong"))
     assert state(zones, "a") == "returning"
@@ -316,7 +322,7 @@
     gateway.zones.override(bed.now, "b", Override(True, bed.now + 5000.0, "test"))
     moved = gateway.zones_changed(bed.now)
     assert sum(isinstance(a, io.Cancel) for a in moved) == len(there)
-    assert sum(isinstance(a, io.SetTimer) for a in moved), "its end comes by time alone"
+    assert sum(isinstance(a, io.SetTimer) for a in moved), "the end of the override needs a timer"
     assert all(gateway.server_pool.warm_share(gateway.servers[n], bed.now) == 0.0 for n in there)
     assert not [s for s in gateway.server_pool.in_reach if s.entry.zone == "b"]
     before = len(bed.log)
@@ -480,7 +486,9 @@
     releases = () if fault else tuple((2000.0 + 300.0 * n, n) for n in range(12))
     day = replace(SMALL, faults=(fault,) if fault else (), releases=releases, loss=0.1)
     net = simulate(day, 2)
-    assert sum(len(of) for of in net.left_at.values()) <= 1, "one may see too little of a half"
+    assert sum(len(of) for of in net.left_at.values()) <= 1, (
+        "one limiter may leave a half-failed zone, having used too few of its healthy nodes"
+    )
     assert net.served_fraction(0.0, 7000.0) > 0.97
 
 
@@ -546,7 +554,7 @@
 def test_limiters_in_a_partitioned_zone_use_its_nodes(tmp_path: Path) -> None:
     audit, seen = watched("zone-cut", tmp_path)
     assert away(seen, 3.0, 8.0) >= {0, 2, 3, 5}
-    assert not away(seen, 3.0, 7.0) & {1, 4}, "inside they are served there"
+    assert not away(seen, 3.0, 7.0) & {1, 4}, "limiters inside the partitioned zone are served by its nodes"
     inside = [Rig._end(t) for t in audit.tries if t.limiter in (1, 4) and 3.5 <= t.submitted_at < 6.5]
     assert len(inside) > 40 and inside.count("in time") >= 0.85 * len(inside)
     assert back(seen) == set(range(6))
