--- a/tests/test_adopt.py
+++ b/tests/test_adopt.py
@@ -43,8 +43,8 @@
     async def go() -> None:
         receiver = Receiver(moods)
         await receiver.start()
-        async with Cluster(tmp_path, 3, more=text(receiver, 0.3 if moods else 60.0)) as yard:
-            lost = yard.limiters[0]
+        async with Cluster(tmp_path, 3, more=text(receiver, 0.3 if moods else 60.0)) as cluster:
+            lost = cluster.limiters[0]
             for i in range(7):
                 assert (await ask(lost.port, job(account=i, service="place-order")))[0] == 200
             for _ in range(200 if moods else 0):
@@ -62,7 +62,7 @@
             found = audit(folder, "n0")
             assert not found.differences and found.tally.counted.tries == 7 == found.tally.acked.tries
             counts: Counter[str] = Counter()
-            for limiter in yard.limiters[1:]:
+            for limiter in cluster.limiters[1:]:
                 counts.update(await limiter.counters())
             assert counts["adopted.ledgers"] == 1 and not counts["errors.adopted"]
             for _ in range(100):
@@ -85,8 +85,8 @@
     async def go() -> None:
         receiver = Receiver()
         await receiver.start()
-        async with Cluster(tmp_path, 2, more=text(receiver)) as yard:
-            first = yard.limiters[0]
+        async with Cluster(tmp_path, 2, more=text(receiver)) as cluster:
+            first = cluster.limiters[0]
             for i in range(3):
                 assert (await ask(first.port, job(account=i)))[0] == 200
             await asyncio.sleep(2.5)
@@ -99,13 +99,13 @@
     async def go() -> None:
         receiver = Receiver()
         await receiver.start()
-        async with Cluster(tmp_path, 2, more=text(receiver).replace(ADOPT, "adopt_s = 8.0\n")) as yard:
-            first = yard.limiters[0]
+        async with Cluster(tmp_path, 2, more=text(receiver).replace(ADOPT, "adopt_s = 8.0\n")) as cluster:
+            first = cluster.limiters[0]
             assert (await ask(first.port, job()))[0] == 200
             await first.stop(signal.SIGKILL)
             await first.start()
             await asyncio.sleep(3.0)
-            assert receiver.deliveries == 0 and "adopted.ledgers" not in await yard.limiters[1].counters()
+            assert receiver.deliveries == 0 and "adopted.ledgers" not in await cluster.limiters[1].counters()
         await receiver.stop()
     asyncio.run(go())
 
@@ -114,16 +114,16 @@
     async def go() -> None:
         receiver = Receiver()
         await receiver.start()
-        async with Cluster(tmp_path, 2, more=text(receiver).replace(ADOPT, "")) as yard:
+        async with Cluster(tmp_path, 2, more=text(receiver).replace(ADOPT, "")) as cluster:
             for i in range(3):
-                assert (await ask(yard.limiters[0].port, job(account=i)))[0] == 200
-            await yard.limiters[0].stop(signal.SIGKILL)
-            operator = str(yard.operator())
-            status, said = await larklb("fleet", "adopt", operator)
-            assert status == 0 and "it runs" in said and "nothing was changed" in said
+                assert (await ask(cluster.limiters[0].port, job(account=i)))[0] == 200
+            await cluster.limiters[0].stop(signal.SIGKILL)
+            operator = str(cluster.operator())
+            status, output = await larklb("fleet", "adopt", operator)
+            assert status == 0 and "it runs" in output and "nothing was changed" in output
             assert receiver.deliveries == 0
-            status, said = await larklb("fleet", "adopt", operator, "n0", "--yes")
-            assert status == 0 and "exported" in said and receiver.tries() == 3
+            status, output = await larklb("fleet", "adopt", operator, "n0", "--yes")
+            assert status == 0 and "exported" in output and receiver.tries() == 3
             assert (await larklb("fleet", "adopt", operator, "n9"))[0] == 2
         await receiver.stop()
     asyncio.run(go())
@@ -133,9 +133,9 @@
     async def go() -> None:
         receiver = Receiver()
         await receiver.start()
-        async with Cluster(tmp_path, 2, more=text(receiver).replace(ADOPT, "")) as yard:
-            assert (await ask(yard.limiters[0].port, job()))[0] == 200
-            await yard.limiters[0].stop(signal.SIGKILL)
+        async with Cluster(tmp_path, 2, more=text(receiver).replace(ADOPT, "")) as cluster:
+            assert (await ask(cluster.limiters[0].port, job()))[0] == 200
+            await cluster.limiters[0].stop(signal.SIGKILL)
             await asyncio.sleep(3.0)
             assert receiver.deliveries == 0 and has_unexported_use(tmp_path / "var" / "n0" / "use")
         await receiver.stop()
--- a/tests/test_assignment.py
+++ b/tests/test_assignment.py
@@ -206,10 +206,10 @@
     assigned.set_servers(0.0, weights)
     first = first_servers(assigned)
     assert assigned.set_servers(1_000.0, without_one) == ["i-5"]
-    without, now = first_servers(assigned), 1_000.0
+    expected_servers, now = first_servers(assigned), 1_000.0
     for flaps in range(3):
         now += 500.0
-        assert assigned.set_servers(now, weights) == [] and first_servers(assigned) == without
+        assert assigned.set_servers(now, weights) == [] and first_servers(assigned) == expected_servers
         hold_down_ms = HOLD_DOWN_MS * 2 ** flaps
         assert assigned.next_release_at == now + hold_down_ms
         assert assigned.set_servers(now + hold_down_ms - 1.0, weights) == []
--- a/tests/test_bulk.py
+++ b/tests/test_bulk.py
@@ -79,10 +79,10 @@
             pass
 
 
-def bulk_yard(tmp_path: Path, nodes: int = 1, kind: type[BulkNode] = BulkNode) -> Cluster:
-    yard = Cluster(tmp_path)
-    yard.nodes = [kind(f"s-{i}") for i in range(nodes)]
-    return yard
+def bulk_cluster(tmp_path: Path, nodes: int = 1, kind: type[BulkNode] = BulkNode) -> Cluster:
+    cluster = Cluster(tmp_path)
+    cluster.nodes = [kind(f"s-{i}") for i in range(nodes)]
+    return cluster
 
 
 def digest_line(body: bytes) -> bytes:
@@ -95,9 +95,9 @@
 @pytest.mark.parametrize("chunked", [0, 1000, 200_000])
 def test_a_long_body_reaches_its_node_unchanged(tmp_path: Path, chunked: int) -> None:
     async def go() -> None:
-        yard = bulk_yard(tmp_path)
-        async with yard:
-            port = yard.limiters[0].port
+        cluster = bulk_cluster(tmp_path)
+        async with cluster:
+            port = cluster.limiters[0].port
             for body in (BODY, b"y" * 65536, b"z" * 65537, b"", b"short"):
                 status, _, answer = await ask(port, order(body, chunked=chunked if body else 0))
                 assert (status, answer) == (200, digest_line(body))
@@ -116,9 +116,9 @@
 def test_a_slow_body_is_accepted_and_one_below_the_minimum_rate_is_rejected(tmp_path: Path) -> None:
     """A body at 64 kB/s after 2 s for the head is accepted; one that stops in the middle gets 408."""
     async def go() -> None:
-        yard = bulk_yard(tmp_path)
-        async with yard:
-            port, body = yard.limiters[0].port, BODY[:200_000]
+        cluster = bulk_cluster(tmp_path)
+        async with cluster:
+            port, body = cluster.limiters[0].port, BODY[:200_000]
 
             async def sent(text: bytes, upto: int) -> tuple[int, bytes, float]:
                 reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -134,12 +134,12 @@
                 return status, answer, time.monotonic() - began
 
             text = order(body)
-            whole, held, carried = await asyncio.gather(
+            complete, buffered, streamed = await asyncio.gather(
                 sent(text, len(text)), sent(order(body), 60_000), sent(order(body), 90_000))
-            assert whole[:2] == (200, digest_line(body))
-            for stopped in (held, carried):
+            assert complete[:2] == (200, digest_line(body))
+            for stopped in (buffered, streamed):
                 assert stopped[0] == 408 and stopped[2] < 9
-            assert yard.nodes[0].attempts["begun"] == 2, (
+            assert cluster.nodes[0].attempts["begun"] == 2, (
                 "a body that still fits in the buffer is not forwarded before it is complete")
     asyncio.run(go())
 
@@ -147,10 +147,10 @@
 def test_a_long_body_is_retried_only_while_it_is_buffered(tmp_path: Path) -> None:
     """An unreachable node is skipped; a node that refuses the body in the middle ends the job."""
     async def go() -> None:
-        yard = bulk_yard(tmp_path, nodes=2)
-        async with yard:
-            port = yard.limiters[0].port
-            first, second = yard.nodes
+        cluster = bulk_cluster(tmp_path, nodes=2)
+        async with cluster:
+            port = cluster.limiters[0].port
+            first, second = cluster.nodes
             assert isinstance(first, BulkNode) and isinstance(second, BulkNode) and second.server is not None
             second.server.close()
             for _ in range(4):
@@ -196,9 +196,9 @@
 
 def test_a_body_over_the_limit_is_answered_with_413(tmp_path: Path) -> None:
     async def go() -> None:
-        yard = bulk_yard(tmp_path)
-        async with yard:
-            port = yard.limiters[0].port
+        cluster = bulk_cluster(tmp_path)
+        async with cluster:
+            port = cluster.limiters[0].port
             text = order(b"").replace(b"Content-Length: 0", b"Content-Length: 60000000")
             assert (await ask(port, text))[0] == 413
             endless = order(b"", chunked=0).replace(b"Content-Length: 0", b"Transfer-Encoding: chunked")
@@ -212,7 +212,7 @@
                 await asyncio.wait((asyncio.ensure_future(writer.drain()), answering),
                                    return_when=asyncio.FIRST_COMPLETED)
             assert (await asyncio.wait_for(answering, 5))[0] == 413
-            assert not any(len(name) == 16 for name in yard.nodes[0].attempts), (
+            assert not any(len(name) == 16 for name in cluster.nodes[0].attempts), (
                 "no node received a complete body")
     asyncio.run(go())
 
@@ -261,12 +261,12 @@
 
 def test_long_answers_in_every_form_and_incomplete_ones_are_detected(tmp_path: Path) -> None:
     async def go() -> None:
-        yard = bulk_yard(tmp_path, kind=LongAnswers)
-        console = with_console(yard)
-        async with yard:
-            node = yard.nodes[0]
+        cluster = bulk_cluster(tmp_path, kind=LongAnswers)
+        console = with_console(cluster)
+        async with cluster:
+            node = cluster.nodes[0]
             assert isinstance(node, LongAnswers)
-            reader, writer = await asyncio.open_connection("127.0.0.1", yard.limiters[0].port)
+            reader, writer = await asyncio.open_connection("127.0.0.1", cluster.limiters[0].port)
             for how, answer in (("chunked", b"c" * 150_000), ("to the end", b"e" * 200_000),
                                 ("slowly", b"s" * 1000), ("trickle", b"t" * 100_000)):
                 node.how = how
@@ -284,7 +284,7 @@
             assert (statistics["ok"], statistics["errors"]) == (4, 1)
             node.how = "chunked"             # HTTP/1.0 has no chunks: the close ends the answer
             text = job().replace("HTTP/1.1", "HTTP/1.0").encode()
-            reader, writer = await asyncio.open_connection("127.0.0.1", yard.limiters[0].port)
+            reader, writer = await asyncio.open_connection("127.0.0.1", cluster.limiters[0].port)
             writer.write(text)
             head, _, body = (await asyncio.wait_for(reader.read(-1), 5)).partition(b"\r\n\r\n")
             assert body == b"c" * 150_000 and b"chunked" not in head.lower()
@@ -296,10 +296,10 @@
 
     It may use 46 MB, of which 5 are for streamed transfers, so that some of the 24 wait."""
     async def go() -> None:
-        yard = bulk_yard(tmp_path, nodes=2, kind=LongAnswers)
-        yard.memory_mb = 46
-        async with yard:
-            process = yard.limiters[0].process
+        cluster = bulk_cluster(tmp_path, nodes=2, kind=LongAnswers)
+        cluster.memory_mb = 46
+        async with cluster:
+            process = cluster.limiters[0].process
             assert process is not None
 
             def max_mb() -> float:
@@ -309,7 +309,8 @@
             before = max_mb()
 
             async def slow() -> int:
-                reader, writer = await asyncio.open_connection("127.0.0.1", yard.limiters[0].port, limit=4096)
+                reader, writer = await asyncio.open_connection(
+                    "127.0.0.1", cluster.limiters[0].port, limit=4096)
                 writer.write(job(left=4.0).encode())
                 await reader.readuntil(b"\r\n\r\n")
                 await asyncio.sleep(2.0)
@@ -329,17 +330,17 @@
 def test_concurrent_streams_are_bounded_by_memory_and_the_rest_wait(tmp_path: Path) -> None:
     """30 MB leave four streaming slots, held by unread answers; a small answer needs none."""
     async def go() -> None:
-        yard = bulk_yard(tmp_path, nodes=2, kind=LongAnswers)
-        yard.memory_mb = 30
-        async with yard:
-            port = yard.limiters[0].port
+        cluster = bulk_cluster(tmp_path, nodes=2, kind=LongAnswers)
+        cluster.memory_mb = 30
+        async with cluster:
+            port = cluster.limiters[0].port
             streams = [await asyncio.open_connection("127.0.0.1", port, limit=4096) for _ in range(6)]
             for _, writer in streams:
                 writer.write(job(left=4.0).encode())
             await asyncio.sleep(1.0)
             begun = [reader for reader, _ in streams if reader._buffer]        # type: ignore[attr-defined]
             assert len(begun) == 4
-            for node in yard.nodes:
+            for node in cluster.nodes:
                 assert isinstance(node, LongAnswers)
                 node.how = "slowly"
             assert (await ask(port, job()))[2] == b"s" * 1000
@@ -354,8 +355,8 @@
 
 def test_pipelined_requests_are_answered_in_order_and_too_many_are_rejected(tmp_path: Path) -> None:
     async def go() -> None:
-        async with Cluster(tmp_path) as yard:
-            port = yard.limiters[0].port
+        async with Cluster(tmp_path) as cluster:
+            port = cluster.limiters[0].port
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             names = [f"{n:016x}" for n in range(1, 6)]
             writer.write("".join(job(name) for name in names).encode())
@@ -363,7 +364,7 @@
                 assert (await read_answer(reader))[2] == b"done " + name.encode()
             writer.write("".join(job() for _ in range(100)).encode())
             assert (await read_answer(reader))[0] == 400
-            assert yard.attempts().total() == 5
+            assert cluster.attempts().total() == 5
             absolute = job("00000000000000ff").replace("GET /", "GET http://any:80/")
             assert (await ask(port, absolute))[0] == 200
     asyncio.run(go())
@@ -371,18 +372,18 @@
 
 def test_a_client_that_disconnects_during_its_body_leaves_no_state(tmp_path: Path) -> None:
     async def go() -> None:
-        yard = bulk_yard(tmp_path)
-        yard.memory_mb = 30                # four streaming slots, free again afterwards
-        console = with_console(yard)
-        async with yard:
+        cluster = bulk_cluster(tmp_path)
+        cluster.memory_mb = 30                # four streaming slots, free again afterwards
+        console = with_console(cluster)
+        async with cluster:
             for _ in range(9):
-                _, writer = await asyncio.open_connection("127.0.0.1", yard.limiters[0].port)
+                _, writer = await asyncio.open_connection("127.0.0.1", cluster.limiters[0].port)
                 writer.write(order(BODY)[:500_000])
                 await asyncio.sleep(0.1)
                 writer.transport.abort()
             await asyncio.sleep(0.5)
             statistics = await figures(console)
             assert (statistics["active"], statistics["tries"]) == (0, 0)
-            assert (await ask(yard.limiters[0].port, order(BODY)))[0] == 200
+            assert (await ask(cluster.limiters[0].port, order(BODY)))[0] == 200
     asyncio.run(go())
 
--- a/tests/test_custody.py
+++ b/tests/test_custody.py
@@ -84,15 +84,16 @@
         super().__init__(number, now - 1e9, keep_ms, max_bytes)
 
 
-def of(kind: type[Custodian]) -> dict[str, Any]:
+def with_custodian(kind: type[Custodian]) -> dict[str, Any]:
     return {"make": lambda number, now: kind(number, now, KEEP_MS, 1 << 20)}
 
 
 @pytest.mark.parametrize(("start", "fault"), [
     ("about to send, and taken over", {"session_type": IgnoresLease}),
     ("about to send, and taken over", {"session_type": ExtendsLease}),
-    ("claimed", of(VotesTwice)), ("two claims", of(AcceptsAnyTerm)),
-    ("sent and long away", of(IgnoresRestart)), ("sent and long away", {"omitted_step": "sends first"}),
+    ("claimed", with_custodian(VotesTwice)), ("two claims", with_custodian(AcceptsAnyTerm)),
+    ("sent and long away", with_custodian(IgnoresRestart)),
+    ("sent and long away", {"omitted_step": "sends first"}),
     ("answered", {"omitted_step": "passes on"}),
     ("sent and away", {"omitted_step": "forgets"})])
 def test_the_exploration_finds_each_seeded_fault(start: str, fault: dict[str, Any]) -> None:
@@ -183,7 +184,7 @@
 class Racks:
     """Counts what runs at the nodes of a cluster; each node is in a rack that suppresses repeated keys."""
 
-    def __init__(self, yard: Cluster, work: float, racks: int = 8) -> None:
+    def __init__(self, cluster: Cluster, work: float, racks: int = 8) -> None:
         self.ran: Counter[str] = Counter()
         self.reached: Counter[str] = Counter()
         self.answers: dict[tuple[int, str], bytes] = {}
@@ -191,7 +192,7 @@
         # Nothing is answered until it is set.
         self.gate = asyncio.Event()
         self.gate.set()
-        for i, node in enumerate(yard.nodes):
+        for i, node in enumerate(cluster.nodes):
             node.cell = i % racks
             node.reply = self.reply(node.cell)
 
@@ -211,11 +212,11 @@
 class Orders:
     """Clients that submit orders, with a key for each order."""
 
-    def __init__(self, yard: Cluster) -> None:
-        self.yard, self.keys = yard, 0
+    def __init__(self, cluster: Cluster) -> None:
+        self.cluster, self.keys = cluster, 0
 
     def text(self, key: str, number: int, repeat: bool, body: bytes = b"") -> str:
-        text = job(f"{number:016x}", "place-order", account=7, left=4.5, spread=len(self.yard.limiters),
+        text = job(f"{number:016x}", "place-order", account=7, left=4.5, spread=len(self.cluster.limiters),
                    body=body)
         marked = f"Idempotency-Key: {key}" + "\r\nX-Repeat: 1" * repeat
         return "\r\n".join(marked if x.startswith("Idempotency-Key") else x for x in text.split("\r\n"))
@@ -223,7 +224,7 @@
     async def order(self, limiter: int, key: str, number: int, repeat: bool = False,
                     body: bytes = b"") -> tuple[int, bytes]:
         try:
-            port = self.yard.limiters[limiter].port
+            port = self.cluster.limiters[limiter].port
             status, _, answer = await ask(port, self.text(key, number, repeat, body))
         except (OSError, asyncio.IncompleteReadError):
             return 0, b""
@@ -240,19 +241,19 @@
         return status, answer
 
 
-def held(folder: Path, act: Callable[[Cluster, Racks, Orders], Awaitable[None]], work: float = 0.6,
-         racks: int = 8, custody: str = CUSTODY, limiters: int = 4,
-         environment: dict[str, str] | None = None) -> None:
+def run_cluster(folder: Path, act: Callable[[Cluster, Racks, Orders], Awaitable[None]], work: float = 0.6,
+                racks: int = 8, custody: str = CUSTODY, limiters: int = 4,
+                environment: dict[str, str] | None = None) -> None:
     async def go() -> None:
-        yard = Cluster(folder, limiters, 8, more=custody)
-        nodes = Racks(yard, work, racks)
-        yard.limiters[0].environment.update(environment or {})
-        async with yard:
-            await act(yard, nodes, Orders(yard))
+        cluster = Cluster(folder, limiters, 8, more=custody)
+        nodes = Racks(cluster, work, racks)
+        cluster.limiters[0].environment.update(environment or {})
+        async with cluster:
+            await act(cluster, nodes, Orders(cluster))
     asyncio.run(go())
 
 
-async def killed(yard: Cluster, nodes: Racks, orders: Orders) -> dict[str, int]:
+async def kill_holder(cluster: Cluster, nodes: Racks, orders: Orders) -> dict[str, int]:
     """Kill a limiter that holds forty orders, and repeat each order at another limiter.
 
     Returns the status of the repeated orders by key.
@@ -263,46 +264,47 @@
     until = time.monotonic() + 3.0
     while len(nodes.reached) < 40 and time.monotonic() < until:
         await asyncio.sleep(0.02)
-    await yard.limiters[0].stop(signal.SIGKILL)
+    await cluster.limiters[0].stop(signal.SIGKILL)
     nodes.gate.set()
-    broken = [key for key, (status, _) in zip(keys, await asyncio.gather(*tasks), strict=True) if not status]
-    assert len(broken) >= 20, "the killed limiter had orders in flight"
-    again = [orders.order_with_retries(1 + i % 3, key, 100 + i) for i, key in enumerate(broken)]
-    return {key: status for key, (status, _) in zip(broken, await asyncio.gather(*again), strict=True)}
+    unanswered = [
+        key for key, (status, _) in zip(keys, await asyncio.gather(*tasks), strict=True) if not status]
+    assert len(unanswered) >= 20, "the killed limiter had orders in flight"
+    again = [orders.order_with_retries(1 + i % 3, key, 100 + i) for i, key in enumerate(unanswered)]
+    return {key: status for key, (status, _) in zip(unanswered, await asyncio.gather(*again), strict=True)}
 
 
 @pytest.mark.parametrize("racks", [8, 1])
 def test_orders_of_a_killed_limiter_are_finished_once(tmp_path: Path, racks: int) -> None:
-    async def act(yard: Cluster, nodes: Racks, orders: Orders) -> None:
-        ends = await killed(yard, nodes, orders)
+    async def act(cluster: Cluster, nodes: Racks, orders: Orders) -> None:
+        ends = await kill_holder(cluster, nodes, orders)
         assert set(ends.values()) == {200} and set(nodes.ran.values()) == {1}
         counts: Counter[str] = Counter()
-        for limiter in yard.limiters[1:]:
+        for limiter in cluster.limiters[1:]:
             counts.update(await limiter.counters())
         assert counts["custody.inherited"] + counts["custody.joined"] + counts["custody.given"] >= len(ends)
-    held(tmp_path, act, work=0.1, racks=racks, custody=STRICT)
+    run_cluster(tmp_path, act, work=0.1, racks=racks, custody=STRICT)
 
 
 def test_without_custody_the_orders_run_twice(tmp_path: Path) -> None:
-    async def act(yard: Cluster, nodes: Racks, orders: Orders) -> None:
-        ends = await killed(yard, nodes, orders)
+    async def act(cluster: Cluster, nodes: Racks, orders: Orders) -> None:
+        ends = await kill_holder(cluster, nodes, orders)
         assert sum(nodes.ran[key] > 1 for key in ends) > len(ends) / 2
-    held(tmp_path, act, work=0.1, custody="\n")
+    run_cluster(tmp_path, act, work=0.1, custody="\n")
 
 
 @pytest.mark.parametrize("step", ["before copy", "before send", "after copy", "after send", "answer read",
                                   "answer kept", "answer passed on"])
 def test_a_job_runs_once_if_its_holder_dies_at_any_step(tmp_path: Path, step: str) -> None:
     """An answer already passed on does not change; any other job is finished by others and runs once."""
-    async def act(yard: Cluster, nodes: Racks, orders: Orders) -> None:
+    async def act(cluster: Cluster, nodes: Racks, orders: Orders) -> None:
         first, _ = await orders.order(0, "a" * 32, 1)
         assert first == (200 if step == "answer passed on" else 0)
-        back = [await orders.order(limiter, "a" * 32, 1 + limiter, repeat=True) for limiter in (1, 2, 3)]
-        assert {status for status, _ in back} == {200} and len(set(back)) == 1, (
+        retries = [await orders.order(limiter, "a" * 32, 1 + limiter, repeat=True) for limiter in (1, 2, 3)]
+        assert {status for status, _ in retries} == {200} and len(set(retries)) == 1, (
             "all retries get the same answer"
         )
         assert nodes.ran["a" * 32] == 1
-    held(tmp_path, act, work=0.1, environment={"LARKLB_FAULT": f"{step}:1"})
+    run_cluster(tmp_path, act, work=0.1, environment={"LARKLB_FAULT": f"{step}:1"})
 
 
 def test_a_holder_that_was_stopped_past_its_lease_sends_nothing_when_resumed(tmp_path: Path) -> None:
@@ -310,10 +312,10 @@
 
     The resumed holder answers its client at once and sends nothing.
     """
-    async def act(yard: Cluster, nodes: Racks, orders: Orders) -> None:
+    async def act(cluster: Cluster, nodes: Racks, orders: Orders) -> None:
         first_try = asyncio.ensure_future(orders.order(0, "b" * 32, 1))
         await asyncio.sleep(0.25)
-        process = yard.limiters[0].process
+        process = cluster.limiters[0].process
         assert process is not None
         process.send_signal(signal.SIGSTOP)
         await asyncio.sleep(2.2)
@@ -321,39 +323,39 @@
         assert status == 200
         reached = nodes.reached["b" * 32]
         process.send_signal(signal.SIGCONT)
-        woke = time.monotonic()
+        resumed_at = time.monotonic()
         first, given = await first_try
-        assert time.monotonic() - woke < 1.5 and (first == 502 or given == answer)
+        assert time.monotonic() - resumed_at < 1.5 and (first == 502 or given == answer)
         assert nodes.reached["b" * 32] == reached and nodes.ran["b" * 32] == 1
-    held(tmp_path, act)
+    run_cluster(tmp_path, act)
 
 
 def test_retries_at_three_limiters_at_once_join_the_running_job(tmp_path: Path) -> None:
-    async def act(yard: Cluster, nodes: Racks, orders: Orders) -> None:
+    async def act(cluster: Cluster, nodes: Racks, orders: Orders) -> None:
         first = asyncio.ensure_future(orders.order(0, "c" * 32, 1))
         await asyncio.sleep(0.15)
-        back = await asyncio.gather(*(orders.order(i, "c" * 32, 1 + i, repeat=True) for i in (1, 2, 3)))
-        assert {await first, *back} == {(200, b"done " + b"%016x" % 1)}
+        retries = await asyncio.gather(*(orders.order(i, "c" * 32, 1 + i, repeat=True) for i in (1, 2, 3)))
+        assert {await first, *retries} == {(200, b"done " + b"%016x" % 1)}
         assert nodes.reached["c" * 32] == 1
         fresh = await asyncio.gather(*(orders.order(i, "d" * 32, 10 + i, repeat=True) for i in range(4)))
         assert {status for status, _ in fresh} <= {200, 503} and nodes.ran["d" * 32] <= 1
         other = await orders.order(2, "c" * 32, 9, repeat=True, body=b"x")
         assert other[0] == 409
-    held(tmp_path, act, work=0.5)
+    run_cluster(tmp_path, act, work=0.5)
 
 
 def test_restarted_custodians_do_not_make_a_job_run_twice(tmp_path: Path) -> None:
     """With two of three custodians restarted nobody can vote, so that a repeated try is refused unsent."""
-    async def act(yard: Cluster, nodes: Racks, orders: Orders) -> None:
+    async def act(cluster: Cluster, nodes: Racks, orders: Orders) -> None:
         key = cu.key_of(f"{7:016x}", "place-order", b"e" * 32)
         group = cu.group_of(key, 4)
         holder = next(i for i in range(4) if i not in group)
         nodes.gate.clear()
         first_try = asyncio.ensure_future(orders.order(holder, "e" * 32, 1))
         await asyncio.sleep(0.25)
-        await asyncio.gather(*(yard.limiters[i].stop(signal.SIGKILL) for i in group[:2]))
-        await asyncio.gather(*(yard.limiters[i].start() for i in group[:2]))
-        await yard.limiters[holder].stop(signal.SIGKILL)
+        await asyncio.gather(*(cluster.limiters[i].stop(signal.SIGKILL) for i in group[:2]))
+        await asyncio.gather(*(cluster.limiters[i].start() for i in group[:2]))
+        await cluster.limiters[holder].stop(signal.SIGKILL)
         assert (await first_try)[0] == 0
         status, _ = await orders.order(group[0], "e" * 32, 2, repeat=True)
         assert status == 503 and nodes.ran["e" * 32] == 1
@@ -361,14 +363,14 @@
         assert (await orders.order(group[1], "f" * 32, 3))[0] == 200, (
             "a first try is served although two custodians have restarted"
         )
-    held(tmp_path, act, work=0.1)
+    run_cluster(tmp_path, act, work=0.1)
 
 
-async def inherited(yard: Cluster, but: set[int]) -> int:
+async def wait_for_successor(cluster: Cluster, excluded: set[int]) -> int:
     """Return the limiter that has taken over a job."""
     for _ in range(200):
-        for limiter in yard.limiters:
-            if limiter.number not in but and (await limiter.counters()).get("custody.inherited"):
+        for limiter in cluster.limiters:
+            if limiter.number not in excluded and (await limiter.counters()).get("custody.inherited"):
                 return limiter.number
         await asyncio.sleep(0.02)
     raise AssertionError("no limiter has taken over the job")
@@ -377,73 +379,75 @@
 @pytest.mark.parametrize("how", [signal.SIGKILL, signal.SIGTERM])
 def test_a_job_survives_the_end_of_its_successor(tmp_path: Path, how: signal.Signals) -> None:
     """If killed, the next custodian goes on; if terminated, it finishes the job and exits with 0."""
-    async def act(yard: Cluster, nodes: Racks, orders: Orders) -> None:
+    async def act(cluster: Cluster, nodes: Racks, orders: Orders) -> None:
         key = cu.key_of(f"{7:016x}", "place-order", b"a" * 32)
         holder = next(i for i in range(5) if i not in cu.group_of(key, 5))
         first_try = asyncio.ensure_future(orders.order(holder, "a" * 32, 1))
         await asyncio.sleep(0.3)
-        await yard.limiters[holder].stop(signal.SIGKILL)
+        await cluster.limiters[holder].stop(signal.SIGKILL)
         assert (await first_try)[0] == 0
-        heir = await inherited(yard, {holder})
-        status = await yard.limiters[heir].stop(how)
+        successor = await wait_for_successor(cluster, {holder})
+        status = await cluster.limiters[successor].stop(how)
         assert status == (0 if how == signal.SIGTERM else -signal.SIGKILL)
-        other = next(i for i in range(5) if i not in (holder, heir))
-        back, answer = await orders.order_with_retries(other, "a" * 32, 2)
-        assert (back, answer) == (200, b"done " + b"%016x" % 1) and nodes.ran["a" * 32] == 1
-    held(tmp_path, act, work=0.9, limiters=5)
+        other = next(i for i in range(5) if i not in (holder, successor))
+        retry_status, answer = await orders.order_with_retries(other, "a" * 32, 2)
+        assert (retry_status, answer) == (200, b"done " + b"%016x" % 1) and nodes.ran["a" * 32] == 1
+    run_cluster(tmp_path, act, work=0.9, limiters=5)
 
 
 def test_the_use_of_a_taken_over_order_is_counted_once(tmp_path: Path) -> None:
-    async def act(yard: Cluster, nodes: Racks, orders: Orders) -> None:
-        ends = await killed(yard, nodes, orders)
+    async def act(cluster: Cluster, nodes: Racks, orders: Orders) -> None:
+        ends = await kill_holder(cluster, nodes, orders)
         assert set(ends.values()) == {200}
-        await asyncio.gather(*(limiter.stop() for limiter in yard.limiters[1:]))
-        told = [read(tmp_path / "var" / f"n{i}" / "use") for i in range(4)]
-        counted = sum(t.counted.tries for t in told[1:]) + len(told[0].begun) + told[0].counted.tries
+        await asyncio.gather(*(limiter.stop() for limiter in cluster.limiters[1:]))
+        tallies = [read(tmp_path / "var" / f"n{i}" / "use") for i in range(4)]
+        counted = sum(t.counted.tries for t in tallies[1:]) + len(tallies[0].begun) + tallies[0].counted.tries
         assert 30 <= counted <= 40, (
             "no order is counted twice; one whose limiter died before counting it is not counted"
         )
-        assert len(told[0].begun) > 20, "orders in flight at the killed limiter are counted at its next start"
-    held(tmp_path, act, work=0.1, custody=STRICT + '[state]\nfolder = "var"\n[ledger]\n')
+        assert len(tallies[0].begun) > 20, (
+            "orders in flight at the killed limiter are counted at its next start"
+        )
+    run_cluster(tmp_path, act, work=0.1, custody=STRICT + '[state]\nfolder = "var"\n[ledger]\n')
 
 
 def test_orders_are_served_without_custody_if_records_do_not_fit_in_memory(tmp_path: Path) -> None:
-    async def act(yard: Cluster, nodes: Racks, orders: Orders) -> None:
+    async def act(cluster: Cluster, nodes: Racks, orders: Orders) -> None:
         body = b"x" * 3000
         ends = await asyncio.gather(*(
             orders.order_with_retries(i % 4, f"{i:032x}", i, False, body) for i in range(60)))
         assert {status for status, _ in ends} == {200} and set(nodes.ran.values()) == {1}
         counts: Counter[str] = Counter()
-        for limiter in yard.limiters:
+        for limiter in cluster.limiters:
             counts.update(await limiter.counters())
         assert counts["custody.full"] > 10 and counts["custody.without"] > 0
-    held(tmp_path, act, work=0.1, custody="[custody]\nmost_mb = 0.01\n")
+    run_cluster(tmp_path, act, work=0.1, custody="[custody]\nmost_mb = 0.01\n")
 
 
 def test_malformed_custody_messages_only_close_their_connection(tmp_path: Path) -> None:
-    async def act(yard: Cluster, nodes: Racks, orders: Orders) -> None:
+    async def act(cluster: Cluster, nodes: Racks, orders: Orders) -> None:
         for sent in (b"\x00\x00\x00\x05hello", b"\xff\xff\xff\xff", b"GET / HTTP/1.1\r\n\r\n",
                      b"\x00\x00\x01", b"\x00\x00\x00\x09half"):
-            reader, writer = await asyncio.open_connection("127.0.0.1", yard.peers[1])
+            reader, writer = await asyncio.open_connection("127.0.0.1", cluster.peers[1])
             writer.write(sent)
             assert await asyncio.wait_for(reader.read(), 5.0) == b"", sent
             writer.close()
-        assert (await yard.limiters[1].counters())["custody.unreadable"] == 5
+        assert (await cluster.limiters[1].counters())["custody.unreadable"] == 5
         assert (await orders.order(0, "a" * 32, 1))[0] == 200
-    held(tmp_path, act, work=0.05)
+    run_cluster(tmp_path, act, work=0.05)
 
 
 def test_a_reload_does_not_affect_a_running_job(tmp_path: Path) -> None:
-    async def act(yard: Cluster, nodes: Racks, orders: Orders) -> None:
+    async def act(cluster: Cluster, nodes: Racks, orders: Orders) -> None:
         first_try = asyncio.ensure_future(orders.order(0, "a" * 32, 1))
         await asyncio.sleep(0.2)
-        for limiter in yard.limiters:
+        for limiter in cluster.limiters:
             assert limiter.process is not None
             limiter.process.send_signal(signal.SIGHUP)
         await asyncio.sleep(0.1)
-        back = await orders.order(1, "a" * 32, 2, repeat=True)
-        assert back == await first_try and back[0] == 200 and nodes.reached["a" * 32] == 1
-    held(tmp_path, act)
+        retry = await orders.order(1, "a" * 32, 2, repeat=True)
+        assert retry == await first_try and retry[0] == 200 and nodes.reached["a" * 32] == 1
+    run_cluster(tmp_path, act)
 
 
 def test_a_partitioned_holder_and_its_successor_do_not_both_send(tmp_path: Path) -> None:
@@ -457,13 +461,14 @@
         async with Rig(day, tmp_path, 1) as rig:
             orders = Orders(rig.cluster)
             first_try = asyncio.ensure_future(orders.order(0, "a" * 32, 1))
-            waits = asyncio.ensure_future(orders.order(0, "b" * 32, 2))
+            other_try = asyncio.ensure_future(orders.order(0, "b" * 32, 2))
             await asyncio.sleep(0.35)
             cut = script.Fault(at=0.0, what="apart", who=("n0",), to=("n1", "n2", "n3", "n4", "n5"))
             heal = await rig._begin(cut)
-            there = asyncio.ensure_future(orders.order_with_retries(3, "a" * 32, 3))
-            here = asyncio.ensure_future(orders.order(0, "b" * 32, 4, repeat=True))
-            ends = [status for status, _ in await asyncio.gather(first_try, waits, there, here)]
+            remote_retry = asyncio.ensure_future(orders.order_with_retries(3, "a" * 32, 3))
+            local_retry = asyncio.ensure_future(orders.order(0, "b" * 32, 4, repeat=True))
+            ends = [status for status, _ in await asyncio.gather(
+                first_try, other_try, remote_retry, local_retry)]
             heal()
             assert ends[2] == 200 and set(ends) <= {200, 502, 503}, ends
             assert not rig.cells.executed_twice()
@@ -474,8 +479,8 @@
 
 
 def test_operators_see_the_holder_and_the_custodians_of_a_job(tmp_path: Path) -> None:
-    async def act(yard: Cluster, nodes: Racks, orders: Orders) -> None:
-        operator = str(yard.operator())
+    async def act(cluster: Cluster, nodes: Racks, orders: Orders) -> None:
+        operator = str(cluster.operator())
         nodes.gate.clear()
         first_try = asyncio.ensure_future(orders.order(2, "a" * 32, 1))
         await asyncio.sleep(0.3)
@@ -490,7 +495,7 @@
         status, out = await larklb("fleet", "jobs", operator)
         assert status == 0 and out.count("answered") == 3
         assert (await larklb("fleet", "jobs", operator, "--key", "zz"))[0] == 2
-    held(tmp_path, act, work=0.1)
+    run_cluster(tmp_path, act, work=0.1)
 
 
 @pytest.mark.parametrize(("text", "limiters"), [("[custody]\nkeep_s = 5.0\n", 4), (CUSTODY, 2),
@@ -498,10 +503,10 @@
 def test_invalid_custody_settings_are_refused_at_the_start(tmp_path: Path, text: str,
                                                               limiters: int) -> None:
     async def go() -> None:
-        yard = Cluster(tmp_path, limiters, 1, more=text)
+        cluster = Cluster(tmp_path, limiters, 1, more=text)
         with pytest.raises(AssertionError, match="custody"):
-            await yard.limiters[0].start()
-        process = yard.limiters[0].process
+            await cluster.limiters[0].start()
+        process = cluster.limiters[0].process
         assert process is not None and process.returncode == 2
     asyncio.run(go())
 
--- a/tests/test_daily.py
+++ b/tests/test_daily.py
@@ -38,9 +38,9 @@
     return statistics
 
 
-def with_console(yard: Cluster) -> int:
+def with_console(cluster: Cluster) -> int:
     port = free_port()
-    yard.limiters[0].environment["EDGE_ADMIN"] = f"127.0.0.1:{port}"
+    cluster.limiters[0].environment["EDGE_ADMIN"] = f"127.0.0.1:{port}"
     return port
 
 
@@ -75,43 +75,43 @@
     b"\xff\xfe\x00\n", b"STATS\nDRAIN\n", b"DRAIN\nDRAIN\n"])
 def test_malformed_command_is_rejected_and_has_no_effect(tmp_path: Path, text: bytes) -> None:
     async def go() -> None:
-        async with Cluster(tmp_path) as yard:
-            port = with_console(yard)
-            yard.limiters[0].port = free_port()
-            await yard.limiters[0].stop()
-            await yard.limiters[0].start()
+        async with Cluster(tmp_path) as cluster:
+            port = with_console(cluster)
+            cluster.limiters[0].port = free_port()
+            await cluster.limiters[0].stop()
+            await cluster.limiters[0].start()
             try:
                 answer, _ = await call(port, text)
             except ConnectionResetError:
                 answer = "-ERR closed"
             assert answer.startswith("-ERR ") and answer.count("\n") <= 1
             assert (await call(port, b"READY\r\n"))[0] == "+OK ready\r\n"
-            assert (await ask(yard.limiters[0].port, job()))[0] == 200
+            assert (await ask(cluster.limiters[0].port, job()))[0] == 200
     asyncio.run(go())
 
 
 def test_idle_console_connections_do_not_block_commands(tmp_path: Path) -> None:
     """Connections are limited: one without a complete command is closed when another needs its place."""
     async def go() -> None:
-        yard = Cluster(tmp_path)
-        port = with_console(yard)
-        async with yard:
+        cluster = Cluster(tmp_path)
+        port = with_console(cluster)
+        async with cluster:
             held = [await asyncio.open_connection("127.0.0.1", port) for _ in range(60)]
             for _, writer in held[::2]:
                 writer.write(b"STA")
             for text in (b"READY\n", b"STATS\n") * 5:
                 answer, took = await call(port, text)
                 assert answer.startswith(("+OK ready", '{"responses"')) and took < 1.0
-            assert (await yard.limiters[0].counters())["console.for_room"] >= 60 - MAX_CONSOLE_CONNECTIONS
+            assert (await cluster.limiters[0].counters())["console.for_room"] >= 60 - MAX_CONSOLE_CONNECTIONS
     asyncio.run(go())
 
 
 def test_address_in_use_fails_the_start_with_one_error_line(tmp_path: Path) -> None:
     async def go() -> None:
-        yard = Cluster(tmp_path)
-        port = with_console(yard)
+        cluster = Cluster(tmp_path)
+        port = with_console(cluster)
         server = await asyncio.start_server(lambda r, w: None, "127.0.0.1", port)
-        limiter = yard.limiters[0]
+        limiter = cluster.limiters[0]
         with pytest.raises(AssertionError):
             await limiter.start()
         assert await limiter.stop() == 1
@@ -123,15 +123,15 @@
 def test_statistics_match_the_counts_of_clients_and_nodes(tmp_path: Path) -> None:
     """Covers refusals, failures, retries and clients that disconnect, by class."""
     async def go() -> None:
-        yard = Cluster(tmp_path, nodes=2)
-        port = with_console(yard)
-        async with yard:
-            limiter = yard.limiters[0]
+        cluster = Cluster(tmp_path, nodes=2)
+        port = with_console(cluster)
+        async with cluster:
+            limiter = cluster.limiters[0]
             assert (await figures(port))["responses"] == {
                 c: {"ok": 0, "shed": 0, "errors": 0} for c in ("stock-check", "place-order")}
 
             async def refuse_first_attempt(headers: dict[str, str], body: bytes) -> bytes:
-                if yard.attempts()[headers["x-correlation-id"]] == 1:
+                if cluster.attempts()[headers["x-correlation-id"]] == 1:
                     return http(503, b"", "X-Unprocessed: 1")
                 return await served(headers, body)
 
@@ -149,14 +149,14 @@
                     statuses[service].append((await ask(limiter.port, job(service=service, **options)))[0])
 
             await send_jobs("stock-check", 5)
-            yard.nodes[0].reply = yard.nodes[1].reply = refuse_first_attempt
+            cluster.nodes[0].reply = cluster.nodes[1].reply = refuse_first_attempt
             await send_jobs("stock-check", 3)
             await send_jobs("place-order", 2)
-            yard.nodes[0].reply = yard.nodes[1].reply = always_fail
+            cluster.nodes[0].reply = cluster.nodes[1].reply = always_fail
             await send_jobs("place-order", 2)
-            yard.nodes[0].reply = yard.nodes[1].reply = served
+            cluster.nodes[0].reply = cluster.nodes[1].reply = served
             await send_jobs("stock-check", 14, plan="slow", account=9)
-            yard.nodes[0].reply = yard.nodes[1].reply = reply_late
+            cluster.nodes[0].reply = cluster.nodes[1].reply = reply_late
             _, writer = await asyncio.open_connection("127.0.0.1", limiter.port)
             writer.write(job(service="place-order").encode())
             await asyncio.sleep(0.2)
@@ -171,7 +171,7 @@
                     received.count(200), sum(s in (429, 503) for s in received),
                     sum(s in (500, 502) for s in received)), service
             assert statuses["stock-check"].count(429) == 4
-            assert statistics["tries"] == yard.attempts().total()
+            assert statistics["tries"] == cluster.attempts().total()
             assert (statistics["active"], statistics["pool_size"], statistics["pool_ejected"]) == (0, 2, 0)
     asyncio.run(go())
 
@@ -184,10 +184,10 @@
 
 def test_drained_limiter_closes_its_connections_and_serves_again_after_undrain(tmp_path: Path) -> None:
     async def go() -> None:
-        yard = Cluster(tmp_path)
-        port = with_console(yard)
-        async with yard:
-            limiter = yard.limiters[0]
+        cluster = Cluster(tmp_path)
+        port = with_console(cluster)
+        async with cluster:
+            limiter = cluster.limiters[0]
 
             async def reply_late(headers: dict[str, str], body: bytes) -> bytes:
                 await asyncio.sleep(0.4)
@@ -200,7 +200,7 @@
                 return reader, writer
 
             idle, used, busy = [await open_kept_alive() for _ in range(3)]
-            yard.nodes[0].reply = yard.nodes[1].reply = reply_late
+            cluster.nodes[0].reply = cluster.nodes[1].reply = reply_late
             busy[1].write(job().encode())
             await asyncio.sleep(0.1)
             await _drain(limiter, port)
@@ -213,7 +213,7 @@
             assert limiter.process is not None and limiter.process.returncode is None
             assert (await call(port, b"UNDRAIN\n"))[0].startswith("+OK")
             assert (await ask(limiter.port, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 200
-            yard.nodes[0].reply = yard.nodes[1].reply = served
+            cluster.nodes[0].reply = cluster.nodes[1].reply = served
             reopened = await open_kept_alive()
             await asyncio.sleep(1.2)
             reopened[1].write(job().encode())
@@ -256,9 +256,9 @@
 }
 
 
-async def _reload(yard: Cluster, text: bytes) -> None:
-    limiter = yard.limiters[0]
-    (yard.folder / "n0.json").write_bytes(text)
+async def _reload(cluster: Cluster, text: bytes) -> None:
+    limiter = cluster.limiters[0]
+    (cluster.folder / "n0.json").write_bytes(text)
     assert limiter.process is not None
     limiter.process.send_signal(signal.SIGHUP)
     await asyncio.sleep(0.1)
@@ -267,47 +267,47 @@
 def test_invalid_configuration_file_is_rejected_as_a_whole(tmp_path: Path) -> None:
     """Each file also names another discovery address and an extra class: none of it may take effect."""
     async def go() -> None:
-        yard, other = Cluster(tmp_path), Discovery()
-        port = with_console(yard)
+        cluster, other = Cluster(tmp_path), Discovery()
+        port = with_console(cluster)
         await other.start()
-        async with yard:
+        async with cluster:
             good = json.loads((tmp_path / "n0.json").read_text())
             for n, (case, text) in enumerate(BROKEN.items(), 1):
                 config = json.loads(json.dumps(good))
                 config["discovery"] = f"127.0.0.1:{other.port}"
                 config["settings"]["classes"].append({**_first_class(config), "name": "extra"})
-                await _reload(yard, text(config))
+                await _reload(cluster, text(config))
                 statistics = await figures(port)
                 assert (statistics["config_applied"], statistics["config_rejected"]) == (0, n), case
             assert (sorted(statistics["responses"]) == ["place-order", "stock-check"]
                     and not other.watched_from)
-            assert (await ask(yard.limiters[0].port, job(service="extra")))[0] == 400
-            assert (await ask(yard.limiters[0].port, job()))[0] == 200
-            await yard.limiters[0].stop()
-            lines = yard.limiters[0].errors.decode().splitlines()
+            assert (await ask(cluster.limiters[0].port, job(service="extra")))[0] == 400
+            assert (await ask(cluster.limiters[0].port, job()))[0] == 200
+            await cluster.limiters[0].stop()
+            lines = cluster.limiters[0].errors.decode().splitlines()
             assert sum("the old configuration stays" in line for line in lines) == len(BROKEN)
     asyncio.run(go())
 
 
 def test_reload_adds_and_removes_classes_and_running_jobs_keep_theirs(tmp_path: Path) -> None:
     async def go() -> None:
-        yard = Cluster(tmp_path)
-        port = with_console(yard)
-        async with yard:
-            limiter = yard.limiters[0]
+        cluster = Cluster(tmp_path)
+        port = with_console(cluster)
+        async with cluster:
+            limiter = cluster.limiters[0]
             config = json.loads((tmp_path / "n0.json").read_text())
 
             async def reply_late(headers: dict[str, str], body: bytes) -> bytes:
                 await asyncio.sleep(0.8)
                 return await served(headers, body)
 
-            yard.nodes[0].reply = yard.nodes[1].reply = reply_late
+            cluster.nodes[0].reply = cluster.nodes[1].reply = reply_late
             running = asyncio.ensure_future(ask(limiter.port, job(service="place-order")))
             await asyncio.sleep(0.2)
             stock, _ = config["settings"]["classes"]
             config["settings"]["classes"] = [stock, {**stock, "name": "once-only", "semantics": "once"}]
             config["settings"]["limits"]["max_attempts"] = 1
-            await _reload(yard, json.dumps(config).encode())
+            await _reload(cluster, json.dumps(config).encode())
             once = job(service="stock-check").replace("GET /stock-check", "POST /once-only").replace(
                 "X-Service-Class: stock-check", "X-Service-Class: once-only\r\nContent-Length: 0")
             assert (await ask(limiter.port, once))[0] == 200
@@ -317,10 +317,10 @@
             async def refuse(headers: dict[str, str], body: bytes) -> bytes:
                 return http(503, b"", "X-Unprocessed: 1")
 
-            yard.nodes[0].reply = yard.nodes[1].reply = refuse
-            before = yard.attempts().total()
+            cluster.nodes[0].reply = cluster.nodes[1].reply = refuse
+            before = cluster.attempts().total()
             assert (await ask(limiter.port, job()))[0] == 503
-            assert yard.attempts().total() == before + 1, "the new configuration allows a single attempt"
+            assert cluster.attempts().total() == before + 1, "the new configuration allows a single attempt"
             statistics = await figures(port)
             assert statistics["responses"]["place-order"]["ok"] == 1 and statistics["config_applied"] == 1
             assert statistics["responses"]["once-only"]["ok"] == 1
@@ -342,14 +342,14 @@
 def test_plan_with_changed_limits_keeps_the_state_of_its_buckets(tmp_path: Path) -> None:
     """A spent burst of 10 stays spent after the plan changes to a burst of 20."""
     async def go() -> None:
-        yard = Cluster(tmp_path)
-        async with yard:
-            limiter = yard.limiters[0]
+        cluster = Cluster(tmp_path)
+        async with cluster:
+            limiter = cluster.limiters[0]
             first = [(await ask(limiter.port, job(plan="slow", account=7)))[0] for _ in range(12)]
             config = json.loads((tmp_path / "n0.json").read_text())
             config["settings"]["tariffs"] = [{"name": "new", "quota_rate": 1.0, "depth": 3.0},
                                              {"name": "slow", "quota_rate": 0.001, "depth": 20.0}]
-            await _reload(yard, json.dumps(config).encode())
+            await _reload(cluster, json.dumps(config).encode())
             second = [(await ask(limiter.port, job(plan="slow", account=7)))[0] for _ in range(3)]
             third = [(await ask(limiter.port, job(plan="new", account=8)))[0] for _ in range(5)]
             assert (first.count(200), second.count(200), third.count(200)) == (10, 0, 3)
--- a/tests/test_desk.py
+++ b/tests/test_desk.py
@@ -45,37 +45,37 @@
 
 
 async def rows(operator: str) -> list[dict[str, Any]]:
-    _, said = await larklb("usage", "show", operator, "--json", "--rows")
-    return [r for line in said.splitlines() for r in json.loads(line)["rows"]]
+    _, output = await larklb("usage", "show", operator, "--json", "--rows")
+    return [r for line in output.splitlines() for r in json.loads(line)["rows"]]
 
 
-def owner_first(yard: Cluster, account: int = 1) -> list[Limiter]:
+def owner_first(cluster: Cluster, account: int = 1) -> list[Limiter]:
     owner = ring_owner(digest(f"{account:016x}"), [0, 1, 2])
-    return [yard.limiters[(owner + i) % 3] for i in range(3)]
+    return [cluster.limiters[(owner + i) % 3] for i in range(3)]
 
 
 def test_change_of_plans_reaches_all_instances_and_each_try_has_one_version(tmp_path: Path) -> None:
     async def go() -> None:
         (tmp_path / "plans.toml").write_text(first := plans((1, -60, burst(5.0))))
-        async with Cluster(tmp_path, limiters=3, more=MORE) as yard:
-            operator, new = str(yard.operator()), tmp_path / "new.toml"
-            limiters = owner_first(yard)
+        async with Cluster(tmp_path, limiters=3, more=MORE) as cluster:
+            operator, new = str(cluster.operator()), tmp_path / "new.toml"
+            limiters = owner_first(cluster)
             assert sum([await granted(x, 4) for x in limiters]) == 5
             moved = f'[version.customers]\n"{2:016x}" = "wide"\n'
             new.write_text(first + plans((2, 0.0, burst(8.0) + moved)))
             assert (await larklb("plans", "check", str(new), operator))[0] == 0
-            status, said = await larklb("plans", "diff", str(new), operator)
-            assert status == 1 and said.startswith("+ version 2 from") and "1 customers assigned" in said
-            status, said = await larklb("plans", "apply", str(new), operator)
-            assert status == 0 and said.count("taken") == 3
+            status, output = await larklb("plans", "diff", str(new), operator)
+            assert status == 1 and output.startswith("+ version 2 from") and "1 customers assigned" in output
+            status, output = await larklb("plans", "apply", str(new), operator)
+            assert status == 0 and output.count("taken") == 3
             assert sum([await granted(x, 3) for x in limiters]) == 0, (
                 "a larger burst adds no tokens to a spent bucket")
             assert sum([await granted(x, 5, account=2) for x in limiters]) == 15, (
                 "customer 2 is on plan wide now")
             assert sum([await granted(x, 5, account=3) for x in limiters]) == 5, (
                 "a larger burst adds no tokens to the bucket of an idle customer either")
-            status, said = await larklb("plans", "show", operator, "--live", "--json")
-            assert status == 0 and [json.loads(line)["counts"] for line in said.splitlines()] == [2, 2, 2]
+            status, output = await larklb("plans", "show", operator, "--live", "--json")
+            assert status == 0 and [json.loads(line)["counts"] for line in output.splitlines()] == [2, 2, 2]
             by_version: dict[tuple[str, int], int] = {}
             for r in await rows(operator):
                 name = (f"{int(r['account'], 16)} {r['plan']}", r["version"])
@@ -85,10 +85,10 @@
             for text, words, expected in ((first, "ends with version 1", 3), ("x", "new.toml: ", 2),
                                           (first + plans((2, 0.0, burst(9.0))), "version 2 differs", 3)):
                 new.write_text(text)
-                status, said = await larklb("plans", "apply", str(new), operator)
-                assert status == expected and words in said and said.count("\n") == 1
-            status, said = await larklb("plans", "show", operator, "--json")
-            assert [json.loads(x)["state"] for x in said.splitlines()] == ["over", "over", "counts"]
+                status, output = await larklb("plans", "apply", str(new), operator)
+                assert status == expected and words in output and output.count("\n") == 1
+            status, output = await larklb("plans", "show", operator, "--json")
+            assert [json.loads(x)["state"] for x in output.splitlines()] == ["over", "over", "counts"]
     asyncio.run(go())
 
 
@@ -96,8 +96,8 @@
     async def go() -> None:
         path = tmp_path / "plans.toml"
         path.write_text(first := plans((1, -60, burst(6.0))))
-        async with Cluster(tmp_path, limiters=3, more=MORE) as yard:
-            operator, (owner, other, third) = str(yard.operator()), owner_first(yard)
+        async with Cluster(tmp_path, limiters=3, more=MORE) as cluster:
+            operator, (owner, other, third) = str(cluster.operator()), owner_first(cluster)
             assert owner.process is not None and other.process is not None
             path.write_text("[[version]]\nnumber = 2\nfrom = yesterday\n")
             other.process.send_signal(signal.SIGHUP)
@@ -107,16 +107,17 @@
             await owner.stop(signal.SIGKILL)
             path.write_text(first)
             (tmp_path / "new").write_text(first + plans((2, -1, burst(4.0))))
-            status, said = await larklb("plans", "apply", str(tmp_path / "new"), operator)
-            assert status == 1 and said.count("taken") == 2 and said.count("will read it when it starts") == 1
+            status, output = await larklb("plans", "apply", str(tmp_path / "new"), operator)
+            assert (status == 1 and output.count("taken") == 2
+                    and output.count("will read it when it starts") == 1)
             await owner.start()
             assert await granted(third, 6) == 4
             path.write_text(path.read_text() + plans((3, -1, burst(4.0))))
             third.process.send_signal(signal.SIGHUP) if third.process is not None else None
             await asyncio.sleep(0.3)
             assert await granted(third, 2, account=9) == 2
-            status, said = await larklb("plans", "show", operator, "--live", "--json")
-            newest_versions = {r["name"]: r["newest"] for r in map(json.loads, said.splitlines())}
+            status, output = await larklb("plans", "show", operator, "--live", "--json")
+            newest_versions = {r["name"]: r["newest"] for r in map(json.loads, output.splitlines())}
             assert status == 1 and newest_versions == {owner.name: 2, other.name: 2, third.name: 3}
             versions = {r["version"] for r in await rows(operator) if r["account"] == f"{1:016x}"}
             assert versions == {2}, "requests are stamped with the owner's version, whichever limiter asked"
@@ -125,8 +126,8 @@
 
 def test_instance_without_operator_settings_has_no_admin_address(tmp_path: Path) -> None:
     async def go() -> None:
-        async with Cluster(tmp_path, second_front=True) as yard:
-            assert (await granted(yard.limiters[0], 11, spread=1)) == 10
+        async with Cluster(tmp_path, second_front=True) as cluster:
+            assert (await granted(cluster.limiters[0], 11, spread=1)) == 10
             assert not list(tmp_path.glob("*.sock")) and not (tmp_path / "var").exists()
     asyncio.run(go())
 
@@ -141,16 +142,16 @@
 def test_reserved_units_survive_a_kill_of_all_instances_and_are_drawn_once(tmp_path: Path) -> None:
     async def go() -> None:
         (tmp_path / "plans.toml").write_text("")
-        async with Cluster(tmp_path, limiters=3, more=MORE) as yard:
-            operator, limiters = str(yard.operator()), owner_first(yard)
-            status, said = await reserve(operator, "refit", "9")
-            row = json.loads(said)
+        async with Cluster(tmp_path, limiters=3, more=MORE) as cluster:
+            operator, limiters = str(cluster.operator()), owner_first(cluster)
+            status, output = await reserve(operator, "refit", "9")
+            row = json.loads(output)
             assert status == 0 and (row["state"], row["copies"]) == ("open", 2)
             assert row["limiter"] == limiters[0].name
             assert (await reserve(operator, "refit", "9", until="+700"))[0] == 3, (
                 "the same id with another window is refused")
-            status, said = await reserve(operator, "much", "1e6")
-            assert status == 3 and "customer's share is 2 units a second" in said
+            status, output = await reserve(operator, "much", "1e6")
+            assert status == 3 and "customer's share is 2 units a second" in output
             assert (await reserve(operator, "odd", "-1"))[0] == 3
             assert sum([await granted(x, 5) for x in limiters]) == 15, (
                 "10 units of the bucket and 5 reserved units")
@@ -160,28 +161,28 @@
                 await x.start()
             # Without a store the buckets are full again; of the reservation only the rest is left.
             assert sum([await granted(x, 8) for x in limiters]) == 14
-            _, said = await larklb("reserve", "show", operator, "refit", "--json")
-            assert (row := json.loads(said))["state"] == "spent" and row["drawn"] == 9.0 and row["owner"]
+            _, output = await larklb("reserve", "show", operator, "refit", "--json")
+            assert (row := json.loads(output))["state"] == "spent" and row["drawn"] == 9.0 and row["owner"]
             drawn = [r for r in await rows(operator) if r["reservation"]]
             assert sum(r["tries"] for r in drawn) == 9 and {r["reservation"] for r in drawn} == {row["tag"]}
             assert (await reserve(operator, "next", "3", begin="+300"))[0] == 0
             assert (await larklb("reserve", "cancel", operator, "next"))[0] == 0
             assert (await larklb("reserve", "cancel", operator, "none"))[0] == 3
-            status, said = await larklb("reserve", "list", operator, "--json")
-            assert {r["id"]: r["state"] for r in map(json.loads, said.splitlines())} == {
+            status, output = await larklb("reserve", "list", operator, "--json")
+            assert {r["id"]: r["state"] for r in map(json.loads, output.splitlines())} == {
                 "refit": "spent", "next": "cancelled"}
             await limiters[0].stop(signal.SIGKILL)
             assert (await reserve(operator, "late", "3"))[0] == 1, "only the owner can accept a reservation"
-            status, said = await larklb("reserve", "list", operator)
-            assert status == 1 and "(copy)" in said and limiters[0].name in said
+            status, output = await larklb("reserve", "list", operator)
+            assert status == 1 and "(copy)" in output and limiters[0].name in output
     asyncio.run(go())
 
 
 def test_reservation_is_drawn_in_parts_while_its_owner_is_down_and_settled_later(tmp_path: Path) -> None:
     async def go() -> None:
         (tmp_path / "plans.toml").write_text("")
-        async with Cluster(tmp_path, limiters=3, more=MORE) as yard:
-            operator, (owner, *others) = str(yard.operator()), owner_first(yard)
+        async with Cluster(tmp_path, limiters=3, more=MORE) as cluster:
+            operator, (owner, *others) = str(cluster.operator()), owner_first(cluster)
             begin = datetime.now(UTC) + timedelta(seconds=2.5)
             assert (await reserve(operator, "refit", "6", begin=begin.isoformat()))[0] == 0
             await owner.stop(signal.SIGKILL)
@@ -194,8 +195,9 @@
             await owner.start()
             for x in others:
                 await granted(x, 3)
-            _, said = await larklb("reserve", "show", operator, "refit", "--json")
-            assert (row := json.loads(said))["apart"] == 4.0 and row["left"] == 2.0 and row["state"] == "open"
+            _, output = await larklb("reserve", "show", operator, "refit", "--json")
+            assert ((row := json.loads(output))["apart"] == 4.0 and row["left"] == 2.0
+                    and row["state"] == "open")
             assert await granted(owner, 8) == 6, "4 units that are left in the bucket and 2 reserved units"
     asyncio.run(go())
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -51,21 +51,21 @@
     (tmp_path / "shim" / "sitecustomize.py").write_text(textwrap.dedent(SHIM))
 
     async def go() -> None:
-        yard = Cluster(tmp_path)
-        yard.environment.update(TMPDIR=str(tmp_path), PYTHONPATH=f"{tmp_path / 'shim'}:{ROOT}")
-        with_console(yard)
-        async with yard:
-            limiter = yard.limiters[0]
+        cluster = Cluster(tmp_path)
+        cluster.environment.update(TMPDIR=str(tmp_path), PYTHONPATH=f"{tmp_path / 'shim'}:{ROOT}")
+        with_console(cluster)
+        async with cluster:
+            limiter = cluster.limiters[0]
             status, _, body = await ask(limiter.port, job("a1", left=3.0))
             assert (status, body) == (200, b"done a1")
             process = limiter.process
             assert process is not None and process.stderr is not None
             process.send_signal(signal.SIGTERM)
-            said = (await asyncio.wait_for(process.stderr.read(), 20)).decode()
+            errors = (await asyncio.wait_for(process.stderr.read(), 20)).decode()
             assert await process.wait() == 0
-        assert "shim: refused a Unix socket" in said
-        assert "no other process can take our place" in said
-        assert "Traceback" not in said
+        assert "shim: refused a Unix socket" in errors
+        assert "no other process can take our place" in errors
+        assert "Traceback" not in errors
     asyncio.run(go())
 
 
@@ -76,12 +76,12 @@
     not reach that node.
     """
     async def go() -> None:
-        yard = Cluster(tmp_path, nodes=1)
-        yard.discovery.publish(2, yard.nodes[0].entry("draining"))
-        yard.discovery.response_delay_s = 0.4
-        async with yard:
-            status, _, _ = await ask(yard.limiters[0].port, job("first", left=3.0))
-            assert yard.nodes[0].attempts["first"] == 0
+        cluster = Cluster(tmp_path, nodes=1)
+        cluster.discovery.publish(2, cluster.nodes[0].entry("draining"))
+        cluster.discovery.response_delay_s = 0.4
+        async with cluster:
+            status, _, _ = await ask(cluster.limiters[0].port, job("first", left=3.0))
+            assert cluster.nodes[0].attempts["first"] == 0
             assert status in (502, 503)
     asyncio.run(go())
 
--- a/tests/test_fleet_decisions.py
+++ b/tests/test_fleet_decisions.py
@@ -39,7 +39,7 @@
 @pytest.mark.parametrize("senders", [2, 5, 14, 40])
 def test_all_senders_at_their_maximum_do_not_overflow_an_inbox(senders: int) -> None:
     """Each sender always has a message, and receives allowances late and not always."""
-    chance = random.Random(senders)
+    rng = random.Random(senders)
     receiver = PeerPacer(INBOX, TICK, AIM)
     paces = [PeerPacer(INBOX, TICK, AIM) for _ in range(senders)]
     arrivals: list[float] = []
@@ -50,8 +50,8 @@
                 pace.record_sent(float(now), 0, senders)
                 receiver.record_arrival(float(now), i)
                 arrivals.append(float(now))
-                if chance.random() < 0.9:
-                    allowances.append((now + chance.uniform(2.0, 78.0), i, receiver.allowance(float(now), i)))
+                if rng.random() < 0.9:
+                    allowances.append((now + rng.uniform(2.0, 78.0), i, receiver.allowance(float(now), i)))
         for at, i, allowed in [a for a in allowances if a[0] <= now]:
             paces[i].record_allowance(at, 0, allowed)
         allowances = [a for a in allowances if a[0] > now]
@@ -96,10 +96,10 @@
         now += 200.0
     assert again < first / 2 and again > 44.0
     pace.start_request(now, 99, 1, 525.0)
-    looks, at = 0, now + again
+    retries, at = 0, now + again
     while (wait := pace.next_retry(at, 99)) is not None:
-        looks, at = looks + 1, at + wait
-    assert looks >= 2 and at - now == pytest.approx(525.0, abs=2 * TICK)
+        retries, at = retries + 1, at + wait
+    assert retries >= 2 and at - now == pytest.approx(525.0, abs=2 * TICK)
     before = pace.peers[1].smoothed_rtt
     pace.start_request(at, 100, 1, 525.0)
     pace.next_retry(at + again, 100)
@@ -125,9 +125,9 @@
     assert pace.next_retry(now + 700.0, 2) is None
     pace.record_arrival(now + 800.0, 4)
     assert not pace.is_cut_off(now + 800.0)
-    lonely = PeerPacer(INBOX, TICK, AIM)
-    lonely.record_arrival(0.0, 1)
-    assert not lonely.is_cut_off(5000.0), (
+    infrequent = PeerPacer(INBOX, TICK, AIM)
+    infrequent.record_arrival(0.0, 1)
+    assert not infrequent.is_cut_off(5000.0), (
         "a long silence does not indicate a cut-off if messages are infrequent"
     )
 
@@ -136,8 +136,8 @@
 
 
 def coverage(limiters: int, servers: int, seed: int = 1) -> list[int]:
-    chance = random.Random(seed)
-    digests = chance.sample(range(1, 65536), servers)
+    rng = random.Random(seed)
+    digests = rng.sample(range(1, 65536), servers)
     count = [0] * servers
     for i in range(limiters):
         for place in Reach(i, limiters).select(digests):
@@ -232,15 +232,15 @@
 
 
 def test_duplicates_and_order_do_not_change_a_verdict() -> None:
-    news = [finding(1, 8.0, 100), finding(1, 1.0, 105), finding(2, 6.0, 101), finding(3, 9.0, 102),
-            finding(3, 4.0, 104)]
-    found = set()
-    for order in itertools.permutations(news):
+    received = [finding(1, 8.0, 100), finding(1, 1.0, 105), finding(2, 6.0, 101), finding(3, 9.0, 102),
+                finding(3, 4.0, 104)]
+    results = set()
+    for order in itertools.permutations(received):
         v = Verdicts(0, 20, HALF)
         for f in (*order, *order[:2]):
             v.receive(0.0, 9, f)
-        found.add((v.verdict(0.0, 7, 1), tuple(sorted((o, k.stamp) for o, k in v.findings[7, 1].items()))))
-    assert found == {(4.0, ((1, 105), (2, 101), (3, 104)))}
+        results.add((v.verdict(0.0, 7, 1), tuple(sorted((o, k.stamp) for o, k in v.findings[7, 1].items()))))
+    assert results == {(4.0, ((1, 105), (2, 101), (3, 104)))}
 
 
 def test_findings_of_a_former_incarnation_are_ignored_and_stamps_wrap() -> None:
@@ -274,13 +274,13 @@
     v = Verdicts(0, 20, HALF)
     for subject in range(10):
         v.record_evidence(float(subject), subject, 1, 12.0)
-    assert all(here[0].slowness < BAD_SLOWNESS for here in v.findings.values())
+    assert all(by_observer[0].slowness < BAD_SLOWNESS for by_observer in v.findings.values())
     sent = list(v.findings_for(10.0, 5, 20))
     assert sent and all(f.slowness < BAD_SLOWNESS for f in sent)
-    sure = Verdicts(0, 20, HALF)
+    confident = Verdicts(0, 20, HALF)
     for subject in range(10):
-        sure.record_evidence(float(subject), subject, 1, 12.0 if subject in (3, 5) else 1.0)
-    assert {f.subject for f in sure.findings_for(10.0, 5, 20) if f.slowness >= BAD_SLOWNESS} == {3, 5}
+        confident.record_evidence(float(subject), subject, 1, 12.0 if subject in (3, 5) else 1.0)
+    assert {f.subject for f in confident.findings_for(10.0, 5, 20) if f.slowness >= BAD_SLOWNESS} == {3, 5}
     assert SELF_SUSPICION_MIN_SUBJECTS > 2, "two bad nodes alone do not make a limiter suspect itself"
 
 
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -86,15 +86,17 @@
 
     A failure that is not the server's, such as a closed idle connection, must not count at all.
     """
-    for spoilt, stale in ((False, False), (True, False), (False, True)):
+    for unreadable, blameless in ((False, False), (True, False), (False, True)):
         bed = Bed(servers=1)
         bed.ask(0, "r", plan="free")
         bed.give(
             0,
-            io.Outcome("r", 0, "s0", io.Result.RESET, 5.0, False, unreadable=spoilt, server_blameless=stale),
+            io.Outcome(
+                "r", 0, "s0", io.Result.RESET, 5.0, False, unreadable=unreadable, server_blameless=blameless
+            ),
         )
         slow = bed.gateways[0].servers["s0"].decayed_slowness(bed.now, ALL_WORK)
-        assert slow == 1.0 if stale else 1.5 < slow < SUSPECT_SLOWNESS
+        assert slow == 1.0 if blameless else 1.5 < slow < SUSPECT_SLOWNESS
 
 
 def test_bucket_copies_do_not_reduce_a_quota() -> None:
@@ -280,16 +282,16 @@
     bed = Bed(servers=3)
     for i in range(6):
         bed.ask(0, f"w{i}", plan="free")
-    hung = bed.of(io.Send, "w0")[0].server
+    unresponsive = bed.of(io.Send, "w0")[0].server
     for i in range(1, 6):
-        if bed.of(io.Send, f"w{i}")[0].server != hung:
+        if bed.of(io.Send, f"w{i}")[0].server != unresponsive:
             bed.run(20)
             bed.end(0, f"w{i}", took=100.0)
     bed.run(700)
     cancels = bed.of(io.Cancel)
     assert cancels and cancels[0].request == "w0"
     bed.end(0, "w0", io.Result.CANCELLED, took=600.0)
-    assert bed.of(io.Send, "w0")[-1].server != hung
+    assert bed.of(io.Send, "w0")[-1].server != unresponsive
 
 
 def test_events_for_unknown_requests_are_ignored() -> None:
--- a/tests/test_gateway_process.py
+++ b/tests/test_gateway_process.py
@@ -280,18 +280,18 @@
 }
 
 
-@pytest.mark.parametrize("trouble", BROKEN_ANSWERS)
-def test_requests_that_may_have_run(trouble: str) -> None:
+@pytest.mark.parametrize("broken_answer", BROKEN_ANSWERS)
+def test_requests_that_may_have_run(broken_answer: str) -> None:
     """An unsafe request is sent once and fails with 502; a safe one is sent to another server."""
     async def test(env: Environment) -> None:
-        env.behaviors = [BROKEN_ANSWERS[trouble]]
+        env.behaviors = [BROKEN_ANSWERS[broken_answer]]
         got = await env.send("unsafe")
         assert (got.status, len(env.received), got.body) == (502, 1, b"")
-        env.behaviors = [BROKEN_ANSWERS[trouble]]
+        env.behaviors = [BROKEN_ANSWERS[broken_answer]]
         got = await env.send("safe")
         assert (got.status, got.body, len(env.received)) == (200, b"whole", 3)
         assert env.received[1].server != env.received[2].server
-        env.behaviors = [BROKEN_ANSWERS[trouble], declines(503)]
+        env.behaviors = [BROKEN_ANSWERS[broken_answer], declines(503)]
         assert (await env.send("safe")).status == 502            # 503 would state that it has not run
     run_scenario(test)
 
@@ -354,11 +354,11 @@
         ended = asyncio.Event()
 
         async def surplus(call: StubRequest) -> bytes | None:
-            false = call.answer(body=b"false", attempt_id=b"a2")
-            call.writer.write(call.answer() + (b"" if late else false))
+            surplus_answer = call.answer(body=b"false", attempt_id=b"a2")
+            call.writer.write(call.answer() + (b"" if late else surplus_answer))
             if late:
                 await env.proceed.wait()
-                call.writer.write(false)
+                call.writer.write(surplus_answer)
             try:
                 assert not await call.reader.read()
             except ConnectionError:
@@ -499,16 +499,16 @@
     async def test(env: Environment) -> None:
         for route in ("safe", "unsafe"):
             env.choice.route_latency(route).p95 = 1.0
-        broken_off = asyncio.Event()
+        aborted = asyncio.Event()
 
         async def works_until_closed(call: StubRequest) -> bytes | None:
             assert not await call.reader.read(1)
-            broken_off.set()
+            aborted.set()
             return None
 
         env.behaviors = [works_until_closed]
         assert (await env.send("safe")).body == b"whole" and len(env.received) == 2
-        await broken_off.wait()
+        await aborted.wait()
         await env.wait_until(lambda: not env.data_plane.attempt_tasks)
         assert env.servers.open_connections == 1 and all(not p.in_flight for p in env.choice.servers.values())
         env.behaviors = [hangs]
--- a/tests/test_grpc.py
+++ b/tests/test_grpc.py
@@ -60,8 +60,8 @@
 
 def test_units_come_from_one_bucket_and_over_limit_states_the_wait(tmp_path: Path) -> None:
     async def go() -> None:
-        async with Cluster(tmp_path, second_front=True) as yard:
-            limiter = yard.limiters[0]
+        async with Cluster(tmp_path, second_front=True) as cluster:
+            limiter = cluster.limiters[0]
             assert (await question(limiter, descriptor(), hits=7)).overall_code == OK
             assert [(await ask(limiter.port, job(plan="slow")))[0] for _ in range(2)] == [200, 200]
             answer = await question(limiter, descriptor(), descriptor(account=2), hits=2)
@@ -78,23 +78,23 @@
     descriptor(more="1")])
 def test_a_bad_descriptor_is_an_invalid_argument(tmp_path: Path, bad: RateLimitDescriptor) -> None:
     async def go() -> None:
-        async with Cluster(tmp_path, second_front=True) as yard:
-            assert await failure(yard.limiters[0], bad) is grpc.StatusCode.INVALID_ARGUMENT
-            assert await failure(yard.limiters[0]) is grpc.StatusCode.INVALID_ARGUMENT
-            assert answered(await yard.limiters[0].counters()) == (0, 0)
+        async with Cluster(tmp_path, second_front=True) as cluster:
+            assert await failure(cluster.limiters[0], bad) is grpc.StatusCode.INVALID_ARGUMENT
+            assert await failure(cluster.limiters[0]) is grpc.StatusCode.INVALID_ARGUMENT
+            assert answered(await cluster.limiters[0].counters()) == (0, 0)
     asyncio.run(go())
 
 
-def owner_and_other(account: int, yard: Cluster) -> tuple[Limiter, Limiter]:
+def owner_and_other(account: int, cluster: Cluster) -> tuple[Limiter, Limiter]:
     owner = ring_owner(digest(f"{account:016x}"), [0, 1])
-    return yard.limiters[owner], yard.limiters[1 - owner]
+    return cluster.limiters[owner], cluster.limiters[1 - owner]
 
 
 def test_quota_agrees_over_both_paths_and_limiters_through_a_restart(tmp_path: Path) -> None:
     """Sends half by HTTP and half by gRPC, and restarts the limiter that is not the owner."""
     async def go() -> None:
-        async with Cluster(tmp_path, limiters=2, second_front=True) as yard:
-            owner, other = owner_and_other(1, yard)
+        async with Cluster(tmp_path, limiters=2, second_front=True) as cluster:
+            owner, other = owner_and_other(1, cluster)
             granted = 0
             for round_number in range(4):
                 for limiter in (owner, other):
@@ -114,8 +114,8 @@
     async def go() -> None:
         store = RespServer()
         await store.start()
-        async with Cluster(tmp_path, second_front=True, store=f"redis://127.0.0.1:{store.port}/0") as yard:
-            limiter = yard.limiters[0]
+        async with Cluster(tmp_path, second_front=True, store=f"redis://127.0.0.1:{store.port}/0") as cluster:
+            limiter = cluster.limiters[0]
             assert (await question(limiter, descriptor(), hits=6)).overall_code == OK
             assert await limiter.stop() == 0
             await limiter.start()
@@ -136,8 +136,8 @@
 def test_cancel_before_the_grant_takes_no_units_and_a_missed_deadline_is_reported(tmp_path: Path) -> None:
     """The owner is suspended (SIGSTOP), so that no grant can arrive before the cancel."""
     async def go() -> None:
-        async with Cluster(tmp_path, limiters=2, second_front=True) as yard:
-            owner, other = owner_and_other(1, yard)
+        async with Cluster(tmp_path, limiters=2, second_front=True) as cluster:
+            owner, other = owner_and_other(1, cluster)
             assert owner.process is not None
             owner.process.send_signal(signal.SIGSTOP)
             async with grpc.aio.insecure_channel(f"127.0.0.1:{other.grpc_port}") as channel:
@@ -154,8 +154,8 @@
                 assert error.value.code() is grpc.StatusCode.DEADLINE_EXCEEDED
             owner.process.send_signal(signal.SIGCONT)
             await asyncio.sleep(0.5)
-            all_of_it = await question(owner, descriptor(spread=2), hits=10)
-            assert all_of_it.overall_code == OK
+            whole_quota = await question(owner, descriptor(spread=2), hits=10)
+            assert whole_quota.overall_code == OK
             assert (await question(owner, descriptor(spread=2), hits=1)).overall_code == OVER
             taken, done = answered(await other.counters())
             assert taken == done
@@ -164,9 +164,9 @@
 
 def test_quota_check_without_an_answer_in_time_fails_and_takes_no_units() -> None:
     b = Bed(gateways=2)
-    far = 1 - ring_owner(digest("c"), [0, 1])
+    non_owner = 1 - ring_owner(digest("c"), [0, 1])
     b.cut = True
-    b.ask(far, "q", due=8.0, quota_only=True)
+    b.ask(non_owner, "q", due=8.0, quota_only=True)
     b.run(100)
     assert b.of(io.Fail, "q") and not b.of(io.Grant) and not b.of(io.Refuse)
 
@@ -185,16 +185,16 @@
 
 def test_a_stopping_limiter_is_unavailable(tmp_path: Path) -> None:
     async def go() -> None:
-        async with Cluster(tmp_path, second_front=True) as yard:
-            limiter = yard.limiters[0]
+        async with Cluster(tmp_path, second_front=True) as cluster:
+            limiter = cluster.limiters[0]
             async with grpc.aio.insecure_channel(f"127.0.0.1:{limiter.grpc_port}") as channel:
-                ask_it = stub(limiter, channel)
+                should_rate_limit = stub(limiter, channel)
                 request = RateLimitRequest(domain="d", descriptors=[descriptor()])
-                assert (await ask_it(request, timeout=5)).overall_code == OK
+                assert (await should_rate_limit(request, timeout=5)).overall_code == OK
                 stopped = asyncio.ensure_future(limiter.stop())
                 await asyncio.sleep(0.3)
                 with pytest.raises(grpc.aio.AioRpcError) as error:
-                    await ask_it(request, timeout=5)
+                    await should_rate_limit(request, timeout=5)
                 assert error.value.code() is grpc.StatusCode.UNAVAILABLE
                 assert await stopped == 0
     asyncio.run(go())
--- a/tests/test_hardening.py
+++ b/tests/test_hardening.py
@@ -316,15 +316,15 @@
     monkeypatch.setattr(Machines, "apply", FailOnce(Machines.apply, 1))
 
     async def go() -> None:
-        yard = Cluster(tmp_path)
-        await yard.discovery.start()
-        for node in yard.nodes:
+        cluster = Cluster(tmp_path)
+        await cluster.discovery.start()
+        for node in cluster.nodes:
             await node.start()
-        limiter = yard.limiters[0]
+        limiter = cluster.limiters[0]
         config = load({"EDGE_CONFIG": str(limiter.config())})
         program = asyncio.ensure_future(serve._run(config, None, tmp_path))
         await limiter.ready()
-        yard.discovery.publish(2, yard.nodes[0].entry("draining"))
+        cluster.discovery.publish(2, cluster.nodes[0].entry("draining"))
         for _ in range(100):
             await asyncio.sleep(0.05)
             if (counts := await limiter.counters()).get("list.changes"):
@@ -409,8 +409,8 @@
 def test_descriptor_exhaustion_answers_accepted_jobs_and_recovers(tmp_path: Path) -> None:
     """The system allows fewer descriptors than configured; many clients use them all up and disconnect."""
     async def go() -> None:
-        async with Cluster(tmp_path, nodes=2) as yard:
-            limiter = yard.limiters[0]
+        async with Cluster(tmp_path, nodes=2) as cluster:
+            limiter = cluster.limiters[0]
             await limiter.stop()
             limiter.max_descriptors = 80
             await limiter.start()
@@ -422,7 +422,7 @@
                 await asyncio.sleep(0.3)
                 return await served(headers, body)
 
-            for node in yard.nodes:
+            for node in cluster.nodes:
                 node.reply = slow
             clients = [await asyncio.open_connection("127.0.0.1", limiter.port) for _ in range(150)]
             jobs = [asyncio.ensure_future(ask(limiter.port, job())) for _ in range(60)]
@@ -431,13 +431,13 @@
             assert set(answered) <= {200, 502, 503} and answered.count(200) >= 10
             for _, writer in clients:
                 writer.close()
-            yard.discovery.disconnect_watchers()
-            yard.discovery.publish(2, yard.nodes[0].entry("draining"))
+            cluster.discovery.disconnect_watchers()
+            cluster.discovery.publish(2, cluster.nodes[0].entry("draining"))
             await asyncio.sleep(2.5)
-            yard.nodes[0].attempts.clear()
+            cluster.nodes[0].attempts.clear()
             for _ in range(8):
                 assert (await ask(limiter.port, job()))[0] == 200
-            assert not yard.nodes[0].attempts and len(os.listdir(f"/proc/{pid}/fd")) < 80
+            assert not cluster.nodes[0].attempts and len(os.listdir(f"/proc/{pid}/fd")) < 80
             assert await limiter.stop() == 0
     asyncio.run(go())
 
@@ -445,8 +445,8 @@
 def test_silent_connections_to_the_grpc_address_are_closed(tmp_path: Path) -> None:
     """They held their descriptors for two minutes and left none to the HTTP front."""
     async def go() -> None:
-        async with Cluster(tmp_path, second_front=True) as yard:
-            silent = [await asyncio.open_connection("127.0.0.1", yard.limiters[0].grpc_port)
+        async with Cluster(tmp_path, second_front=True) as cluster:
+            silent = [await asyncio.open_connection("127.0.0.1", cluster.limiters[0].grpc_port)
                       for _ in range(40)]
 
             async def ended(reader: asyncio.StreamReader) -> None:
@@ -463,8 +463,8 @@
                                               for c in lab_cluster.CLASSES])
 
     async def go() -> None:
-        async with Cluster(tmp_path, nodes=1) as yard:
-            first = yard.nodes[0]
+        async with Cluster(tmp_path, nodes=1) as cluster:
+            first = cluster.nodes[0]
 
             async def reply_in_two_pieces(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
                 await reader.readuntil(b"\r\n\r\n")
@@ -475,7 +475,7 @@
             assert first.server is not None
             first.server.close()
             first.server = await asyncio.start_server(reply_in_two_pieces, "127.0.0.1", first.port)
-            status, _, body = await ask(yard.limiters[0].port, job(left=15.0))
+            status, _, body = await ask(cluster.limiters[0].port, job(left=15.0))
             assert (status, body) == (200, b"both halves")
     asyncio.run(go())
 
@@ -485,9 +485,9 @@
     """The last sync of the reservations failed and aborted the stop: exit status 1, counters not reported."""
     from larklb.operator_services import OperatorServices
     from larklb.settings import load_operator
-    yard = Cluster(tmp_path, more='[state]\nfolder = "var"\n[reservations]\n')
-    config = load({"EDGE_CONFIG": str(yard.limiters[0].config())})
-    operator = load_operator(yard.operator())
+    cluster = Cluster(tmp_path, more='[state]\nfolder = "var"\n[reservations]\n')
+    config = load({"EDGE_CONFIG": str(cluster.limiters[0].config())})
+    operator = load_operator(cluster.operator())
 
     async def go() -> None:
         core = core_with()
@@ -537,24 +537,24 @@
 def test_drain_timeout_follows_the_deadlines_of_the_instance(
         tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """A fixed timeout of 12 s killed instances with longer deadlines while they still had jobs."""
-    yard, entry = Cluster(tmp_path, limiters=1), InstanceEntry("n0", "n0.json")
+    cluster, entry = Cluster(tmp_path, limiters=1), InstanceEntry("n0", "n0.json")
     agent = Agent(tmp_path / "operator.toml", Operator([entry]))
-    yard.limiters[0].config()
+    cluster.limiters[0].config()
     assert agent._drain_timeout(entry) == agent_module.MIN_DRAIN_S
     monkeypatch.setattr(lab_cluster, "CLASSES", [{**c, "deadline": 60000.0} for c in lab_cluster.CLASSES])
-    yard.limiters[0].config()
+    cluster.limiters[0].config()
     assert agent._drain_timeout(entry) > 60.0
 
 
 def test_failed_renewal_is_reported_and_a_later_one_proceeds(tmp_path: Path) -> None:
     """The agent waited for the broken instance forever and ignored every later SIGHUP."""
     async def go() -> None:
-        yard = Cluster(tmp_path, limiters=2)
-        await yard.discovery.start()
-        for limiter in yard.limiters:
+        cluster = Cluster(tmp_path, limiters=2)
+        await cluster.discovery.start()
+        for limiter in cluster.limiters:
             limiter.config()
         agent = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "larklb", "agent", str(yard.operator()),
+            sys.executable, "-m", "larklb", "agent", str(cluster.operator()),
             env={**os.environ, "PYTHONPATH": str(ROOT)}, stderr=asyncio.subprocess.PIPE)
         assert agent.stderr is not None
 
@@ -564,15 +564,15 @@
                 assert line and never not in line
 
         try:
-            for limiter in yard.limiters:
+            for limiter in cluster.limiters:
                 await limiter.ready()
             (tmp_path / "n0.json").write_text("{}")
             agent.send_signal(signal.SIGHUP)
             await wait_for_line(b"n0 is not ready after its renewal", never=b"n1 drained")
-            await yard.limiters[1].ready()
+            await cluster.limiters[1].ready()
             agent.send_signal(signal.SIGHUP)
             await wait_for_line(b"n1 started as", never=b"n0 drained")
-            await yard.limiters[1].ready()
+            await cluster.limiters[1].ready()
         finally:
             agent.send_signal(signal.SIGTERM)
             await asyncio.wait_for(agent.communicate(), 30)
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -180,8 +180,8 @@
     assert first is not None and first.slots == 0
     for request in others[0].report_holdings(200.0, 0, lambda node: 0):
         lender.handle_request(250.0, 1, request, 4)
-    then = lender.handle_request(251.0, 2, LeaseRequest(nodes[1], 251, 151, 0, 0, 4), 4)
-    assert lender.reported == {1, 2} and then is not None and then.slots == 2, (
+    second = lender.handle_request(251.0, 2, LeaseRequest(nodes[1], 251, 151, 0, 0, 4), 4)
+    assert lender.reported == {1, 2} and second is not None and second.slots == 2, (
         "the first holder has the other two slots")
 
 
@@ -208,16 +208,16 @@
 
 
 def test_node_limits_hold_while_limiters_are_killed_stopped_and_partitioned(tmp_path: Path) -> None:
-    said: list[str] = []
+    outputs: list[str] = []
 
-    async def look(now: float) -> None:
-        if now >= 9.5 and not said:
-            said.append("")
-            said[0] = (await larklb("fleet", "status", str(tmp_path / "operator.toml"), "--json"))[1]
+    async def read_status(now: float) -> None:
+        if now >= 9.5 and not outputs:
+            outputs.append("")
+            outputs[0] = (await larklb("fleet", "status", str(tmp_path / "operator.toml"), "--json"))[1]
 
-    audit = played("limits", tmp_path, look)
+    audit = played("limits", tmp_path, read_status)
     assert not audit.violations(script.load("limits")), audit.figures
-    rows = [json.loads(line) for line in said[0].splitlines() if line.startswith("{")]
+    rows = [json.loads(line) for line in outputs[0].splitlines() if line.startswith("{")]
     slots = [v for r in rows for v in r["slots"]]
     assert len(rows) == 6 and {v["pool"] for v in slots} == {5}
     lent = [sum(v["lent"].values()) for v in slots]
@@ -228,16 +228,16 @@
 
 def test_the_bounds_of_the_limits_are_printed(tmp_path: Path) -> None:
     async def go() -> None:
-        yard = Cluster(tmp_path, 3, more="[limits]\nnode_attempts = 40\nfurther_attempts = 0.2\n")
-        for limiter in yard.limiters:
+        cluster = Cluster(tmp_path, 3, more="[limits]\nnode_attempts = 40\nfurther_attempts = 0.2\n")
+        for limiter in cluster.limiters:
             limiter.config()
-        status, out = await larklb("fleet", "bound", str(yard.operator()), "--limiters", "10", "--json")
+        status, out = await larklb("fleet", "bound", str(cluster.operator()), "--limiters", "10", "--json")
         assert status == 0
         rows = {r["what"]: r for r in map(json.loads, out.splitlines())}
         assert rows["attempts at a node, 40 at once, 20 of them lent"]["over"] == 0
         assert rows["attempts at a node: a lost limiter's share is lent anew"]["noticed"] == LEASE_MS + 5000
         assert rows["further attempts, 0.2 for each first one"]["over"] == 10 * le.MAX_FURTHER_TOKENS
-        settings = yard.operator().read_text()
+        settings = cluster.operator().read_text()
         (tmp_path / "operator.toml").write_text("[limits]\nnode_attempts = -1\n" + settings)
         assert (await larklb("fleet", "bound", str(tmp_path / "operator.toml")))[0] == 2
     asyncio.run(go())
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -145,10 +145,10 @@
     bucket.tokens = 0.0
     book.update_bucket(2000.0, 5, 0, bucket)
     assert bucket.fill(2000.0) <= 1.0 + 4.0 * 1.0 + 1e-9
-    away = TokenBucket(1.0, 3.0, 0.5, 0.0)
-    away.change(0.0, 0.0, 0.0)
-    away.change(9000.0, 1.0, 3.0)
-    assert away.tokens == 0.5, "a bucket keeps its tokens while its plan has no rate"
+    paused = TokenBucket(1.0, 3.0, 0.5, 0.0)
+    paused.change(0.0, 0.0, 0.0)
+    paused.change(9000.0, 1.0, 3.0)
+    assert paused.tokens == 0.5, "a bucket keeps its tokens while its plan has no rate"
 
 
 # The decision module with a catalogue -------------------------------------------------------
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -397,8 +397,8 @@
 
     def _check_node(self, node: Node) -> None:
         for server in node.subscriber.servers.values():
-            truth = self.servers[server.id]
-            if (server.target, server.address, server.zone) != (truth.target, truth.address, truth.zone):
+            actual = self.servers[server.id]
+            if (server.target, server.address, server.zone) != (actual.target, actual.address, actual.zone):
                 raise InvariantError(f"{self.now:.0f} {node.name}: a mix of two servers in {server}")
             rank = RANK[server.state]
             if rank < node.highest_rank.get(server.id, 0):
@@ -412,8 +412,8 @@
                     raise InvariantError(f"{self.now:.0f} {node.name}: {name} has left and is {state}")
         for name in node.highest_rank:
             if name not in node.subscriber.servers:
-                truth = self.servers[name]
-                if truth.alive and truth.state == STEADY:
+                actual = self.servers[name]
+                if actual.alive and actual.state == STEADY:
                     raise InvariantError(f"{self.now:.0f} {node.name}: lost {name}, which is well")
         if self.now - node.last_disturbed < CONTACT_BOUND_MS:
             return
@@ -825,15 +825,15 @@
     assert [before[n] for n in restarted] != sorted(before[n] for n in restarted)
 
 
-@pytest.mark.parametrize("away", ["a0", "a4"])
+@pytest.mark.parametrize("isolated", ["a0", "a4"])
 @pytest.mark.parametrize("seed", [0, 3])
-def test_ring_numbers_are_unique_after_all_core_machines_restart(seed: int, away: str) -> None:
+def test_ring_numbers_are_unique_after_all_core_machines_restart(seed: int, isolated: str) -> None:
     """Having lost all numbers, they assign that of a limiter that is cut off to another one."""
     sim = settled_simulation(seed)
-    sim.cut(away)
+    sim.cut(isolated)
     sim.restart("m0", "m1", "m2")
     sim.run(6_000)
-    sim.heal(away)
+    sim.heal(isolated)
     sim.run(6_000)
     sim.expect_settled()
 
@@ -915,9 +915,9 @@
         sim.restart(name)
         for _ in range(30):
             sim.run(100)
-            back = [n.name for n in sim.nodes.values() if n.subscriber.ever_complete and n.name[0] == "a"
-                    and "s0" in n.subscriber.servers and not n.subscriber.servers["s0"].silent]
-            assert not back, f"{sim.now:.0f} after {name}: {back}"
+            revived = [n.name for n in sim.nodes.values() if n.subscriber.ever_complete and n.name[0] == "a"
+                       and "s0" in n.subscriber.servers and not n.subscriber.servers["s0"].silent]
+            assert not revived, f"{sim.now:.0f} after {name}: {revived}"
 
 
 def test_digests_repair_a_lost_row() -> None:
--- a/tests/test_settling.py
+++ b/tests/test_settling.py
@@ -264,10 +264,11 @@
 
 
 def test_simulated_day_is_determined_by_its_seed() -> None:
-    one, two = played("flapping", 3), played("flapping", 3)
-    assert [(c.admitted, c.ideal) for c in one.customers] == [(c.admitted, c.ideal) for c in two.customers]
-    assert (one.messages, one.bytes) == (two.messages, two.bytes)
-    assert played("flapping", 4).messages != one.messages
+    first, second = played("flapping", 3), played("flapping", 3)
+    assert ([(c.admitted, c.ideal) for c in first.customers]
+            == [(c.admitted, c.ideal) for c in second.customers])
+    assert (first.messages, first.bytes) == (second.messages, second.bytes)
+    assert played("flapping", 4).messages != first.messages
 
 
 def test_counts_are_confirmed_soon_after_two_sides_rejoin() -> None:
@@ -296,29 +297,28 @@
 def test_plan_change_and_reservation_known_to_one_side_of_a_split() -> None:
     """Each side applies what it has: one has the change and the reservation, the other has neither."""
     from larklb.quota.catalogue import parse
-    from larklb.quota.reservations import Reservation, Reservations, Wanted
-    from larklb.quota.reservations import ReservationLimits as Held
+    from larklb.quota.reservations import Reservation, ReservationLimits, Reservations, Wanted
     from tests.test_quota import version
 
     text = version(1, 25000.0, "[version.plans.astillero]\nrate = 4.5\nburst = 8.0")
     s = net.SCENARIOS["split"]
     customers = net.customers_of(s, 4, 8, 3, 3)
-    who = next(c for c in customers if c.plan.name == "taller" and c.demand(0.0) > c.plan.rate)
+    customer = next(c for c in customers if c.plan.name == "taller" and c.demand(0.0) > c.plan.rate)
 
     def book(number: int) -> Entitlements:
-        held = Reservations(Held(), 4, number)
-        held.insert(Reservation(Wanted("refit", who.name, "taller", 12.0, 2e4, 5e4, who.first, 3),
-                                who.owner(4) == number))
+        held = Reservations(ReservationLimits(), 4, number)
+        held.insert(Reservation(Wanted("refit", customer.name, "taller", 12.0, 2e4, 5e4, customer.first, 3),
+                                customer.owner(4) == number))
         return Entitlements(net.PLANS, parse(text.encode(), net.PLANS) if number < 2 else None, held)
 
     day = net.Net(4, customers, net.link_of(s, 4), 3, entitlements_of=book)
     day.run(60000.0)
     for c in customers:
         b = error_bound(c.plan.rate, c.plan.burst, 3, loss=s.loss, apart_s=15.0, reserve=1.0)
-        extra = 12.0 * (2 - 1 / 3) if c is who else 0.0
+        extra = 12.0 * (2 - 1 / 3) if c is customer else 0.0
         assert c.admitted - c.ideal <= b.over + extra
-    assert who.admitted - who.ideal > 5.0, "reserved units were drawn"
-    reserved = day.gateways[who.owner(4)].entitlements.reservations
+    assert customer.admitted - customer.ideal > 5.0, "reserved units were drawn"
+    reserved = day.gateways[customer.owner(4)].entitlements.reservations
     assert reserved is not None
     drawn = reserved.by_name["refit"]
     assert drawn.drawn + sum(drawn.remote_draws.values()) <= 12.0 * (2 - 1 / 3)
@@ -329,19 +329,19 @@
 
 async def relayed(folder: Path, relay_seed: int = 1) -> tuple[Cluster, Relay]:
     (folder / "plans.toml").write_text("")
-    yard = Cluster(folder, limiters=3, more='[plans]\nfile = "plans.toml"\n')
-    relay = Relay(yard.peers, relay_seed)
-    yard.peers_of = relay.peers
+    cluster = Cluster(folder, limiters=3, more='[plans]\nfile = "plans.toml"\n')
+    relay = Relay(cluster.peers, relay_seed)
+    cluster.peers_of = relay.peers
     await relay.start()
-    return yard, relay
+    return cluster, relay
 
 
 def test_real_limiters_settle_after_a_cut_and_restore_a_restarted_owners_bucket(
         tmp_path: Path) -> None:
     async def go() -> None:
-        yard, relay = await relayed(tmp_path)
-        async with yard:
-            owner, other, third = owner_first(yard)
+        cluster, relay = await relayed(tmp_path)
+        async with cluster:
+            owner, other, third = owner_first(cluster)
             # During its first second an owner restores its buckets from its peers' copies.
             await asyncio.sleep(1.0)
             used = [await granted(x, 1) for x in (other, third, other, third, owner, other, third)]
@@ -359,8 +359,8 @@
             await owner.start()
             await asyncio.sleep(0.3)
             assert await granted(owner, 4) <= 1
-            status, said = await larklb("quota", "state", str(yard.operator()), f"{1:016x}", "--json")
-            rows = {r["name"]: r for r in map(json.loads, said.splitlines())}
+            status, output = await larklb("quota", "state", str(cluster.operator()), f"{1:016x}", "--json")
+            rows = {r["name"]: r for r in map(json.loads, output.splitlines())}
             assert status == 0 and rows[owner.name]["owner"] and rows[owner.name]["sure"]
         relay.stop()
     asyncio.run(go())
@@ -368,12 +368,12 @@
 
 def test_real_limiters_hold_a_quota_through_loss_repeats_and_delay(tmp_path: Path) -> None:
     async def go() -> None:
-        yard, relay = await relayed(tmp_path, 7)
+        cluster, relay = await relayed(tmp_path, 7)
         relay.loss, relay.duplication, relay.delay = 0.3, 0.3, (0.001, 0.06)
-        async with yard:
-            for x in owner_first(yard) * 15:
+        async with cluster:
+            for x in owner_first(cluster) * 15:
                 assert (await ask(x.port, job(plan="wide", account=1, spread=3)))[0] == 200
-            counts = [sum([await granted(x, 5, account=a) for _ in range(2) for x in owner_first(yard, a)])
+            counts = [sum([await granted(x, 5, account=a) for _ in range(2) for x in owner_first(cluster, a)])
                       for a in range(4, 8)]
             assert 9 <= min(counts) and sum(counts) <= 46 and relay.dropped > 3
         relay.stop()
@@ -382,26 +382,26 @@
 
 def test_quota_lab_and_bound_commands(tmp_path: Path) -> None:
     async def go() -> None:
-        status, said = await larklb("lab", "quota", "--scenario", "calm", "--seed", "2", "--json")
-        rows: list[dict[str, Any]] = [json.loads(x) for x in said.splitlines() if x.startswith("{")]
-        assert status == 0 and len(rows) == 24 and "worst customer" in said.splitlines()[-1]
+        status, output = await larklb("lab", "quota", "--scenario", "calm", "--seed", "2", "--json")
+        rows: list[dict[str, Any]] = [json.loads(x) for x in output.splitlines() if x.startswith("{")]
+        assert status == 0 and len(rows) == 24 and "worst customer" in output.splitlines()[-1]
         assert (await larklb("lab", "quota", "--scenario", "none"))[0] == 2
-        status, said = await larklb("quota", "bound", "deploy/operator.toml", "--apart", "15", "--json")
-        taller = json.loads(said.splitlines()[0])
+        status, output = await larklb("quota", "bound", "deploy/operator.toml", "--apart", "15", "--json")
+        bounds = json.loads(output.splitlines()[0])
         b = error_bound(1.4, 7.0, 3, loss=0.02, apart_s=15.0, reserve=1.0)
-        assert status == 0 and (taller["over"], taller["under"]) == (round(b.over, 1), round(b.under, 1))
+        assert status == 0 and (bounds["over"], bounds["under"]) == (round(b.over, 1), round(b.under, 1))
     asyncio.run(go())
 
 
 def test_recently_spilt_tokens_cover_units_admitted_elsewhere() -> None:
     """Guards against debt in a full owner's bucket for units that a perfect bucket would have granted."""
-    full, dry = TokenBucket(2.0, 6.0, 6.0, 0.0), TokenBucket(2.0, 6.0, 0.0, 0.0)
+    full, empty = TokenBucket(2.0, 6.0, 6.0, 0.0), TokenBucket(2.0, 6.0, 0.0, 0.0)
     for now in range(0, 2001, 100):
         full.fill(float(now))
-    dry.fill(2000.0)
+    empty.fill(2000.0)
     full.settle(2000.0, 3.0, 6.0)
-    dry.settle(2000.0, 3.0, 6.0)
-    assert 5.0 < full.tokens <= 6.0 and dry.tokens == 1.0
+    empty.settle(2000.0, 3.0, 6.0)
+    assert 5.0 < full.tokens <= 6.0 and empty.tokens == 1.0
     full.settle(2000.0, 3.0, 6.0)
     assert full.tokens < 4.0, "spilt tokens are credited only once"
     late = TokenBucket(2.0, 6.0, 6.0, 0.0)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -25,14 +25,15 @@
 
 def test_each_violation_is_detected() -> None:
     late = 1.0 + ABANDONED_WORK_S + SLACK_S + 0.1
-    well = Run(0.1, 0.2, True)
+    successful = Run(0.1, 0.2, True)
     served = ClientRequest("/parts/x", True, 0, 0.0, 200, b"/parts/x for yard")
-    assert broken(served, well) == [] and broken(served) == ["wrong"]
-    assert broken(ClientRequest("/parts/x", True, 0, 0.0, 200, b"/parts/y for yard"), well) == ["wrong"]
-    assert broken(ClientRequest("/orders/x", False, 0, 0.0, 502), well, well) == ["twice"]
-    assert broken(ClientRequest("/parts/x", True, 0, 0.0, 503), well) == ["promise"]
+    assert broken(served, successful) == [] and broken(served) == ["wrong"]
+    assert broken(ClientRequest("/parts/x", True, 0, 0.0, 200, b"/parts/y for yard"), successful) == ["wrong"]
+    assert broken(ClientRequest("/orders/x", False, 0, 0.0, 502), successful, successful) == ["twice"]
+    assert broken(ClientRequest("/parts/x", True, 0, 0.0, 503), successful) == ["promise"]
     cut = ClientRequest("/orders/x", False, 2, 0.0, disconnected_at=1.0)
-    assert broken(cut, well) == ["lost"] and broken(cut) == [] and broken(cut, well, kills=((2, 0.9),)) == []
+    assert (broken(cut, successful) == ["lost"] and broken(cut) == []
+            and broken(cut, successful, kills=((2, 0.9),)) == [])
     gone = ClientRequest("/parts/x", True, 0, 0.0, closed_at=1.0)
     assert broken(gone, Run(0.1, late)) == broken(gone, Run(0.1)) == broken(gone, Run(late, late)) == ["gone"]
     assert broken(gone, Run(0.1, 1.2)) == []
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -19,11 +19,11 @@
 
 def test_a_job_is_served_with_the_bytes_of_the_execute_node(tmp_path: Path) -> None:
     async def go() -> None:
-        async with Cluster(tmp_path) as yard:
+        async with Cluster(tmp_path) as cluster:
             order = job("00000000000000aa", "place-order", body=b"{}")
-            status, _, body = await ask(yard.limiters[0].port, order)
+            status, _, body = await ask(cluster.limiters[0].port, order)
             assert (status, body) == (200, b"done 00000000000000aa")
-            assert yard.attempts() == {"00000000000000aa": 1}
+            assert cluster.attempts() == {"00000000000000aa": 1}
     asyncio.run(go())
 
 
@@ -40,18 +40,18 @@
     (job().replace("GET", "POST", 1), 400)])
 def test_an_invalid_request_is_rejected(tmp_path: Path, text: str, status: int) -> None:
     async def go() -> None:
-        async with Cluster(tmp_path) as yard:
-            assert (await ask(yard.limiters[0].port, text))[0] == status
-            assert (await ask(yard.limiters[0].port, job()))[0] == 200, "the next request is served"
-            assert yard.attempts().total() == 1
+        async with Cluster(tmp_path) as cluster:
+            assert (await ask(cluster.limiters[0].port, text))[0] == status
+            assert (await ask(cluster.limiters[0].port, job()))[0] == 200, "the next request is served"
+            assert cluster.attempts().total() == 1
     asyncio.run(go())
 
 
 def test_silent_connections_are_closed_and_do_not_block_clients(tmp_path: Path) -> None:
     """Guards against silent connections that stay open, and a sweep that aborts a first request."""
     async def go() -> None:
-        async with Cluster(tmp_path) as yard:
-            port = yard.limiters[0].port
+        async with Cluster(tmp_path) as cluster:
+            port = cluster.limiters[0].port
             slow_reader, slow = await asyncio.open_connection("127.0.0.1", port)
             text = job(service="place-order", body=b"{}").encode()
             slow.write(text[:-1])
@@ -68,17 +68,17 @@
                     assert await asyncio.wait_for(reader.read(), 8) == b""
                 except ConnectionResetError:
                     pass
-            assert (await yard.limiters[0].counters())["closed.for_room"] >= 700 - 594
+            assert (await cluster.limiters[0].counters())["closed.for_room"] >= 700 - 594
     asyncio.run(go())
 
 
 def test_the_number_of_idle_client_connections_is_limited(tmp_path: Path) -> None:
     """Guards against clients whose idle connections leave no descriptor for the next client."""
     async def go() -> None:
-        async with Cluster(tmp_path) as yard:
+        async with Cluster(tmp_path) as cluster:
             idle_connections = []
             for _ in range(120):
-                reader, writer = await asyncio.open_connection("127.0.0.1", yard.limiters[0].port)
+                reader, writer = await asyncio.open_connection("127.0.0.1", cluster.limiters[0].port)
                 writer.write(job().encode())
                 status, headers, _ = await read_answer(reader)
                 idle_connections.append((headers.get("connection", "keep"), writer))
@@ -93,15 +93,15 @@
         return await served(headers, body) + http(200, b"another's")
 
     async def go() -> None:
-        async with Cluster(tmp_path) as yard:
-            for node in yard.nodes:
+        async with Cluster(tmp_path) as cluster:
+            for node in cluster.nodes:
                 node.reply, node.trailing_bytes = more, http(200, b"late")
             for n in range(6):
                 name = f"{n:016x}"
-                assert (await ask(yard.limiters[0].port, job(name)))[2] == b"done " + name.encode()
-                yard.nodes[n % 2].reply = served
+                assert (await ask(cluster.limiters[0].port, job(name)))[2] == b"done " + name.encode()
+                cluster.nodes[n % 2].reply = served
                 await asyncio.sleep(0.05)
-            assert set(yard.attempts().values()) == {1}
+            assert set(cluster.attempts().values()) == {1}
     asyncio.run(go())
 
 
@@ -112,16 +112,16 @@
     b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"])
 def test_an_invalid_answer_is_a_failed_attempt_and_is_not_served(tmp_path: Path, invalid: bytes) -> None:
     async def go() -> None:
-        async with Cluster(tmp_path) as yard:
+        async with Cluster(tmp_path) as cluster:
             async def once(headers: dict[str, str], body: bytes) -> bytes:
-                first = yard.attempts()[headers["x-correlation-id"]] == 1
+                first = cluster.attempts()[headers["x-correlation-id"]] == 1
                 return invalid if first else await served(headers, body)
 
-            for node in yard.nodes:
+            for node in cluster.nodes:
                 node.reply = once
             for _ in range(2):
-                assert (await ask(yard.limiters[0].port, job()))[2].startswith(b"done ")
-            counts = await yard.limiters[0].counters()
+                assert (await ask(cluster.limiters[0].port, job()))[2].startswith(b"done ")
+            counts = await cluster.limiters[0].counters()
             assert counts["errors.spoilt_answer"] == counts["outcome.reset"] == counts["outcome.ok"] == 2
     asyncio.run(go())
 
@@ -132,21 +132,22 @@
         return hints + await served(headers, body)
 
     async def go() -> None:
-        async with Cluster(tmp_path, nodes=1) as yard:
-            yard.nodes[0].reply = with_informational
-            assert (await ask(yard.limiters[0].port, job("00000000000000aa")))[2] == b"done 00000000000000aa"
+        async with Cluster(tmp_path, nodes=1) as cluster:
+            cluster.nodes[0].reply = with_informational
+            assert ((await ask(cluster.limiters[0].port, job("00000000000000aa")))[2]
+                    == b"done 00000000000000aa")
     asyncio.run(go())
 
 
 def test_a_new_node_at_a_known_address_gets_a_new_connection(tmp_path: Path) -> None:
     async def go() -> None:
-        async with Cluster(tmp_path, nodes=1) as yard:
-            assert (await ask(yard.limiters[0].port, job()))[0] == 200
-            old, new = yard.nodes[0].entry("removed"), {**yard.nodes[0].entry(), "instanceId": "s-new"}
-            yard.discovery.publish(2, old, new)
+        async with Cluster(tmp_path, nodes=1) as cluster:
+            assert (await ask(cluster.limiters[0].port, job()))[0] == 200
+            old, new = cluster.nodes[0].entry("removed"), {**cluster.nodes[0].entry(), "instanceId": "s-new"}
+            cluster.discovery.publish(2, old, new)
             await asyncio.sleep(0.3)
-            assert (await ask(yard.limiters[0].port, job()))[0] == 200
-            assert (await yard.limiters[0].counters())["dialled"] == 2
+            assert (await ask(cluster.limiters[0].port, job()))[0] == 200
+            assert (await cluster.limiters[0].counters())["dialled"] == 2
     asyncio.run(go())
 
 
@@ -162,16 +163,16 @@
             return s.recv(65536)
 
     async def go() -> None:
-        async with Cluster(tmp_path) as yard:
-            answer = await asyncio.to_thread(send_all_then_read, yard.limiters[0].port)
+        async with Cluster(tmp_path) as cluster:
+            answer = await asyncio.to_thread(send_all_then_read, cluster.limiters[0].port)
             assert answer.startswith(b"HTTP/1.1 413 ")
     asyncio.run(go())
 
 
 def test_an_exceeded_quota_is_429_with_retry_after(tmp_path: Path) -> None:
     async def go() -> None:
-        async with Cluster(tmp_path) as yard:
-            answers = [await ask(yard.limiters[0].port, job(plan="slow")) for _ in range(12)]
+        async with Cluster(tmp_path) as cluster:
+            answers = [await ask(cluster.limiters[0].port, job(plan="slow")) for _ in range(12)]
             assert [a[0] for a in answers] == [200] * 10 + [429] * 2
             assert float(answers[-1][1]["retry-after"]) == pytest.approx(0.5)
     asyncio.run(go())
@@ -185,19 +186,19 @@
         return None
 
     async def go() -> None:
-        async with Cluster(tmp_path) as yard:
-            yard.nodes[0].reply = unprocessed
-            answers = [await ask(yard.limiters[0].port, job(service="place-order")) for _ in range(6)]
+        async with Cluster(tmp_path) as cluster:
+            cluster.nodes[0].reply = unprocessed
+            answers = [await ask(cluster.limiters[0].port, job(service="place-order")) for _ in range(6)]
             assert {a[0] for a in answers} == {200}
-            yard.nodes[1].cell = 1
-            yard.discovery.publish(2, yard.nodes[1].entry())
-            yard.nodes[0].reply = yard.nodes[1].reply = broken
+            cluster.nodes[1].cell = 1
+            cluster.discovery.publish(2, cluster.nodes[1].entry())
+            cluster.nodes[0].reply = cluster.nodes[1].reply = broken
             await asyncio.sleep(0.2)
-            before = yard.attempts()
+            before = cluster.attempts()
             order = job("00000000000000bb", "place-order", left=1.0)
-            assert (await ask(yard.limiters[0].port, order))[0] == 502
-            tried = [n.name for n in yard.nodes if n.attempts["00000000000000bb"]]
-            assert len(tried) == 1 and (yard.attempts() - before).total() >= 1
+            assert (await ask(cluster.limiters[0].port, order))[0] == 502
+            tried = [n.name for n in cluster.nodes if n.attempts["00000000000000bb"]]
+            assert len(tried) == 1 and (cluster.attempts() - before).total() >= 1
     asyncio.run(go())
 
 
@@ -207,45 +208,45 @@
         return http(200, b"ok", "Connection: close")
 
     async def go() -> None:
-        async with Cluster(tmp_path) as yard:
-            for node in yard.nodes:
+        async with Cluster(tmp_path) as cluster:
+            for node in cluster.nodes:
                 node.reply = once
             for _ in range(8):
-                assert (await ask(yard.limiters[0].port, job(service="place-order")))[0] == 200
-            assert set(yard.attempts().values()) == {1}
-            assert "outcome.reset" not in await yard.limiters[0].counters()
+                assert (await ask(cluster.limiters[0].port, job(service="place-order")))[0] == 200
+            assert set(cluster.attempts().values()) == {1}
+            assert "outcome.reset" not in await cluster.limiters[0].counters()
     asyncio.run(go())
 
 
 def test_connections_found_closed_shorten_the_trusted_idle_time(tmp_path: Path) -> None:
     async def go() -> None:
-        async with Cluster(tmp_path, nodes=1) as yard:
-            async def dead(headers: dict[str, str], body: bytes) -> bytes | None:
+        async with Cluster(tmp_path, nodes=1) as cluster:
+            async def break_reused(headers: dict[str, str], body: bytes) -> bytes | None:
                 # The first job on a connection is served, the next one breaks it.
-                fresh = (await yard.limiters[0].counters())["dialled"] > dialled[0]
+                fresh = (await cluster.limiters[0].counters())["dialled"] > dialled[0]
                 dialled[0] += fresh
                 return await served(headers, body) if fresh else None
 
-            dialled, yard.nodes[0].reply = [0], dead
+            dialled, cluster.nodes[0].reply = [0], break_reused
             for _ in range(12):
-                assert (await ask(yard.limiters[0].port, job()))[0] == 200
+                assert (await ask(cluster.limiters[0].port, job()))[0] == 200
                 await asyncio.sleep(0.1)
-            assert 1 <= (await yard.limiters[0].counters())["errors.stale_connection"] <= 10
-            assert set(yard.attempts().values()) <= {1, 2}
+            assert 1 <= (await cluster.limiters[0].counters())["errors.stale_connection"] <= 10
+            assert set(cluster.attempts().values()) <= {1, 2}
     asyncio.run(go())
 
 
 def test_the_watch_resumes_at_its_version_and_a_draining_node_gets_no_jobs(tmp_path: Path) -> None:
     async def go() -> None:
-        async with Cluster(tmp_path) as yard:
-            yard.discovery.publish(5, yard.nodes[0].entry("draining"))
+        async with Cluster(tmp_path) as cluster:
+            cluster.discovery.publish(5, cluster.nodes[0].entry("draining"))
             await asyncio.sleep(0.3)
-            yard.discovery.disconnect_watchers()
+            cluster.discovery.disconnect_watchers()
             for _ in range(4):
-                assert (await ask(yard.limiters[0].port, job()))[0] == 200
-            assert not yard.nodes[0].attempts and yard.nodes[1].attempts.total() == 4
+                assert (await ask(cluster.limiters[0].port, job()))[0] == 200
+            assert not cluster.nodes[0].attempts and cluster.nodes[1].attempts.total() == 4
             await asyncio.sleep(0.3)
-            assert yard.discovery.watched_from[0] == 1 and yard.discovery.watched_from[-1] == 5
+            assert cluster.discovery.watched_from[0] == 1 and cluster.discovery.watched_from[-1] == 5
     asyncio.run(go())
 
 
@@ -254,31 +255,31 @@
         await asyncio.sleep(30)
 
     async def go() -> None:
-        async with Cluster(tmp_path, nodes=1) as yard:
-            yard.nodes[0].reply = silent
-            _, writer = await asyncio.open_connection("127.0.0.1", yard.limiters[0].port)
+        async with Cluster(tmp_path, nodes=1) as cluster:
+            cluster.nodes[0].reply = silent
+            _, writer = await asyncio.open_connection("127.0.0.1", cluster.limiters[0].port)
             writer.write(job(left=2.0).encode())
             await asyncio.sleep(0.3)
             writer.close()
             await asyncio.sleep(0.3)
-            assert (await yard.limiters[0].counters())["gone"] == 1
+            assert (await cluster.limiters[0].counters())["gone"] == 1
             await asyncio.sleep(2.0)
-            assert (await yard.limiters[0].counters())["answered.nobody"] == 1
+            assert (await cluster.limiters[0].counters())["answered.nobody"] == 1
     asyncio.run(go())
 
 
 def test_garbage_datagrams_are_counted_and_dropped(tmp_path: Path) -> None:
     async def go() -> None:
-        async with Cluster(tmp_path, limiters=2) as yard:
+        async with Cluster(tmp_path, limiters=2) as cluster:
             loop = asyncio.get_running_loop()
             transport, _ = await loop.create_datagram_endpoint(
-                asyncio.DatagramProtocol, remote_addr=("127.0.0.1", yard.peers[0]))
+                asyncio.DatagramProtocol, remote_addr=("127.0.0.1", cluster.peers[0]))
             for data in (b"\xb1", b"x" * 256, b"x" * 2000):
                 transport.sendto(data)
             await asyncio.sleep(0.2)
             transport.close()
-            assert (await yard.limiters[0].counters())["peer.dropped"] == 3
-            assert (await ask(yard.limiters[0].port, job(spread=2)))[0] == 200
+            assert (await cluster.limiters[0].counters())["peer.dropped"] == 3
+            assert (await ask(cluster.limiters[0].port, job(spread=2)))[0] == 200
     asyncio.run(go())
 
 
@@ -288,10 +289,10 @@
         return await served(headers, body)
 
     async def go() -> None:
-        async with Cluster(tmp_path) as yard:
-            for node in yard.nodes:
+        async with Cluster(tmp_path) as cluster:
+            for node in cluster.nodes:
                 node.reply = slow
-            limiter = yard.limiters[0]
+            limiter = cluster.limiters[0]
             idle, _ = await asyncio.open_connection("127.0.0.1", limiter.port)
             client_reader, client = await asyncio.open_connection("127.0.0.1", limiter.port)
             client.write(job().encode())
@@ -312,30 +313,30 @@
 def test_a_silent_watch_is_reopened(tmp_path: Path) -> None:
     """A watch that stays open without data must not hide drains from the limiter."""
     async def go() -> None:
-        async with Cluster(tmp_path) as yard:
-            while not yard.discovery.watched_from:          # a later watch gets the update at once
+        async with Cluster(tmp_path) as cluster:
+            while not cluster.discovery.watched_from:          # a later watch gets the update at once
                 await asyncio.sleep(0.01)
-            yard.discovery.muted = True
-            yard.discovery.publish(4, yard.nodes[0].entry("draining"))
+            cluster.discovery.muted = True
+            cluster.discovery.publish(4, cluster.nodes[0].entry("draining"))
             for _ in range(100):
                 await asyncio.sleep(0.1)
-                if len(yard.discovery.watched_from) > 1 and (
-                        await yard.limiters[0].counters()).get("list.changes"):
+                if len(cluster.discovery.watched_from) > 1 and (
+                        await cluster.limiters[0].counters()).get("list.changes"):
                     break
-            assert yard.discovery.watched_from[:2] == [1, 1]
+            assert cluster.discovery.watched_from[:2] == [1, 1]
             for _ in range(5):
-                assert (await ask(yard.limiters[0].port, job()))[0] == 200
-            assert yard.nodes[0].attempts.total() == 0
+                assert (await ask(cluster.limiters[0].port, job()))[0] == 200
+            assert cluster.nodes[0].attempts.total() == 0
     asyncio.run(go())
 
 
 def test_sighup_changes_the_watched_discovery_and_an_invalid_file_keeps_the_old_one(tmp_path: Path) -> None:
     """Guards against SIGHUP ending the program; another discovery may number its lists from the start."""
     async def go() -> None:
-        async with Cluster(tmp_path) as yard:
-            limiter, old, new = yard.limiters[0], yard.discovery, Discovery()
+        async with Cluster(tmp_path) as cluster:
+            limiter, old, new = cluster.limiters[0], cluster.discovery, Discovery()
             assert limiter.process is not None
-            old.publish(9, yard.nodes[1].entry("draining"))
+            old.publish(9, cluster.nodes[1].entry("draining"))
             await new.start()
             path = limiter.config()
             text = path.read_text()
@@ -344,16 +345,16 @@
                 limiter.process.send_signal(signal.SIGHUP)
                 await asyncio.sleep(0.2)
             assert (await limiter.counters())["config.rejected"] == 2 and old.watched_from == [1]
-            yard.discovery = new
+            cluster.discovery = new
             limiter.config()
             limiter.process.send_signal(signal.SIGHUP)
-            new.publish(3, yard.nodes[0].entry("draining"), yard.nodes[1].entry())
+            new.publish(3, cluster.nodes[0].entry("draining"), cluster.nodes[1].entry())
             await asyncio.sleep(0.5)
             assert new.watched_from == [0] and not old.writers
-            before = yard.nodes[0].attempts.total()
+            before = cluster.nodes[0].attempts.total()
             for _ in range(5):
                 assert (await ask(limiter.port, job()))[0] == 200
-            assert (before, yard.nodes[1].attempts.total()) == (yard.nodes[0].attempts.total(), 5)
+            assert (before, cluster.nodes[1].attempts.total()) == (cluster.nodes[0].attempts.total(), 5)
             assert await limiter.stop() == 0
     asyncio.run(go())
 
@@ -369,13 +370,14 @@
 
 def test_an_address_in_use_prints_one_line_and_exits_with_1(tmp_path: Path) -> None:
     async def go() -> None:
-        async with Cluster(tmp_path) as yard:
-            twin = Cluster(tmp_path / "twin")
-            twin.folder.mkdir()
-            twin.discovery.publish(2, twin.nodes[0].entry())   # a silent discovery would log a line
-            await twin.discovery.start()
-            twin.limiters[0].port = yard.limiters[0].port
-            path = twin.limiters[0].config()
+        async with Cluster(tmp_path) as cluster:
+            other_cluster = Cluster(tmp_path / "twin")
+            other_cluster.folder.mkdir()
+            # A silent discovery would log a line.
+            other_cluster.discovery.publish(2, other_cluster.nodes[0].entry())
+            await other_cluster.discovery.start()
+            other_cluster.limiters[0].port = cluster.limiters[0].port
+            path = other_cluster.limiters[0].config()
             env = {**os.environ, "EDGE_CONFIG": str(path), "PYTHONPATH": str(ROOT)}
             command = [sys.executable, "-m", "larklb", "serve"]
             done = await asyncio.to_thread(subprocess.run, command, env=env, capture_output=True, timeout=60)
@@ -386,19 +388,19 @@
 
 def test_the_agent_restarts_a_killed_instance_and_drains_on_exit(tmp_path: Path) -> None:
     async def go() -> None:
-        yard = Cluster(tmp_path, limiters=2, second_front=False)
-        await yard.discovery.start()
-        for limiter in yard.limiters:
+        cluster = Cluster(tmp_path, limiters=2, second_front=False)
+        await cluster.discovery.start()
+        for limiter in cluster.limiters:
             limiter.config()
         env = {**os.environ, "PYTHONPATH": str(ROOT)}
         command = (sys.executable, "-m", "larklb")
-        agent = await asyncio.create_subprocess_exec(*command, "agent", str(yard.operator()), env=env,
+        agent = await asyncio.create_subprocess_exec(*command, "agent", str(cluster.operator()), env=env,
                                                      stderr=asyncio.subprocess.PIPE)
         try:
-            for limiter in yard.limiters:
+            for limiter in cluster.limiters:
                 await limiter.ready()
-            status = await asyncio.create_subprocess_exec(*command, "status", str(yard.operator()), env=env,
-                                                          stdout=asyncio.subprocess.PIPE)
+            status = await asyncio.create_subprocess_exec(
+                *command, "status", str(cluster.operator()), env=env, stdout=asyncio.subprocess.PIPE)
             lines = (await status.communicate())[0].splitlines()
             assert [json.loads(line)["name"] for line in lines] == ["n0", "n1"] and status.returncode == 0
             assert agent.stderr is not None
@@ -407,7 +409,7 @@
             os.kill(int(line.split()[-1]), signal.SIGKILL)
             while b"n0 ended with -9" not in (line := await agent.stderr.readline()):
                 assert line
-            await yard.limiters[0].ready()
+            await cluster.limiters[0].ready()
             agent.send_signal(signal.SIGHUP)
             renewed: list[bytes] = []
             while len(renewed) < 2:
@@ -415,7 +417,7 @@
                 renewed += [line.split()[2]] if b"drained with 0" in line else []
                 assert line and b"ended with" not in line
             assert renewed == [b"n0", b"n1"]
-            await yard.limiters[1].ready()
+            await cluster.limiters[1].ready()
         finally:
             agent.send_signal(signal.SIGTERM)
             _, errors = await asyncio.wait_for(agent.communicate(), 30)
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -70,20 +70,20 @@
         tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     write_log(tmp_path / "log")
     log = Log(tmp_path / "log")
-    real, room = os.pwrite, [30]
+    real, free_bytes = os.pwrite, [30]
 
     def full(fd: int, data: bytes, at: int) -> int:
-        if not room[0]:
+        if not free_bytes[0]:
             raise OSError(errno.ENOSPC, "no space left on device")
-        done = real(fd, bytes(data)[:room[0]], at)
-        room[0] -= done
+        done = real(fd, bytes(data)[:free_bytes[0]], at)
+        free_bytes[0] -= done
         return done
 
     monkeypatch.setattr(os, "pwrite", full)
     with pytest.raises(LogError, match="no space left"):
         log.append([b"x" * 20, b"y" * 20])
     assert replay(tmp_path / "log").records == RECORDS
-    room[0] = 1000
+    free_bytes[0] = 1000
     log.append([b"there is room again"])
     assert replay(tmp_path / "log").records == [*RECORDS, b"there is room again"]
 
--- a/tests/test_system_cli.py
+++ b/tests/test_system_cli.py
@@ -96,7 +96,7 @@
     return str(folder / name)
 
 
-def dead(make: Make) -> str:
+def unused_address(make: Make) -> str:
     """An address at which nothing listens any more."""
     stopped = make(lambda path: (200, {}))
     stopped.server.shutdown()
@@ -112,15 +112,15 @@
     second = answerer(lambda path: (307, f"http://{last.address}/moved?x=1"))
     first = answerer(lambda path: (307, f"http://{second.address}/on"))
     busy = answerer(lambda path: (503, {}))
-    caller = Caller([dead(answerer), busy.address, first.address], sleep=lambda s: None)
+    caller = Caller([unused_address(answerer), busy.address, first.address], sleep=lambda s: None)
     answer = caller.call("GET", "/a")
     assert answer.document() == {"here": "/moved?x=1"} and answer.address == last.address
     assert "refused" in caller.outcomes[caller.addresses[0]] and caller.outcomes[busy.address] == "status 503"
     redirecting = answerer(lambda path: (307, f"http://{busy.address}{path}"))
     for code, times in ((412, 1), (400, 1), (404, 3)):
-        odd = answerer(lambda path, code=code: (code, {"text": "no"}))      # type: ignore[misc]
-        assert Caller([odd.address], sleep=lambda s: None).call("GET", "/").status == code
-        assert len(odd.asked) == times, code
+        failing = answerer(lambda path, code=code: (code, {"text": "no"}))      # type: ignore[misc]
+        assert Caller([failing.address], sleep=lambda s: None).call("GET", "/").status == code
+        assert len(failing.asked) == times, code
     now = iter(range(1000))
     pauses: list[float] = []
     with pytest.raises(NoAnswerError, match="503"):
@@ -155,7 +155,7 @@
     assert 'ADDRESS: "host": must be host:port' in err and "/none: No such file" in err
     assert len(core.asked) == 4, "invalid input is not sent"
     monkeypatch.setattr(system_calls, "CALL_TIMEOUT_S", 0.0)
-    caller = Caller([dead(answerer)], 0.0)
+    caller = Caller([unused_address(answerer)], 0.0)
     monkeypatch.setattr("larklb.cli.system_config.Caller", lambda places: caller)
     assert system.main(["amend", core.address, change, "--base", "1"]) == 1
     assert "may be in force or not: give the same call again" in capsys.readouterr().err
@@ -259,16 +259,17 @@
                          "version": 7, "voters": {d: f"n{d[1]}" for d in voters.split()}, "last": 4,
                          "commit": 4, "saving": False, "serves": True, "folder": "/d"}}
 
-    well = fleet(answerer, [part("d0", 2, False), part("d1", 2, True), part("d2", 0, False, "")], ["up"] * 3)
-    assert system.main(["core", well[0].address]) == 0
+    healthy = fleet(
+        answerer, [part("d0", 2, False), part("d1", 2, True), part("d2", 0, False, "")], ["up"] * 3)
+    assert system.main(["core", healthy[0].address]) == 0
     assert [line.split()[1] for line in capsys.readouterr().out.splitlines()[1:]] == [
         "voter", "leader", "newcomer"]
     # A partitioned former leader still considers itself leader, in an older term.
     old = fleet(answerer, [part("d0", 2, True), part("d1", 3, False)], ["up"] * 2)
     assert system.main(["core", old[0].address]) == 1
     assert "nobody leads" in capsys.readouterr().err
-    lacking = fleet(answerer, [part("d0", 2, True, "d0 d1 d9")], ["up"])
-    assert system.main(["core", lacking[0].address]) == 1
+    incomplete = fleet(answerer, [part("d0", 2, True, "d0 d1 d9")], ["up"])
+    assert system.main(["core", incomplete[0].address]) == 1
     assert "n9: its disk d9 is a voter, and does not answer" in capsys.readouterr().err
     row = {"tenant": "a b", "tokens": 1.5, "rate": 4, "burst": 4}
     quota = fleet(answerer, [{"quotas": [{**row, "role": "asker", "owner": 1, "untold": 0}]},
@@ -383,10 +384,10 @@
     file = put(tmp_path, "s.toml", settings(Net("127.1.2", 18000), 0, tmp_path, True))
     bad = {**CONFIGURATION, "hosts": [{"host": "h", "paths": [{"name": "r", "prefix": "x; y"}]}],
            "tenants": [{"name": "t", "ratePerS": -1}]}
-    with pytest.raises(InvalidError) as why:
+    with pytest.raises(InvalidError) as expected:
         configuration.check(bad, 0)
-    beat = json.dumps({"address": "nowhere", "info": {"target": "t", "capacity": 0},
-                       "observed": {"state": "odd", "sequence": 1}}).encode()
+    heartbeat = json.dumps({"address": "nowhere", "info": {"target": "t", "capacity": 0},
+                            "observed": {"state": "odd", "sequence": 1}}).encode()
     base = (calls.BASE_VERSION_HEADER, "0")
 
     async def refused() -> list[Any]:
@@ -402,7 +403,7 @@
         for path, headers, body in ((calls.REPLACE, [base], json.dumps(bad).encode()),
                                     (calls.REPLACE, [base], b"[]"), (calls.AMEND, [base], b"{}"),
                                     (calls.REPLACE, [], b"{}"), (calls.REPLACE, [base], b"\xff"),
-                                    ("/larklb/instances/i/heartbeat", [], beat),
+                                    ("/larklb/instances/i/heartbeat", [], heartbeat),
                                     ("/larklb/instances/i/heartbeat", [], b"no")):
             head = h11.Request(method="POST", target=path, headers=[("host", "x"), *headers])
             reply = await limiter.control.handler(head, body, None)               # type: ignore[arg-type]
@@ -412,16 +413,16 @@
         return found
 
     found = asyncio.run(refused())
-    assert found[0] == why.value.problems and "x; y" in found[0][1], (
+    assert found[0] == expected.value.problems and "x; y" in found[0][1], (
         "problems are reported exactly as the check describes them")
     assert all(problems and all(isinstance(line, str) for line in problems) for problems in found)
     assert [line.split(":")[0] for line in found[5]] == ["address"], (
         "only the first problem of an item is reported")
     call = OperatorCall(number=1, session="s", kind="replace", base=0, body="", hops=1)
     answer = CallResult(400, "a; b", problems=("a; b", "c")).answer_to(call)
-    passed_on = messages.decode(messages.encode(messages.with_sender(answer, "n", "10.0.0.1")))
-    assert isinstance(passed_on, CallAnswer)
-    assert passed_on.result == CallResult(400, "a; b", problems=("a; b", "c"))
+    received = messages.decode(messages.encode(messages.with_sender(answer, "n", "10.0.0.1")))
+    assert isinstance(received, CallAnswer)
+    assert received.result == CallResult(400, "a; b", problems=("a; b", "c"))
 
 
 def test_messages_sent_after_the_transport_stopped_are_dropped() -> None:
@@ -440,7 +441,7 @@
 # Disks --------------------------------------------------------------------------------------
 
 
-def grown(folder: Path, versions: int) -> Store:
+def disk_with_versions(folder: Path, versions: int) -> Store:
     """The disk of a single-voter group after committing configurations 1 to `versions`."""
     store = Store(folder)
     disk = store.identity()
@@ -471,7 +472,7 @@
 def test_a_disk_is_checked_dumped_and_an_earlier_generation_restored(
         tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     folder, other = tmp_path / "disk", tmp_path / "other"
-    store, stranger = grown(folder, 3), grown(other, 1)
+    store, other_group = disk_with_versions(folder, 3), disk_with_versions(other, 1)
     assert system.main(["disk", "check", str(folder)]) == 0
     assert system.main(["disk", "dump", str(folder), "--json"]) == 0
     logs = [row for row in map(json.loads, capsys.readouterr().out.splitlines()[1:]) if row["key"] == "log"]
@@ -497,7 +498,7 @@
         "the replaced generation is kept")
     assert json.loads(capsys.readouterr().out)["version"] == 3
     # A limiter discards a log of another group at its start, and the disk would come back empty.
-    store.save({"log": stranger.load()["log"]})                                   # type: ignore[index]
+    store.save({"log": other_group.load()["log"]})                                   # type: ignore[index]
     foreign = max(g.number for g in store.list_generations() if g.key == "log")
     store.save({"log": after["log"]})
     assert system.main(["disk", "restore", str(folder), str(foreign), "--yes"]) == 2
@@ -515,8 +516,8 @@
                            env={**os.environ, "LARKLB_SETTINGS": file}, timeout=30)
     assert ended.returncode == 2 and "Traceback" not in ended.stderr
     assert f"gateway: {folder}: can't start with it: the log: Object missing required field" in ended.stderr
-    whole = min(g.number for g in store.list_generations() if g.key == "log" and g.intact)
-    assert system.main(["disk", "restore", str(folder), str(whole), "--yes"]) == 0
+    intact = min(g.number for g in store.list_generations() if g.key == "log" and g.intact)
+    assert system.main(["disk", "restore", str(folder), str(intact), "--yes"]) == 0
     assert system.main(["disk", "check", str(folder)]) == 0
     # Without a ballot the log is not loaded, but the disk would rejoin under the id of a voter.
     for path in folder.glob("ballot-*"):
@@ -528,7 +529,7 @@
 
 def test_a_disk_in_use_is_not_changed(tmp_path: Path, capsys: pytest.CaptureFixture[str],
                                       monkeypatch: pytest.MonkeyPatch) -> None:
-    store = grown(tmp_path / "disk", 2)
+    store = disk_with_versions(tmp_path / "disk", 2)
     earlier = min(g.number for g in store.list_generations() if g.key == "log")
     status.mark_in_use(str(store.folder))
     assert system.main(["disk", "restore", str(store.folder), str(earlier), "--yes"]) == 2
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -34,11 +34,11 @@
 PULSE_S = 0.05
 
 
-async def start_second_process(yard: Cluster) -> tuple[Process, int]:
+async def start_second_process(cluster: Cluster) -> tuple[Process, int]:
     """Starts a second process of the limiter with another admin address."""
-    port = with_console(yard)
-    env = {**os.environ, "EDGE_CONFIG": str(yard.limiters[0].config()), "PYTHONPATH": str(ROOT),
-           **yard.environment, **yard.limiters[0].environment}
+    port = with_console(cluster)
+    env = {**os.environ, "EDGE_CONFIG": str(cluster.limiters[0].config()), "PYTHONPATH": str(ROOT),
+           **cluster.environment, **cluster.limiters[0].environment}
     return await asyncio.create_subprocess_exec(
         sys.executable, "-m", "larklb", "serve", env=env, stderr=asyncio.subprocess.PIPE), port
 
@@ -53,11 +53,11 @@
     raise AssertionError("the second process is not ready")
 
 
-async def upgrade(yard: Cluster) -> tuple[Process, int]:
+async def upgrade(cluster: Cluster) -> tuple[Process, int]:
     """Upgrades the limiter; returns the old process, which was sent SIGTERM, and the new admin port."""
-    old = yard.limiters[0].process
+    old = cluster.limiters[0].process
     assert old is not None
-    yard.limiters[0].process, port = await start_second_process(yard)
+    cluster.limiters[0].process, port = await start_second_process(cluster)
     await wait_until_ready(port)
     old.send_signal(signal.SIGTERM)
     return old, port
@@ -70,10 +70,10 @@
     return errors.decode()
 
 
-def new_yard(tmp_path: Path, **more: int) -> Cluster:
-    yard = Cluster(tmp_path, **more)         # type: ignore[arg-type]
-    yard.environment["TMPDIR"] = str(tmp_path)
-    return yard
+def new_cluster(tmp_path: Path, **more: int) -> Cluster:
+    cluster = Cluster(tmp_path, **more)         # type: ignore[arg-type]
+    cluster.environment["TMPDIR"] = str(tmp_path)
+    return cluster
 
 
 def test_repeated_upgrades_under_load_lose_nothing(tmp_path: Path) -> None:
@@ -83,11 +83,11 @@
     with a shorter deadline would rightly be refused, so the deadline is longer and stalls are subtracted.
     """
     async def go() -> None:
-        yard = new_yard(tmp_path)
-        with_console(yard)
-        yard.settings = {"classes": [{**c, "deadline": 1000.0 * LONG_S} for c in CLASSES]}
-        async with yard:
-            port, ended = yard.limiters[0].port, asyncio.Event()
+        cluster = new_cluster(tmp_path)
+        with_console(cluster)
+        cluster.settings = {"classes": [{**c, "deadline": 1000.0 * LONG_S} for c in CLASSES]}
+        async with cluster:
+            port, ended = cluster.limiters[0].port, asyncio.Event()
             answers_by_status: Counter[int] = Counter()
             slow: Counter[int] = Counter()
             stalled_s = 0.0                  # total stall of this process in s
@@ -103,59 +103,60 @@
                 reader, writer = await asyncio.open_connection("127.0.0.1", port)
                 while not ended.is_set():
                     service = ("stock-check", "place-order")[n % 2]
-                    begin, still = time.monotonic(), stalled_s
+                    begin, stalled_before = time.monotonic(), stalled_s
                     writer.write(job(service=service, account=100 + n, left=LONG_S).encode())
                     status, headers, _ = await asyncio.wait_for(read_answer(reader), LONG_S)
                     # A stall that ends with this answer is counted by the next pulse.
-                    if time.monotonic() - begin - (stalled_s - still) >= ANSWER_S:
+                    if time.monotonic() - begin - (stalled_s - stalled_before) >= ANSWER_S:
                         await asyncio.sleep(2 * PULSE_S)
-                        assert time.monotonic() - begin - (stalled_s - still) < ANSWER_S + 2 * PULSE_S
+                        assert (time.monotonic() - begin - (stalled_s - stalled_before)
+                                < ANSWER_S + 2 * PULSE_S)
                     answers_by_status[status] += 1
                     assert headers.get("connection") != "close"
                 writer.close()
 
-            async def spender() -> None:
+            async def quota_user() -> None:
                 while not ended.is_set():
                     slow[(await ask(port, job(plan="slow", account=7)))[0]] += 1
                     await asyncio.sleep(0.01)
 
-            beat = asyncio.create_task(pulse())
+            pulse_task = asyncio.create_task(pulse())
             tasks = [asyncio.create_task(submitter(n)) for n in range(8)]
-            tasks.append(asyncio.create_task(spender()))
+            tasks.append(asyncio.create_task(quota_user()))
             for _ in range(3):
                 await asyncio.sleep(0.3)
-                old, _ = await upgrade(yard)
+                old, _ = await upgrade(cluster)
                 await wait_for_exit(old)
             ended.set()
             await asyncio.gather(*tasks)
-            beat.cancel()
+            pulse_task.cancel()
             assert set(answers_by_status) == {200} and answers_by_status[200] > 200
             assert set(slow) == {200, 429} and slow[200] == 10
-            assert set(yard.attempts().values()) == {1}
-            assert await yard.limiters[0].stop() == 0
+            assert set(cluster.attempts().values()) == {1}
+            assert await cluster.limiters[0].stop() == 0
             assert not list(tmp_path.glob("*.sock")), "the sockets of the upgrade are removed"
     asyncio.run(go())
 
 
 def test_jobs_on_a_slow_node_are_finished_by_the_process_that_accepted_them(tmp_path: Path) -> None:
     async def go() -> None:
-        yard = new_yard(tmp_path)
-        with_console(yard)
-        async with yard:
+        cluster = new_cluster(tmp_path)
+        with_console(cluster)
+        async with cluster:
             async def late(headers: dict[str, str], body: bytes) -> bytes:
                 await asyncio.sleep(2.0)
                 return await served(headers, body)
 
-            port = yard.limiters[0].port
-            for node in yard.nodes:
+            port = cluster.limiters[0].port
+            for node in cluster.nodes:
                 node.reply = late
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.write(job("00000000000000aa").encode())
             await asyncio.sleep(0.3)
-            old, _ = await upgrade(yard)
+            old, _ = await upgrade(cluster)
             assert (await ask(port, HEALTH))[0] == 200
             assert (await read_answer(reader))[2] == b"done 00000000000000aa"
-            for node in yard.nodes:
+            for node in cluster.nodes:
                 node.reply = served
             writer.write(job("00000000000000ab").encode())       # the new process has the connection
             assert (await read_answer(reader))[2] == b"done 00000000000000ab"
@@ -167,11 +168,12 @@
 def test_new_process_that_dies_during_the_takeover_changes_nothing(tmp_path: Path, step: str) -> None:
     """The old process has paused accepting work by then and must resume it."""
     async def go() -> None:
-        yard = new_yard(tmp_path)
-        with_console(yard)
-        async with yard:
-            limiter, wheel = yard.limiters[0], Wheel(4.0)
-            place = handover.handover_socket_path(limiter.name, ("127.0.0.1", limiter.port), yard.environment)
+        cluster = new_cluster(tmp_path)
+        with_console(cluster)
+        async with cluster:
+            limiter, wheel = cluster.limiters[0], Wheel(4.0)
+            place = handover.handover_socket_path(
+                limiter.name, ("127.0.0.1", limiter.port), cluster.environment)
             assert place is not None
             reader, writer = await asyncio.open_connection("127.0.0.1", limiter.port)
             writer.write(job().encode())
@@ -191,14 +193,14 @@
                 if step == "give":
                     channel.send(handover.GIVE)
                 if step == "last":
-                    parcel = await handover.receive_state(channel)
-                    assert unpack(parcel.state).version and parcel.peers is not None
+                    payload = await handover.receive_state(channel)
+                    assert unpack(payload.state).version and payload.peers is not None
                 channel.close()
             await asyncio.sleep(0.4)
             writer.write(job().encode())
             assert (await asyncio.wait_for(read_answer(reader), 3))[0] == 200
             assert (await ask(limiter.port, job()))[0] == 200
-            old, _ = await upgrade(yard)                # a later process can take over
+            old, _ = await upgrade(cluster)                # a later process can take over
             assert "has our place" in await wait_for_exit(old)
             assert (await ask(limiter.port, job()))[0] == 200
     asyncio.run(go())
@@ -206,11 +208,11 @@
 
 def test_old_process_serves_again_if_the_new_one_dies_before_it_was_told_to_stop(tmp_path: Path) -> None:
     async def go() -> None:
-        yard = new_yard(tmp_path, limiters=2)
-        with_console(yard)
-        async with yard:
-            limiter = yard.limiters[0]
-            new, port = await start_second_process(yard)
+        cluster = new_cluster(tmp_path, limiters=2)
+        with_console(cluster)
+        async with cluster:
+            limiter = cluster.limiters[0]
+            new, port = await start_second_process(cluster)
             await wait_until_ready(port)
             assert (await ask(limiter.port, job()))[0] == 200
             new.kill()
@@ -227,16 +229,17 @@
 @pytest.mark.parametrize("how", ["stuck", "left over", "no folder", "gone at give", "silent"])
 def test_new_process_serves_even_if_the_old_one_cannot_hand_over(tmp_path: Path, how: str) -> None:
     async def go() -> None:
-        yard = new_yard(tmp_path)
-        with_console(yard)
+        cluster = new_cluster(tmp_path)
+        with_console(cluster)
         if how == "no folder":
-            yard.environment["TMPDIR"] = str(tmp_path / "none")
-        async with yard:
-            limiter = yard.limiters[0]
-            place = handover.handover_socket_path(limiter.name, ("127.0.0.1", limiter.port), yard.environment)
+            cluster.environment["TMPDIR"] = str(tmp_path / "none")
+        async with cluster:
+            limiter = cluster.limiters[0]
+            place = handover.handover_socket_path(
+                limiter.name, ("127.0.0.1", limiter.port), cluster.environment)
             old = limiter.process
             assert old is not None
-            doors: list[handover.HandoverListener] = []
+            listeners: list[handover.HandoverListener] = []
             if how == "stuck":
                 old.send_signal(signal.SIGSTOP)
             elif how == "left over":
@@ -246,9 +249,9 @@
             elif how in ("gone at give", "silent"):
                 assert place is not None
                 ends = (lambda c: c.close()) if how == "gone at give" else (lambda c: None)
-                doors.append(handover.HandoverListener(place, Wheel(4.0), ends))
-                doors[0].open()
-            limiter.process, port = await start_second_process(yard)
+                listeners.append(handover.HandoverListener(place, Wheel(4.0), ends))
+                listeners[0].open()
+            limiter.process, port = await start_second_process(cluster)
             assert await wait_until_ready(port) < 6.0
             if how != "left over":
                 old.send_signal(signal.SIGKILL if how == "stuck" else signal.SIGTERM)
@@ -256,8 +259,8 @@
                     await old.wait()
                 else:
                     await wait_for_exit(old)
-            for door in doors:
-                door.close()
+            for listener in listeners:
+                listener.close()
             for _ in range(5):
                 assert (await ask(limiter.port, job()))[0] == 200
     asyncio.run(go())
@@ -265,35 +268,35 @@
 
 def test_drain_is_handed_over_and_ended_at_the_new_process(tmp_path: Path) -> None:
     async def go() -> None:
-        yard = new_yard(tmp_path)
-        port = with_console(yard)
-        async with yard:
+        cluster = new_cluster(tmp_path)
+        port = with_console(cluster)
+        async with cluster:
             assert (await call(port, b"DRAIN\n"))[0].startswith("+OK")
-            old = yard.limiters[0].process
+            old = cluster.limiters[0].process
             assert old is not None
-            yard.limiters[0].process, port = await start_second_process(yard)
+            cluster.limiters[0].process, port = await start_second_process(cluster)
             while True:
                 with suppress(OSError):
                     if (await call(port, b"READY\n"))[0] == "-ERR draining\r\n":
                         break
                 await asyncio.sleep(0.05)
-            assert (await ask(yard.limiters[0].port, HEALTH))[0] == 503
+            assert (await ask(cluster.limiters[0].port, HEALTH))[0] == 503
             old.send_signal(signal.SIGTERM)
             await wait_for_exit(old)
             assert (await call(port, b"UNDRAIN\n"))[0].startswith("+OK")
-            assert (await ask(yard.limiters[0].port, HEALTH))[0] == 200
+            assert (await ask(cluster.limiters[0].port, HEALTH))[0] == 200
     asyncio.run(go())
 
 
 def test_address_of_another_instance_is_not_shared(tmp_path: Path) -> None:
     """Guards against two limiters under one address: only processes of one instance may share it."""
     async def go() -> None:
-        yard = new_yard(tmp_path)
-        with_console(yard)
-        async with yard:
-            with_console(yard)
-            env = {**os.environ, "EDGE_CONFIG": str(yard.limiters[0].config()), "PYTHONPATH": str(ROOT),
-                   **yard.environment, **yard.limiters[0].environment, "EDGE_NAME": "another"}
+        cluster = new_cluster(tmp_path)
+        with_console(cluster)
+        async with cluster:
+            with_console(cluster)
+            env = {**os.environ, "EDGE_CONFIG": str(cluster.limiters[0].config()), "PYTHONPATH": str(ROOT),
+                   **cluster.environment, **cluster.limiters[0].environment, "EDGE_NAME": "another"}
             done = await asyncio.to_thread(subprocess.run, [sys.executable, "-m", "larklb", "serve"],
                                            env=env, capture_output=True, timeout=20)
             assert done.returncode == 1 and done.stderr.startswith(b"larklb: ")
@@ -347,18 +350,18 @@
 def test_plans_and_classes_are_matched_by_name(tmp_path: Path) -> None:
     """The new process has another configuration: numbers differ, and state of unknown plans is dropped."""
     bed = _used()
-    old, kept = bed.gateways[0], settings(number=0, **bed.changes)
-    turned = settings(number=0, plans=tuple(reversed(kept.plans)), classes=tuple(reversed(kept.classes)),
-                      **bed.changes)
-    new = Gateway(turned, 99, bed.now)
+    old, original = bed.gateways[0], settings(number=0, **bed.changes)
+    reordered = settings(number=0, plans=tuple(reversed(original.plans)),
+                         classes=tuple(reversed(original.classes)), **bed.changes)
+    new = Gateway(reordered, 99, bed.now)
     restore(new, unpack(_state(bed)), bed.now)
     for key, (plan, bucket) in old.buckets.items():
-        assert turned.plans[new.buckets[key][0]] == kept.plans[plan]
+        assert reordered.plans[new.buckets[key][0]] == original.plans[plan]
         assert new.buckets[key][1] == bucket
-    none = Gateway(settings(number=0, plans=(io.Plan("other", 1.0, 1.0),), **bed.changes), 99, bed.now)
-    restore(none, unpack(_state(bed)), bed.now)
-    assert (not none.buckets and not none.fallback.copies and not none.fallback.settlement.local_counts
-            and not none.leases)
+    unrelated = Gateway(settings(number=0, plans=(io.Plan("other", 1.0, 1.0),), **bed.changes), 99, bed.now)
+    restore(unrelated, unpack(_state(bed)), bed.now)
+    assert (not unrelated.buckets and not unrelated.fallback.copies
+            and not unrelated.fallback.settlement.local_counts and not unrelated.leases)
 
 
 def test_truncated_state_or_state_of_another_version_is_rejected() -> None:
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -154,13 +154,13 @@
     asyncio.run(go())
 
 
-@pytest.mark.parametrize("mood", ["break", "500", "late", "reset", "old", "refuse"])
+@pytest.mark.parametrize("behaviour", ["break", "500", "late", "reset", "old", "refuse"])
 def test_batch_is_resent_unchanged_until_acknowledged(
-        tmp_path: Path, mood: str, monkeypatch: pytest.MonkeyPatch) -> None:
+        tmp_path: Path, behaviour: str, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(ex, "DELIVERY_TIMEOUT_S", 0.3)
 
     async def go() -> None:
-        receiver = Receiver(["ok", mood, mood])
+        receiver = Receiver(["ok", behaviour, behaviour])
         await receiver.start()
         x = ledger(tmp_path)
         endpoint = ex.receiver(receiver.url)
@@ -340,8 +340,8 @@
 async def kill_at_step(folder: Path, step: str, number: int) -> None:
     receiver = Receiver()
     await receiver.start()
-    async with Cluster(folder, more=operator_text(f'url = "{receiver.url}"')) as yard:
-        limiter = yard.limiters[0]
+    async with Cluster(folder, more=operator_text(f'url = "{receiver.url}"')) as cluster:
+        limiter = cluster.limiters[0]
         for n in (1, 3):
             # The running limiter has no fault configured; its successor dies at the step.
             await limiter.stop(signal.SIGKILL)
@@ -355,8 +355,8 @@
             await limiter.start()
             for i in range(3):
                 assert (await ask(limiter.port, job(account=i, service="place-order")))[0] == 200
-        status, said = await larklb("usage", "export", str(yard.operator()))
-        assert status == 0, said
+        status, output = await larklb("usage", "export", str(cluster.operator()))
+        assert status == 0, output
         found = audit(folder / "var" / "n0" / "use", "n0")
         assert not found.differences and found.waiting == t.Sum() == found.uncut
         assert receiver.tries() == found.tally.counted.tries and not receiver.differing
@@ -369,7 +369,7 @@
         assert not list(outbox.iterdir()), "acknowledged batches are removed from the outbox"
         assert round(receiver.units() * t.MICROUNITS_PER_UNIT) == found.tally.counted.units
         # Tries that the ledger counted and no node recorded were in flight at a kill and are in doubt.
-        executed, doubts = set(yard.attempts()), {d.job for d in found.tally.doubts}
+        executed, doubts = set(cluster.attempts()), {d.job for d in found.tally.doubts}
         assert found.tally.counted.tries == len(executed) + len(doubts - executed)
         assert await limiter.stop() == 0
     await receiver.stop()
@@ -389,45 +389,45 @@
     async def go() -> None:
         receiver = Receiver()
         await receiver.start()
-        async with Cluster(tmp_path, more=operator_text(f'url = "{receiver.url}"', seal_s=60.0)) as yard:
-            limiter, operator = yard.limiters[0], str(yard.operator())
+        async with Cluster(tmp_path, more=operator_text(f'url = "{receiver.url}"', seal_s=60.0)) as cluster:
+            limiter, operator = cluster.limiters[0], str(cluster.operator())
             for i in range(5):
                 await ask(limiter.port, job(account=i))
             (tmp_path / "n0.sock").unlink()
-            status, said = await larklb("usage", "export", operator)
+            status, output = await larklb("usage", "export", operator)
             assert limiter.process is not None
-            assert status == 1 and f"in use by process {limiter.process.pid}" in said
+            assert status == 1 and f"in use by process {limiter.process.pid}" in output
             await limiter.stop(signal.SIGKILL)
             status, _ = await larklb("usage", "export", operator, env={"LARKLB_FAULT": "sent:1"})
             assert status == -signal.SIGKILL and receiver.deliveries == 1
-            status, said = await larklb("usage", "export", operator)
-            assert status == 0 and receiver.deliveries == 2 and receiver.tries() == 5, said
+            status, output = await larklb("usage", "export", operator)
+            assert status == 0 and receiver.deliveries == 2 and receiver.tries() == 5, output
             assert not receiver.differing
-            status, said = await larklb("usage", "verify", operator)
-            assert status == 0 and "5 in 5" in said
+            status, output = await larklb("usage", "verify", operator)
+            assert status == 0 and "5 in 5" in output
         await receiver.stop()
     asyncio.run(go())
 
 
 def test_both_front_ends_count_exactly_what_the_quota_counts(tmp_path: Path) -> None:
     async def go() -> None:
-        async with Cluster(tmp_path, more=operator_text('folder = "billed"', seal_s=60.0)) as yard:
-            limiter, operator = yard.limiters[0], str(yard.operator())
+        async with Cluster(tmp_path, more=operator_text('folder = "billed"', seal_s=60.0)) as cluster:
+            limiter, operator = cluster.limiters[0], str(cluster.operator())
             assert (await ask(limiter.port, job(plan="slow", service="place-order")))[0] == 200
             assert (await question(limiter, descriptor(), hits=4)).overall_code == 1
             assert (await question(limiter, descriptor(), hits=9)).overall_code == 2
             assert [(await ask(limiter.port, job(plan="slow")))[0] for _ in range(6)] == [200] * 5 + [429]
             assert (await ask(limiter.port, job(plan="nobody's")))[0] == 400
-            status, said = await larklb("usage", "show", operator, "--json", "--rows")
+            status, output = await larklb("usage", "show", operator, "--json", "--rows")
             assert status == 0
-            rows = {r["class"]: (r["units"], r["tries"]) for r in json.loads(said)["rows"]}
+            rows = {r["class"]: (r["units"], r["tries"]) for r in json.loads(output)["rows"]}
             assert rows == {"place-order": ("5", 2), "stock-check": ("5", 5)}
-            status, said = await larklb("usage", "export", operator)
-            assert status == 0, said
-            status, said = await larklb("usage", "verify", operator, "--json")
-            assert status == 0 and json.loads(said)["received"] == "10 in 7"
+            status, output = await larklb("usage", "export", operator)
+            assert status == 0, output
+            status, output = await larklb("usage", "verify", operator, "--json")
+            assert status == 0 and json.loads(output)["received"] == "10 in 7"
             next((tmp_path / "billed").iterdir()).unlink()
-            status, said = await larklb("usage", "verify", operator)
-            assert status == 3 and "n0: acknowledged 10 in 7, received 0 in 0" in said
+            status, output = await larklb("usage", "verify", operator)
+            assert status == 3 and "n0: acknowledged 10 in 7, received 0 in 0" in output
             assert replay(tmp_path / "var" / "n0" / "use" / "ledger.log").torn == 0
     asyncio.run(go())
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -41,7 +41,7 @@
 NODES = [(zone, 100 * i + n, 1.0) for i, zone in enumerate("abc") for n in range(6)]
 
 
-def made(number: int = 0, gateways: int = 9, nodes: list[tuple[str, int, float]] = NODES) -> Zones:
+def make_zones(number: int = 0, gateways: int = 9, nodes: list[tuple[str, int, float]] = NODES) -> Zones:
     zones = Zones(number, gateways, Verdicts(number, gateways, HALF), 0.25)
     zones.update_nodes(nodes)
     return zones
@@ -55,7 +55,7 @@
         zones.record_outcome(now, name, 100 * "abc".index(name) + n, False)
 
 
-def tell(zones: Zones, now: float, observer: int, name: str, slow: float = LOST_SLOWNESS) -> None:
+def receive_finding(zones: Zones, now: float, observer: int, name: str, slow: float = LOST_SLOWNESS) -> None:
     zones.verdicts.receive(now, observer, Finding(zones.by_name[name].short_id, ZONE, slow, 0.0, observer,
                                                 Verdicts.stamp(now)))
     zones.evaluate(now)
@@ -69,11 +69,11 @@
 
 
 def test_one_bad_node_and_failures_everywhere_are_no_lost_zone() -> None:
-    zones = made()
+    zones = make_zones()
     for at in range(5):
         fail(zones, 100.0 * at, "b", 1)
     assert state(zones, "b") == "home"
-    zones = made()
+    zones = make_zones()
     for name in "abc":
         for n in range(6):
             zones.record_outcome(10.0, name, 100 * "abc".index(name) + n, False)
@@ -84,7 +84,7 @@
 
 
 def test_a_zone_with_some_serving_nodes_is_not_lost() -> None:
-    zones = made()
+    zones = make_zones()
     zones.record_outcome(5.0, "b", 105, True)
     fail(zones, 10.0, "b", 3)
     assert state(zones, "b") == "home" and zones.own_evidence(10.0, zones.by_name["b"]) == ""
@@ -94,7 +94,7 @@
 
 def test_failures_of_a_restarted_node_do_not_count() -> None:
     """A rollout that replaces nodes must not look like a lost zone."""
-    zones = made()
+    zones = make_zones()
     for n in range(3):
         zones.record_outcome(10.0, "a", n, True)
         zones.record_outcome(10.0, "b", 100 + n, False)
@@ -105,7 +105,7 @@
 
 def test_timeouts_count_only_without_a_later_success() -> None:
     """Slow attempts are given up, too: a slow zone must not look lost."""
-    zones = made()
+    zones = make_zones()
     zones.record_outcome(0.0, "a", 0, True)
     zones.record_outcome(0.0, "b", 105, True)
     for n in range(3):
@@ -123,33 +123,33 @@
 
 
 def test_a_zone_verdict_needs_two_others_and_a_majority_of_recent_findings() -> None:
-    zones = made()
-    tell(zones, 10.0, 1, "b")
+    zones = make_zones()
+    receive_finding(zones, 10.0, 1, "b")
     assert state(zones, "b") == "home"
-    tell(zones, 20.0, 2, "b")
+    receive_finding(zones, 20.0, 2, "b")
     assert state(zones, "b") == "away"
-    zones = made()
+    zones = make_zones()
     for o in (3, 4):
-        tell(zones, 5.0, o, "b")
-    zones = made()
-    tell(zones, 1.0, 5, "b")
+        receive_finding(zones, 5.0, o, "b")
+    zones = make_zones()
+    receive_finding(zones, 1.0, 5, "b")
     for o in (3, 4):
-        tell(zones, 8.0, o, "b", 1.0)
+        receive_finding(zones, 8.0, o, "b", 1.0)
     for o in (1, 2):
-        tell(zones, 10.0 + 100.0 * o, o, "b")
+        receive_finding(zones, 10.0 + 100.0 * o, o, "b")
     assert state(zones, "b") == "home", "as many recent findings report the zone healthy as lost"
 
 
 def test_a_limiter_that_is_served_stays_and_reports_it() -> None:
     """A partition that only some limiters see moves only those."""
-    zones = made()
+    zones = make_zones()
     for o in (1, 2, 3):
-        tell(zones, 10.0, o, "b")
+        receive_finding(zones, 10.0, o, "b")
         zones.record_outcome(11.0, "b", 100 + o, True)
-    zones = made()
+    zones = make_zones()
     zones.record_outcome(5.0, "b", 100, True)
     for o in (1, 2, 3):
-        tell(zones, 10.0, o, "b")
+        receive_finding(zones, 10.0, o, "b")
     assert state(zones, "b") == "home"
     zones.record_outcome(12.0, "b", 101, True)
     mine = zones.verdicts.findings[zones.by_name["b"].short_id, ZONE][0]
@@ -161,24 +161,24 @@
 
 
 def test_the_remaining_weight_never_falls_below_the_minimum() -> None:
-    zones = made()
+    zones = make_zones()
     for name in "abc":
         for o in (1, 2, 3):
-            tell(zones, 10.0, o, name)
+            receive_finding(zones, 10.0, o, name)
     assert sorted(z.state for z in zones.by_name.values()) == ["away", "away", "home"]
-    few = [("a", n, 1.0) for n in range(9)] + [("b", 100, 1.0), ("b", 101, 0.5)]
-    zones = made(nodes=few)
+    unequal = [("a", n, 1.0) for n in range(9)] + [("b", 100, 1.0), ("b", 101, 0.5)]
+    zones = make_zones(nodes=unequal)
     for o in (1, 2, 3):
-        tell(zones, 10.0, o, "a")
+        receive_finding(zones, 10.0, o, "a")
     assert state(zones, "a") == "home", "the remaining zones have less than a fifth of the total weight"
     assert zones.by_name["a"].weight == 9.0
 
 
 def test_if_only_evacuated_zones_have_nodes_all_are_used() -> None:
-    zones = made()
+    zones = make_zones()
     for name in "ab":
         for o in (1, 2, 3):
-            tell(zones, 10.0, o, name)
+            receive_finding(zones, 10.0, o, name)
     assert len(zones.reduced_fractions) == 2
     zones.update_nodes([n for n in NODES if n[0] != "c"])
     assert not zones.reduced_fractions and zones.active
@@ -187,7 +187,7 @@
 
 
 def test_the_return_goes_by_steps_and_a_failure_takes_one_back() -> None:
-    zones = made()
+    zones = make_zones()
     fail(zones, 0.0, "b")
     assert zones.capacity_fraction("b") == 0.0
     # A successful probe.
@@ -204,7 +204,7 @@
 
 
 def test_the_hold_of_a_flapping_zone_grows_up_to_a_bound() -> None:
-    zones, holds = made(), []
+    zones, holds = make_zones(), []
     now = 0.0
     for _ in range(8):
         fail(zones, now, "b", 6)
@@ -216,16 +216,16 @@
         now += 10.0
     assert all(b > a for a, b in zip(holds[:4], holds[1:4], strict=False))
     assert max(holds) <= zs.MAX_HOLD_MS * (1.0 + zs.HOLD_JITTER)
-    others = {made(i).hold(replace(zones.by_name["b"])) for i in range(9)}
+    others = {make_zones(i).hold(replace(zones.by_name["b"])) for i in range(9)}
     assert len(others) > 6, "limiters return at different times because the hold is jittered"
 
 
 def test_few_limiters_probe_and_they_change_with_the_slot() -> None:
     gateways, probes = 200, []
-    fleet = [made(i, gateways) for i in range(gateways)]
+    fleet = [make_zones(i, gateways) for i in range(gateways)]
     for zones in fleet:
         for o in {*range(1, 9)} - {zones.number}:
-            tell(zones, 0.0, o, "b")
+            receive_finding(zones, 0.0, o, "b")
     for slot in range(2, 42):
         now = slot * zs.PROBE_SLOT_MS + 1.0
         for zones in fleet:
@@ -239,17 +239,17 @@
 
 def test_a_region_is_left_once_most_of_its_zones_are_lost() -> None:
     nodes = [(z, 100 * i + n, 1.0) for i, z in enumerate("abcde") for n in range(4)]
-    zones = made(nodes=nodes)
+    zones = make_zones(nodes=nodes)
     zones.configure(True, {"a": "west", "b": "west", "c": "west", "d": "east"})
     for name in "ab":
         for o in (1, 2, 3):
-            tell(zones, 10.0, o, name)
+            receive_finding(zones, 10.0, o, name)
     zones.evaluate(11.0)
     assert [zones.capacity_fraction(z) for z in "abcde"] == [0.0, 0.0, 0.0, 1.0, 1.0]
 
 
 def test_an_override_takes_precedence_and_expires() -> None:
-    zones = made()
+    zones = make_zones()
     assert not zones.override(0.0, "z", Override(True, 1.0, "?"))
     assert zones.override(0.0, "b", Override(True, 5000.0, "works on the rack"))
     assert zones.capacity_fraction("b") == 0.0 and zones.zone_to_probe(3000.0) is None
@@ -267,7 +267,7 @@
 
 
 def test_without_zones_or_if_disabled_nothing_is_recorded() -> None:
-    for zones in (made(nodes=[("", n, 1.0) for n in range(9)]), made()):
+    for zones in (make_zones(nodes=[("", n, 1.0) for n in range(9)]), make_zones()):
         zones.configure(False, {})
         for n in range(9):
             zones.record_outcome(
@@ -317,13 +317,13 @@
     gateway = bed.gateways[0]
     for i in range(12):
         bed.ask(0, f"j{i}", plan="free")
-    there = [n for n, s in gateway.servers.items() if s.entry.zone == "b" for _ in s.attempts]
-    assert there
+    in_zone = [n for n, s in gateway.servers.items() if s.entry.zone == "b" for _ in s.attempts]
+    assert in_zone
     gateway.zones.override(bed.now, "b", Override(True, bed.now + 5000.0, "test"))
     moved = gateway.zones_changed(bed.now)
-    assert sum(isinstance(a, io.Cancel) for a in moved) == len(there)
+    assert sum(isinstance(a, io.Cancel) for a in moved) == len(in_zone)
     assert sum(isinstance(a, io.SetTimer) for a in moved), "the end of the override needs a timer"
-    assert all(gateway.server_pool.warm_share(gateway.servers[n], bed.now) == 0.0 for n in there)
+    assert all(gateway.server_pool.warm_share(gateway.servers[n], bed.now) == 0.0 for n in in_zone)
     assert not [s for s in gateway.server_pool.in_reach if s.entry.zone == "b"]
     before = len(bed.log)
     for i in range(30):
@@ -359,7 +359,7 @@
     bed.run(600)
     gateway = bed.gateways[0]
     for o in range(1, 4):
-        tell(gateway.zones, bed.now, o, "b")
+        receive_finding(gateway.zones, bed.now, o, "b")
     fail_all = [s.short_id for s in gateway.server_pool.up if s.entry.zone == "b"]
     gateway.zones.record_outcome(bed.now, "a", gateway.servers["s0"].short_id, True)
     for short in fail_all:
@@ -387,26 +387,28 @@
     def verdict(self, now: float, me: int, gateways: int) -> bool:
         newest = {o: max(x for x in self.received if x[0] == o) for o, _, _ in self.received if o != me}
         quorum = 2 if gateways > 3 else 1
-        well = sorted((at for _, at, slow in newest.values() if slow < BAD_SLOWNESS), reverse=True)
-        since = well[quorum - 1] if len(well) >= quorum else -1.0
+        healthy = sorted((at for _, at, slow in newest.values() if slow < BAD_SLOWNESS), reverse=True)
+        since = healthy[quorum - 1] if len(healthy) >= quorum else -1.0
         lost = [1.0 + (slow - 1.0) * 2.0 ** ((at - now) / HALF) for _, at, slow in newest.values()
                 if slow >= BAD_SLOWNESS and at > since]
-        fresh = sum(now - at <= HALF / 2 for at in well)
-        need = max(quorum, -(-15 * fresh // 10))
-        return len(lost) >= need and sorted(lost, reverse=True)[need - 1] >= BAD_SLOWNESS
+        recent = sum(now - at <= HALF / 2 for at in healthy)
+        needed = max(quorum, -(-15 * recent // 10))
+        return len(lost) >= needed and sorted(lost, reverse=True)[needed - 1] >= BAD_SLOWNESS
 
 
 Told = st.lists(st.tuples(st.integers(1, 7), st.integers(0, 80), st.booleans(), st.integers(0, 2)),
                 max_size=24)
 
 
-def same_as_the_plain_model(told: list[tuple[int, int, bool, int]], order: random.Random) -> None:
+def same_as_the_plain_model(findings: list[tuple[int, int, bool, int]], order: random.Random) -> None:
     """Check that two limiters with the same findings agree with the reference model.
 
     The findings are delayed, duplicated, lost, or out of order.
     """
     received = [
-        (o, at * 100.0, LOST_SLOWNESS if lost else 1.0) for o, at, lost, copies in told for _ in range(copies)
+        (o, at * 100.0, LOST_SLOWNESS if lost else 1.0)
+        for o, at, lost, copies in findings
+        for _ in range(copies)
     ]
     # An observer has one finding at a time.
     received = list({(o, at): x for x in received for o, at in [x[:2]]}.values()) * 2
@@ -451,12 +453,12 @@
         "majority": lambda: monkeypatch.setattr(vs, "ZONE_QUORUM_FRACTION", 0.01),
         "well": lambda: monkeypatch.setattr(Verdicts, "_update_verdict", _ignore_good_findings)}
     patch[fault]()
-    chance, found = random.Random(3), 0
+    rng, found = random.Random(3), 0
     for _ in range(400):
-        told = [(chance.randint(1, 7), chance.randint(0, 80), chance.random() < 0.6, chance.randint(0, 2))
-                for _ in range(chance.randint(0, 20))]
+        findings = [(rng.randint(1, 7), rng.randint(0, 80), rng.random() < 0.6, rng.randint(0, 2))
+                    for _ in range(rng.randint(0, 20))]
         try:
-            same_as_the_plain_model(told, chance)
+            same_as_the_plain_model(findings, rng)
         except AssertionError:
             found += 1
     assert found
@@ -475,8 +477,8 @@
     assert len(net.returned_at["b"]) == 12 and max(net.returned_at["b"].values()) - 7000.0 < 6000.0
     assert not net.false_departures and not net.overloaded_cold_nodes()
     assert net.served_fraction(0.0, 11_000.0) > 0.97
-    off = simulate(replace(day, leaving_enabled=False), 1)
-    assert not off.left_at
+    disabled = simulate(replace(day, leaving_enabled=False), 1)
+    assert not disabled.left_at
 
 
 @pytest.mark.parametrize("fault", [Fault(3000.0, 4000.0, "b", "slow", slowdown=2.5),
@@ -499,8 +501,8 @@
     assert [node.submit(0.0)[0] for _ in range(30)].count("full") > 0
     node.start(10_000.0)
     assert node.warmth(10_000.0) == 0.5 and node.warmth(10_500.0) == 0.75 and node.warmth(11_000.0) == 1.0
-    said = [node.submit(10_000.0 + n)[0] for n in range(60)]
-    assert node.crashes == 1 and said[-1] == "refusing" and node.max_overload > 1.0
+    results = [node.submit(10_000.0 + n)[0] for n in range(60)]
+    assert node.crashes == 1 and results[-1] == "refusing" and node.max_overload > 1.0
     node.state = "silent"
     assert node.submit(20_000.0) == ("silent", 0.0)
 
@@ -510,106 +512,112 @@
 Seen = list[tuple[float, dict[int, dict[str, dict[str, Any]]]]]
 
 
-def watched(name: str, folder: Path, operator: str = "") -> tuple[Audit, Seen]:
+def play_scenario(name: str, folder: Path, operator: str = "") -> tuple[Audit, Seen]:
     """Play a scenario on the rig, and sample the zones of each limiter every half second."""
     day, seen = script.load(name), []
 
     async def go() -> Audit:
         async with Rig(day, folder, 1, operator) as rig:
-            async def look(now: float) -> None:
-                asked = [asyncio.to_thread(admin.ask, folder / f"n{i}.sock", "fleet.zones") for i in range(6)]
-                said = await asyncio.gather(*asked, return_exceptions=True)
-                seen.append((now, {i: {z["zone"]: z for z in s["zones"]} for i, s in enumerate(said)
+            async def sample(now: float) -> None:
+                requests = [
+                    asyncio.to_thread(admin.ask, folder / f"n{i}.sock", "fleet.zones") for i in range(6)
+                ]
+                answers = await asyncio.gather(*requests, return_exceptions=True)
+                seen.append((now, {i: {z["zone"]: z for z in s["zones"]} for i, s in enumerate(answers)
                                    if isinstance(s, dict)}))
-            return await rig.play(look)
+            return await rig.play(sample)
 
     audit = asyncio.run(go())
     assert not audit.violations(day), (audit.violations(day), audit.figures)
     return audit, seen
 
 
-def away(seen: Seen, since: float, until: float, zone: str = "b") -> set[int]:
+def limiters_away(seen: Seen, since: float, until: float, zone: str = "b") -> set[int]:
     """Return the limiters that had left a zone in some sample between two times."""
     return {i for now, of in seen if since <= now < until for i, zones in of.items()
             if zones[zone]["state"] == "away"}
 
 
-def back(seen: Seen, zone: str = "b") -> set[int]:
+def limiters_back(seen: Seen, zone: str = "b") -> set[int]:
     """Return the limiters that use a zone fully in the last sample."""
     return {i for i, zones in seen[-1][1].items() if zones[zone]["part"] == 1.0}
 
 
-@pytest.mark.parametrize(("name", "at", "well"), [("zone-killed", 3.0, 7.0), ("zone-silent", 3.0, 7.0)])
-def test_a_lost_zone_is_left_by_all_and_used_again(name: str, at: float, well: float,
-                                                          tmp_path: Path) -> None:
-    audit, seen = watched(name, tmp_path)
-    assert away(seen, at, well) == set(range(6))
-    assert back(seen) == set(range(6)) and not away(seen, 0.0, at)
-    assert not away(seen, 0.0, 99.0, "a") and not away(seen, 0.0, 99.0, "c")
+@pytest.mark.parametrize(("name", "lost_at", "healed_at"), [
+    ("zone-killed", 3.0, 7.0), ("zone-silent", 3.0, 7.0)])
+def test_a_lost_zone_is_left_by_all_and_used_again(name: str, lost_at: float, healed_at: float,
+                                                   tmp_path: Path) -> None:
+    audit, seen = play_scenario(name, tmp_path)
+    assert limiters_away(seen, lost_at, healed_at) == set(range(6))
+    assert limiters_back(seen) == set(range(6)) and not limiters_away(seen, 0.0, lost_at)
+    assert not limiters_away(seen, 0.0, 99.0, "a") and not limiters_away(seen, 0.0, 99.0, "c")
     steps = {z["b"]["part"] for _, of in seen for z in of.values()}
     assert 0.0 in steps and 1.0 in steps and any(0.0 < s < 1.0 for s in steps)
     assert audit.figures["cold times"] < 4.0
 
 
 def test_limiters_in_a_partitioned_zone_use_its_nodes(tmp_path: Path) -> None:
-    audit, seen = watched("zone-cut", tmp_path)
-    assert away(seen, 3.0, 8.0) >= {0, 2, 3, 5}
-    assert not away(seen, 3.0, 7.0) & {1, 4}, "limiters inside the partitioned zone are served by its nodes"
+    audit, seen = play_scenario("zone-cut", tmp_path)
+    assert limiters_away(seen, 3.0, 8.0) >= {0, 2, 3, 5}
+    assert not limiters_away(seen, 3.0, 7.0) & {1, 4}, (
+        "limiters inside the partitioned zone are served by its nodes"
+    )
     inside = [Rig._end(t) for t in audit.tries if t.limiter in (1, 4) and 3.5 <= t.submitted_at < 6.5]
     assert len(inside) > 40 and inside.count("in time") >= 0.85 * len(inside)
-    assert back(seen) == set(range(6))
+    assert limiters_back(seen) == set(range(6))
 
 
 def test_a_partition_that_some_see_moves_only_those(tmp_path: Path) -> None:
-    _, seen = watched("zone-some", tmp_path)
-    assert away(seen, 3.0, 8.0) <= {0, 1} and away(seen, 3.0, 7.5)
+    _, seen = play_scenario("zone-some", tmp_path)
+    assert limiters_away(seen, 3.0, 8.0) <= {0, 1} and limiters_away(seen, 3.0, 7.5)
 
 
 @pytest.mark.parametrize("name", ["zone-half", "zone-slow", "all-slow"])
 def test_zones_that_are_not_lost_are_left_by_nobody(name: str, tmp_path: Path) -> None:
-    _, seen = watched(name, tmp_path)
-    assert not any(away(seen, 0.0, 99.0, z) for z in "abc") and len(seen) > 10
+    _, seen = play_scenario(name, tmp_path)
+    assert not any(limiters_away(seen, 0.0, 99.0, z) for z in "abc") and len(seen) > 10
 
 
 def test_a_flapping_zone_and_a_return_during_kills_and_a_release(tmp_path: Path) -> None:
     for name in ("flapping", "return"):
         (tmp_path / name).mkdir()
-    audit, seen = watched("zone-flapping", tmp_path / "flapping")
-    assert away(seen, 3.0, 5.0) and audit.figures["cold times"] < 4.0
-    audit, seen = watched("zone-return", tmp_path / "return")
-    assert away(seen, 3.0, 6.5) == set(range(6)) and back(seen) == set(range(6))
+    audit, seen = play_scenario("zone-flapping", tmp_path / "flapping")
+    assert limiters_away(seen, 3.0, 5.0) and audit.figures["cold times"] < 4.0
+    audit, seen = play_scenario("zone-return", tmp_path / "return")
+    assert limiters_away(seen, 3.0, 6.5) == set(range(6)) and limiters_back(seen) == set(range(6))
     assert audit.figures["cold times"] < 4.0
 
 
 def test_an_override_by_an_operator_expires(tmp_path: Path) -> None:
-    said: dict[str, tuple[int, str]] = {}
+    outputs: dict[str, tuple[int, str]] = {}
     day = replace_script("calm", 16.0)
 
     async def go() -> Audit:
         async with Rig(day, tmp_path, 1) as rig:
             operator = str(tmp_path / "operator.toml")
 
-            async def look(now: float) -> None:
-                if now >= 1.0 and "leave" not in said:
-                    said["rehearse"] = await larklb("fleet", "zones", "rehearse", operator, "--without", "b")
-                    said["leave"] = await larklb("fleet", "zones", "leave", operator, "b", "--for", "2s",
-                                                 "--why", "works on a rack")
-                    said["nobody"] = await larklb("fleet", "zones", "leave", operator, "z", "--for", "2s",
-                                                  "--why", "no such zone")
-                    said["why"] = await larklb("fleet", "zones", "leave", operator, "b", "--for", "2s",
-                                               "--why", " ")
-                elif "leave" in said and ("after" not in said or '"away"' in said["after"][1]):
-                    said["after"] = await larklb("fleet", "zones", "show", operator, "--json")
-            return await rig.play(look)
+            async def run_commands(now: float) -> None:
+                if now >= 1.0 and "leave" not in outputs:
+                    outputs["rehearse"] = await larklb(
+                        "fleet", "zones", "rehearse", operator, "--without", "b")
+                    outputs["leave"] = await larklb("fleet", "zones", "leave", operator, "b", "--for", "2s",
+                                                    "--why", "works on a rack")
+                    outputs["nobody"] = await larklb("fleet", "zones", "leave", operator, "z", "--for", "2s",
+                                                     "--why", "no such zone")
+                    outputs["why"] = await larklb("fleet", "zones", "leave", operator, "b", "--for", "2s",
+                                                  "--why", " ")
+                elif "leave" in outputs and ("after" not in outputs or '"away"' in outputs["after"][1]):
+                    outputs["after"] = await larklb("fleet", "zones", "show", operator, "--json")
+            return await rig.play(run_commands)
 
     audit = asyncio.run(go())
     assert audit.figures["lost"] == 0 == audit.figures["failed"]
-    assert said["leave"][0] == 0 and said["leave"][1].count("works on a rack") == 6
-    assert said["rehearse"][0] in (0, 1) and "served" in said["rehearse"][1]
-    assert said["nobody"][0] == 1 and "was ever listed" in said["nobody"][1] and said["why"][0] == 2
-    rows = [json.loads(line) for line in said["after"][1].splitlines() if line.startswith("{")]
+    assert outputs["leave"][0] == 0 and outputs["leave"][1].count("works on a rack") == 6
+    assert outputs["rehearse"][0] in (0, 1) and "served" in outputs["rehearse"][1]
+    assert outputs["nobody"][0] == 1 and "was ever listed" in outputs["nobody"][1] and outputs["why"][0] == 2
+    rows = [json.loads(line) for line in outputs["after"][1].splitlines() if line.startswith("{")]
     assert len(rows) == 18 and not [r for r in rows if r["state"] == "away" or r["override"]]
-    assert said["after"][0] == 0
+    assert outputs["after"][0] == 0
 
 
 def replace_script(name: str, length: float) -> script.Script:
