--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -133,7 +133,8 @@
     assert 13 <= slots[0] <= 14 and 13 <= slots[1] <= 14 and 2 <= slots[2] <= 3 and sum(slots) <= 30
     at += LEASE_MS + MAX_ATTEMPT_MS - 1.0
     kept = lender.handle_request(at, 2, LeaseRequest(5, int(at), int(at) - 500, 0, 0, 30), 30)
-    assert kept is not None and kept.slots <= 14, "the first may still have attempts out"
+    assert kept is not None and kept.slots <= 14, (
+        "slots stay reserved for the first holder while its attempts may be in flight")
     free = lender.handle_request(at + 2.0, 2, LeaseRequest(5, int(at) + 2, int(at), 0, 0, 30), 30)
     assert free is not None and free.slots == 30
     lender.clean(at + 1e6)
@@ -149,9 +150,9 @@
         b._act(i, g.actions)
     for n in range(6):
         b.ask(1, f"r{n}", plan="free")
-    assert len(b.of(io.Send)) == 1, "its base"
+    assert len(b.of(io.Send)) == 1, "the base slots of the limiter"
     b.run(300.0)
-    assert len(b.of(io.Send)) == 5, "its base and all that is lent"
+    assert len(b.of(io.Send)) == 5, "the base slots of the limiter and all slots that are lent"
     b.end(1, "r0")
     b.run(50.0)
     assert len(b.of(io.Send)) == 6
@@ -174,13 +175,14 @@
         lender.handle_request(150.0, 1, request, 4)
     for request in others[1].report_holdings(100.0, 0, lambda node: 0):
         lender.handle_request(150.0, 2, request, 4)
-    assert lender.reported == {2}, "another node's ask does not make up for it"
+    assert lender.reported == {2}, "a request for another node does not replace the lost report"
     first = lender.handle_request(151.0, 2, LeaseRequest(nodes[1], 151, 0, 0, 0, 4), 4)
     assert first is not None and first.slots == 0
     for request in others[0].report_holdings(200.0, 0, lambda node: 0):
         lender.handle_request(250.0, 1, request, 4)
-    then = lender.handle_request(251.0, 2, LeaseRequest(nodes[1], 251, 151, 0, 0, 4), 4)
-    assert lender.reported == {1, 2} and then is not None and then.slots == 2, "the first has the others"
+    second = lender.handle_request(251.0, 2, LeaseRequest(nodes[1], 251, 151, 0, 0, 4), 4)
+    assert lender.reported == {1, 2} and second is not None and second.slots == 2, (
+        "the first holder has the other two slots")
 
 
 def test_further_attempts_stay_within_a_fraction_of_the_first_ones() -> None:
@@ -206,16 +208,16 @@
 
 
 def test_node_limits_hold_while_limiters_are_killed_stopped_and_partitioned(tmp_path: Path) -> None:
-    said: list[str] = []
+    outputs: list[str] = []
 
-    async def look(now: float) -> None:
-        if now >= 9.5 and not said:
-            said.append("")
-            said[0] = (await larklb("fleet", "status", str(tmp_path / "operator.toml"), "--json"))[1]
+    async def read_status(now: float) -> None:
+        if now >= 9.5 and not outputs:
+            outputs.append("")
+            outputs[0] = (await larklb("fleet", "status", str(tmp_path / "operator.toml"), "--json"))[1]
 
-    audit = played("limits", tmp_path, look)
+    audit = played("limits", tmp_path, read_status)
     assert not audit.violations(script.load("limits")), audit.figures
-    rows = [json.loads(line) for line in said[0].splitlines() if line.startswith("{")]
+    rows = [json.loads(line) for line in outputs[0].splitlines() if line.startswith("{")]
     slots = [v for r in rows for v in r["slots"]]
     assert len(rows) == 6 and {v["pool"] for v in slots} == {5}
     lent = [sum(v["lent"].values()) for v in slots]
@@ -226,16 +228,16 @@
 
 def test_the_bounds_of_the_limits_are_printed(tmp_path: Path) -> None:
     async def go() -> None:
-        yard = Cluster(tmp_path, 3, more="[limits]\nnode_attempts = 40\nfurther_attempts = 0.2\n")
-        for limiter in yard.limiters:
+        cluster = Cluster(tmp_path, 3, more="[limits]\nnode_attempts = 40\nfurther_attempts = 0.2\n")
+        for limiter in cluster.limiters:
             limiter.config()
-        status, out = await larklb("fleet", "bound", str(yard.operator()), "--limiters", "10", "--json")
+        status, out = await larklb("fleet", "bound", str(cluster.operator()), "--limiters", "10", "--json")
         assert status == 0
         rows = {r["what"]: r for r in map(json.loads, out.splitlines())}
         assert rows["attempts at a node, 40 at once, 20 of them lent"]["over"] == 0
         assert rows["attempts at a node: a lost limiter's share is lent anew"]["noticed"] == LEASE_MS + 5000
         assert rows["further attempts, 0.2 for each first one"]["over"] == 10 * le.MAX_FURTHER_TOKENS
-        settings = yard.operator().read_text()
+        settings = cluster.operator().read_text()
         (tmp_path / "operator.toml").write_text("[limits]\nnode_attempts = -1\n" + settings)
         assert (await larklb("fleet", "bound", str(tmp_path / "operator.toml")))[0] == 2
     asyncio.run(go())
--- a/tests/test_settling.py
+++ b/tests/test_settling.py
@@ -63,18 +63,21 @@
 def test_former_incarnations_are_ignored_and_a_new_owner_starts_from_the_confirmed_part() -> None:
     owner = Settlement(1)
     assert owner.on_count(0.0, 3, Count(9, 0, 10, 4.0, 0.0)) == 4.0
-    assert owner.on_count(0.0, 3, Count(9, 0, 11, 2.0, 0.0)) == 2.0, "restarted: its counts begin anew"
-    assert owner.on_count(0.0, 3, Count(9, 0, 10, 9.0, 0.0)) == 0.0, "from before its restart"
+    assert owner.on_count(0.0, 3, Count(9, 0, 11, 2.0, 0.0)) == 2.0, (
+        "the counts of a new incarnation start at zero")
+    assert owner.on_count(0.0, 3, Count(9, 0, 10, 9.0, 0.0)) == 0.0, (
+        "a count of the former incarnation is ignored")
     assert owner.on_count(0.0, 3, Count(9, 0, 11, 3.0, 0.0)) == 1.0
     new_owner = Settlement(2)
     assert new_owner.on_count(0.0, 3, Count(9, 0, 11, 5.0, 3.0)) == 2.0, (
-        "what the former owner confirmed is done")
+        "units that the former owner confirmed are not charged again")
     asker = Settlement(11)
     asker.record_admitted(0.0, 9, 0, 0, 5.0)
     for confirmation in (Confirmed(9, 10, 5.0), Confirmed(8, 11, 5.0)):
         asker.on_confirmed(0.0, 0, confirmation)
     asker.on_confirmed(0.0, 1, Confirmed(9, 11, 5.0))
-    assert asker.unconfirmed_count(9) is not None, "not of this incarnation, customer or owner"
+    assert asker.unconfirmed_count(9) is not None, (
+        "confirmations for another incarnation, for another customer or from another owner are ignored")
     asker.on_confirmed(0.0, 0, Confirmed(9, 11, 5.0))
     assert asker.unconfirmed_count(9) is None
 
@@ -203,7 +206,7 @@
         side.record_request(2e4 + step * 100.0, 9, 1.0)
     assert side.local_share(2.6e4, 9, 3) == pytest.approx(expected)
     assert side.local_share(2.6e4, 8, 3) == pytest.approx(1 / 3), (
-        "of a customer that the owner told nothing of")
+        "without a share granted by the owner a customer gets an equal part")
 
 
 def test_escrow_covers_units_admitted_elsewhere_and_returns_the_rest() -> None:
@@ -214,12 +217,13 @@
     bucket.fill(2000.0)
     assert bucket.tokens == pytest.approx(12.0) and bucket.escrow == pytest.approx(16.0)
     bucket.fill(4000.0)
-    assert bucket.tokens == 20.0 and bucket.escrow == pytest.approx(28.0), "and what it could not hold"
+    assert bucket.tokens == 20.0 and bucket.escrow == pytest.approx(28.0), (
+        "tokens beyond the burst go to the escrow")
     bucket.set_part(4000.0, 1.0)
     bucket.settle(4000.0, 25.0, debt=20.0)
     assert bucket.tokens == 20.0 and bucket.escrow == pytest.approx(3.0)
     bucket.settle(4000.0, 50.0, debt=20.0)
-    assert bucket.tokens == -20.0, "a debt is bounded: nobody pays for it longer than two bursts take"
+    assert bucket.tokens == -20.0, "the debt is bounded, so that it takes no longer to refill than two bursts"
     bucket.escrow = 5.0
     bucket.release_escrow(4000.0)
     assert bucket.tokens == -15.0 and bucket.escrow == 0.0
@@ -260,17 +264,19 @@
 
 
 def test_simulated_day_is_determined_by_its_seed() -> None:
-    one, two = played("flapping", 3), played("flapping", 3)
-    assert [(c.admitted, c.ideal) for c in one.customers] == [(c.admitted, c.ideal) for c in two.customers]
-    assert (one.messages, one.bytes) == (two.messages, two.bytes)
-    assert played("flapping", 4).messages != one.messages
+    first, second = played("flapping", 3), played("flapping", 3)
+    assert ([(c.admitted, c.ideal) for c in first.customers]
+            == [(c.admitted, c.ideal) for c in second.customers])
+    assert (first.messages, first.bytes) == (second.messages, second.bytes)
+    assert played("flapping", 4).messages != first.messages
 
 
 def test_counts_are_confirmed_soon_after_two_sides_rejoin() -> None:
     s = net.SCENARIOS["split"]
     day = net.Net(4, net.customers_of(s, 4, 10, 3, 5), net.link_of(s, 4), 5)
     day.run(34000.0)
-    assert any(g.fallback.settlement.unconfirmed for g in day.gateways.values()), "something was let in apart"
+    assert any(g.fallback.settlement.unconfirmed for g in day.gateways.values()), (
+        "units were admitted without their owner during the split")
     day.run(35000.0 + PEER_TIMEOUT_MS + ESCROW_RELEASE_DELAY_MS + 1500.0)
     for g in day.gateways.values():
         late = [m for waiting in g.fallback.settlement.unconfirmed.values() for m in waiting.values()
@@ -291,29 +297,28 @@
 def test_plan_change_and_reservation_known_to_one_side_of_a_split() -> None:
     """Each side applies what it has: one has the change and the reservation, the other has neither."""
     from larklb.quota.catalogue import parse
-    from larklb.quota.reservations import Reservation, Reservations, Wanted
-    from larklb.quota.reservations import ReservationLimits as Held
+    from larklb.quota.reservations import Reservation, ReservationLimits, Reservations, Wanted
     from tests.test_quota import version
 
     text = version(1, 25000.0, "[version.plans.astillero]\nrate = 4.5\nburst = 8.0")
     s = net.SCENARIOS["split"]
     customers = net.customers_of(s, 4, 8, 3, 3)
-    who = next(c for c in customers if c.plan.name == "taller" and c.demand(0.0) > c.plan.rate)
+    customer = next(c for c in customers if c.plan.name == "taller" and c.demand(0.0) > c.plan.rate)
 
     def book(number: int) -> Entitlements:
-        held = Reservations(Held(), 4, number)
-        held.insert(Reservation(Wanted("refit", who.name, "taller", 12.0, 2e4, 5e4, who.first, 3),
-                                who.owner(4) == number))
+        held = Reservations(ReservationLimits(), 4, number)
+        held.insert(Reservation(Wanted("refit", customer.name, "taller", 12.0, 2e4, 5e4, customer.first, 3),
+                                customer.owner(4) == number))
         return Entitlements(net.PLANS, parse(text.encode(), net.PLANS) if number < 2 else None, held)
 
     day = net.Net(4, customers, net.link_of(s, 4), 3, entitlements_of=book)
     day.run(60000.0)
     for c in customers:
         b = error_bound(c.plan.rate, c.plan.burst, 3, loss=s.loss, apart_s=15.0, reserve=1.0)
-        extra = 12.0 * (2 - 1 / 3) if c is who else 0.0
+        extra = 12.0 * (2 - 1 / 3) if c is customer else 0.0
         assert c.admitted - c.ideal <= b.over + extra
-    assert who.admitted - who.ideal > 5.0, "reserved units were drawn"
-    reserved = day.gateways[who.owner(4)].entitlements.reservations
+    assert customer.admitted - customer.ideal > 5.0, "reserved units were drawn"
+    reserved = day.gateways[customer.owner(4)].entitlements.reservations
     assert reserved is not None
     drawn = reserved.by_name["refit"]
     assert drawn.drawn + sum(drawn.remote_draws.values()) <= 12.0 * (2 - 1 / 3)
@@ -324,37 +329,38 @@
 
 async def relayed(folder: Path, relay_seed: int = 1) -> tuple[Cluster, Relay]:
     (folder / "plans.toml").write_text("")
-    yard = Cluster(folder, limiters=3, more='[plans]\nfile = "plans.toml"\n')
-    relay = Relay(yard.peers, relay_seed)
-    yard.peers_of = relay.peers
+    cluster = Cluster(folder, limiters=3, more='[plans]\nfile = "plans.toml"\n')
+    relay = Relay(cluster.peers, relay_seed)
+    cluster.peers_of = relay.peers
     await relay.start()
-    return yard, relay
+    return cluster, relay
 
 
 def test_real_limiters_settle_after_a_cut_and_restore_a_restarted_owners_bucket(
         tmp_path: Path) -> None:
     async def go() -> None:
-        yard, relay = await relayed(tmp_path)
-        async with yard:
-            owner, other, third = owner_first(yard)
+        cluster, relay = await relayed(tmp_path)
+        async with cluster:
+            owner, other, third = owner_first(cluster)
             # During its first second an owner restores its buckets from its peers' copies.
             await asyncio.sleep(1.0)
             used = [await granted(x, 1) for x in (other, third, other, third, owner, other, third)]
             assert sum(used) == 7
             relay.cut = lambda sender, to: owner.number in (sender, to)
             apart = await granted(other, 6)
-            assert 1 <= apart <= 5, "by its copy, then its share of three tokens and the slack"
+            assert 1 <= apart <= 5, (
+                "limited by the bucket copy, then by its share of three tokens and the slack")
             relay.cut = lambda sender, to: False
             await asyncio.sleep(3.5)
             rest = await granted(owner, 10) + await granted(third, 3)
-            assert 9 <= 7 + apart + rest <= 12, "all of it, and no second burst"
+            assert 9 <= 7 + apart + rest <= 12, "the limiters grant the whole quota, but no second burst"
             # The owner restarts without state; its peers' copies show that no tokens are left.
             await owner.stop()
             await owner.start()
             await asyncio.sleep(0.3)
             assert await granted(owner, 4) <= 1
-            status, said = await larklb("quota", "state", str(yard.operator()), f"{1:016x}", "--json")
-            rows = {r["name"]: r for r in map(json.loads, said.splitlines())}
+            status, output = await larklb("quota", "state", str(cluster.operator()), f"{1:016x}", "--json")
+            rows = {r["name"]: r for r in map(json.loads, output.splitlines())}
             assert status == 0 and rows[owner.name]["owner"] and rows[owner.name]["sure"]
         relay.stop()
     asyncio.run(go())
@@ -362,12 +368,12 @@
 
 def test_real_limiters_hold_a_quota_through_loss_repeats_and_delay(tmp_path: Path) -> None:
     async def go() -> None:
-        yard, relay = await relayed(tmp_path, 7)
+        cluster, relay = await relayed(tmp_path, 7)
         relay.loss, relay.duplication, relay.delay = 0.3, 0.3, (0.001, 0.06)
-        async with yard:
-            for x in owner_first(yard) * 15:
+        async with cluster:
+            for x in owner_first(cluster) * 15:
                 assert (await ask(x.port, job(plan="wide", account=1, spread=3)))[0] == 200
-            counts = [sum([await granted(x, 5, account=a) for _ in range(2) for x in owner_first(yard, a)])
+            counts = [sum([await granted(x, 5, account=a) for _ in range(2) for x in owner_first(cluster, a)])
                       for a in range(4, 8)]
             assert 9 <= min(counts) and sum(counts) <= 46 and relay.dropped > 3
         relay.stop()
@@ -376,30 +382,30 @@
 
 def test_quota_lab_and_bound_commands(tmp_path: Path) -> None:
     async def go() -> None:
-        status, said = await larklb("lab", "quota", "--scenario", "calm", "--seed", "2", "--json")
-        rows: list[dict[str, Any]] = [json.loads(x) for x in said.splitlines() if x.startswith("{")]
-        assert status == 0 and len(rows) == 24 and "worst customer" in said.splitlines()[-1]
+        status, output = await larklb("lab", "quota", "--scenario", "calm", "--seed", "2", "--json")
+        rows: list[dict[str, Any]] = [json.loads(x) for x in output.splitlines() if x.startswith("{")]
+        assert status == 0 and len(rows) == 24 and "worst customer" in output.splitlines()[-1]
         assert (await larklb("lab", "quota", "--scenario", "none"))[0] == 2
-        status, said = await larklb("quota", "bound", "deploy/operator.toml", "--apart", "15", "--json")
-        taller = json.loads(said.splitlines()[0])
+        status, output = await larklb("quota", "bound", "deploy/operator.toml", "--apart", "15", "--json")
+        bounds = json.loads(output.splitlines()[0])
         b = error_bound(1.4, 7.0, 3, loss=0.02, apart_s=15.0, reserve=1.0)
-        assert status == 0 and (taller["over"], taller["under"]) == (round(b.over, 1), round(b.under, 1))
+        assert status == 0 and (bounds["over"], bounds["under"]) == (round(b.over, 1), round(b.under, 1))
     asyncio.run(go())
 
 
 def test_recently_spilt_tokens_cover_units_admitted_elsewhere() -> None:
     """Guards against debt in a full owner's bucket for units that a perfect bucket would have granted."""
-    full, dry = TokenBucket(2.0, 6.0, 6.0, 0.0), TokenBucket(2.0, 6.0, 0.0, 0.0)
+    full, empty = TokenBucket(2.0, 6.0, 6.0, 0.0), TokenBucket(2.0, 6.0, 0.0, 0.0)
     for now in range(0, 2001, 100):
         full.fill(float(now))
-    dry.fill(2000.0)
+    empty.fill(2000.0)
     full.settle(2000.0, 3.0, 6.0)
-    dry.settle(2000.0, 3.0, 6.0)
-    assert 5.0 < full.tokens <= 6.0 and dry.tokens == 1.0
+    empty.settle(2000.0, 3.0, 6.0)
+    assert 5.0 < full.tokens <= 6.0 and empty.tokens == 1.0
     full.settle(2000.0, 3.0, 6.0)
-    assert full.tokens < 4.0, "it is there once"
+    assert full.tokens < 4.0, "spilt tokens are credited only once"
     late = TokenBucket(2.0, 6.0, 6.0, 0.0)
     late.fill(2000.0)
     late.tokens = 0.0
     late.settle(4950.0, 6.0, 6.0)
-    assert late.tokens < 2.0, "what was spilt long ago would not have been there"
+    assert late.tokens < 2.0, "tokens that were spilt long ago have decayed"
