--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -201,7 +201,8 @@
             custodian.handle(last_sent, cu.Claim(key, 1, 1, holder, 1, True))
             custodian.handle(last_sent + self.delay(), cu.Keep(record))
             self.schedule(
-                self.rng.uniform(0.0, cu.ORPHAN_SCAN_MS), functools.partial(self.scan, custodian.number)
+                self.rng.uniform(0.0, cu.ORPHAN_SCAN_MS),
+                functools.partial(self.scan, custodian.limiter_number)
             )
 
     def delay(self) -> float:
@@ -234,7 +235,7 @@
         message or its reply is lost.
         """
         for i in self.group:
-            if i == session.number:
+            if i == session.limiter_number:
                 on_reply(i, self.custodians[i].handle(self.now, message))
             elif self.rng.random() < self.loss:
                 self.schedule(self.now + cu.REPLY_TIMEOUT_MS, functools.partial(on_reply, i, None))
@@ -252,20 +253,21 @@
 
     def on_vote(self, session: cu.HolderSession, term: int, custodian: int, reply: cu.Reply | None) -> None:
         """Counts a reply to the claim of a term; then stores the record, retries or gives up."""
-        if session.step or term != session.term or (outcome := session.count_vote(custodian, reply)) is None:
+        if session.step or term != session.term or (
+                outcome := session.count_claim_reply(custodian, reply)) is None:
             return
         if outcome is cu.ClaimOutcome.ACQUIRED and session.record is not None:
             keep = session.keep(self.now, session.record)
             self.broadcast(session, keep, functools.partial(self.on_kept, session))
-        elif outcome is cu.ClaimOutcome.RETRY and self.claims[session.number] < MAX_TAKEOVER_CLAIMS:
-            self.claims[session.number] += 1
+        elif outcome is cu.ClaimOutcome.RETRY and self.claims[session.limiter_number] < MAX_TAKEOVER_CLAIMS:
+            self.claims[session.limiter_number] += 1
             self.withdraw(session)
             self.schedule(self.now + self.rng.uniform(0.2, 1.0) * CLAIM_BACKOFF_MS,
                           functools.partial(self.claim, session))
         elif outcome is not cu.ClaimOutcome.ACQUIRED:
             self.withdraw(session)
             session.step = -1
-            self.claims.pop(session.number, None)
+            self.claims.pop(session.limiter_number, None)
 
     def claim(self, session: cu.HolderSession) -> None:
         """Sends the claim of a session."""
@@ -282,11 +284,12 @@
 
     def on_kept(self, session: cu.HolderSession, custodian: int, reply: cu.Reply | None) -> None:
         """Counts a reply to the record; notes the time of the takeover, or allows a new claim."""
-        stored = session.count_kept(custodian, reply) if session.number in self.claims else None
+        stored = (session.count_store_reply(custodian, reply) if session.limiter_number in self.claims
+                  else None)
         if stored and self.taken_at < 0:
             self.taken_at = self.now
         elif stored is False:
-            self.claims.pop(session.number, None)
+            self.claims.pop(session.limiter_number, None)
 
     def run(self) -> float:
         """Returns the ms from the failure of the holder until two custodians have the successor's record.
--- a/larklb/fleet/custody.py
+++ b/larklb/fleet/custody.py
@@ -1,33 +1,43 @@
-"""Custody of jobs that must not run twice: who holds a job, what was sent of it, and who takes it over.
+"""Replicated records of jobs that must not run twice: who holds a job, what was sent, and who takes it over.
 
 This module does no I/O: messages and times are arguments, and answers are return values.
 
-The *group* of a job is three limiters, determined by its key.  Each of them is a *custodian* and stores a
-record of the job; a record is valid once two of the three have stored it.  The limiter that accepted the job
-is its *holder*, under a *term* that two custodians have granted; no two holders ever have the same term.  The
-record of a custodian goes through these states:
-
-    state      what is known                                    what may follow, and by whom
-    held       a limiter holds it, nothing was sent             sent, released: the holder
-    sent       an attempt was sent, or is about to be           sent again, answered, released: the holder
-    answered   the answer is stored                             nothing: a client that asks is given it
-    released   the holder has given the client an answer        held: the next try, with what was sent before
-               other than success
-    unknown    it may have run, and must not be sent again      nothing: a client that asks is told of failure
-
-A job is *orphaned* when its custodian has not heard from the holder for ``LEASE_MS``, or hears of a later
-start of that holder.  Only then is a higher term granted, along with the custodian's record.  The limiter
-that obtains it from two custodians is the successor: before anything else, it stores the newest of their
-records under its own term.  If nothing was sent, the successor sends the job; if something was sent, it sends
-the job again only as far as its class allows; otherwise the job becomes unknown.
+The *group* of a job (its replica set) is three limiters, chosen by the job's key.  Each of them is a
+*custodian* (replica) and stores a record of the job; a record is valid once two of the three have stored it.
+The limiter that accepted the job is its *holder* (lease owner), under a *term* (fencing number) that two
+custodians have granted; no two holders ever have the same term.  A *successor* obtains a higher term, for a
+later try of the client or to take the job over.  The record of a custodian has one of these states:
+
+    state      meaning                                     next states, and by whom
+    held       a limiter holds it, nothing was sent        sent, released: the holder; held: a successor
+    sent       an attempt was sent, or is about to be      sent, answered, released: the holder;
+                                                           sent, unknown: a successor
+    answered   the answer is stored                        none: a client that asks is given the answer
+    released   the holder has given its client an answer   held, sent, unknown: a successor, with what was
+               other than success, or there is no memory   sent before
+               for the answer
+    unknown    the outcome is unknown; never sent again    none: a client that asks is told of failure
+
+The *lease* of a holder has ended at a custodian that has received nothing from the holder's process for
+``LEASE_MS``, has heard of a later start of that holder, or has stored its release or withdrawal; also once
+the client's deadline has been over for ``LEASE_MS``.  Only then is a higher term granted to another process,
+along with the custodian's record.  The process that has the term may claim a higher one at any time.  A job
+is *orphaned* if the lease has ended, the state is held or sent, and the client still waits: the custodians
+then claim it one after the other.
+
+A successor that two custodians have granted its term stores the newest of their records under it before it
+sends anything.  If nothing was sent, the successor sends the job; if something was sent, it sends the job
+again only as far as its class allows; otherwise the job becomes unknown.  A claim ends at once if one
+custodian reports a final record, answered or unknown.  That is safe without a majority, since the claimant
+then sends nothing.
 
 A holder sends only under a record that two custodians have stored, and within its lease.  It counts the lease
-from the time it *sent* the record, they count from the receipt.  A holder that was stopped or partitioned
-therefore finds its lease over before a successor can have begun, whatever the clocks show, as long as they
-run at about the same rate (``CLOCK_RATE_MARGIN``).
+from the time it *sent* the record, they count from the receipt.  Heartbeats extend the lease at the
+custodians only.  A holder that was stopped or partitioned therefore finds its lease over before a successor
+can have begun, whatever the clocks show, as long as they run at about the same rate (``CLOCK_RATE_MARGIN``).
 
-A custodian that has just started has lost its records: it grants no term for a job that may be older than its
-start.  The first try of a client cannot be, so it may be voted on at once; others are after ``keep_ms``.
+A restarted custodian has lost its records.  For its retention time after the start it therefore grants no
+term for an unknown job, except for a client's first try, of which no earlier record can exist.
 
 ``lab/check_custody.py`` explores all orders of loss, delay, kills, stops and restarts to a fixed depth.
 """
@@ -45,8 +55,9 @@
 
 # Custodians of a job; one may be lost.
 GROUP = 3
+# Custodians that must grant a term or store a record.
 MAJORITY = GROUP // 2 + 1
-# A holder that was not heard from for this long has lost its jobs.
+# A holder that was not heard from for this long has lost its jobs.  It may miss two heartbeats in a row.
 LEASE_MS = 900.0
 # Fraction of a lease that the holder gives up for clocks and timers that run at different rates.
 CLOCK_RATE_MARGIN = 0.1
@@ -56,9 +67,11 @@
 ORPHAN_SCAN_MS = 50.0
 # A reply of a custodian that takes longer counts as lost.
 REPLY_TIMEOUT_MS = 400.0
-# Delay between the custodians of an orphan, which attempt the takeover one after the other.
+# Delay between the custodians of an orphan, which attempt the takeover one after the other.  It is shorter
+# than REPLY_TIMEOUT_MS: attempts may overlap if replies are lost, and the terms decide between them.
 TAKEOVER_STAGGER_MS = 150.0
-# Attempts that a record stores.  The first determines what may follow; the others are for operators.
+# Attempts that a record stores.  The first determines whether the job may be sent again; the others are for
+# operators.
 MAX_RECORDED_ATTEMPTS = 8
 # Approximate memory of a record in addition to its contents.
 RECORD_OVERHEAD_BYTES = 400
@@ -74,11 +87,15 @@
     UNKNOWN = "unknown"
 
 
+# States after which nothing is sent any more.
 FINAL_STATES = (JobState.ANSWERED, JobState.UNKNOWN)
 
 
 class SentAttempt(msgspec.Struct, array_like=True, frozen=True):
-    """An attempt that was sent or about to be: its destination, and its age in ms."""
+    """An attempt that was sent or about to be.
+
+    ``node`` is the server's name, ``zone`` and ``cell`` its failure domains, ``age`` the ms since the send.
+    """
 
     node: str
     zone: str
@@ -87,7 +104,11 @@
 
 
 class Content(msgspec.Struct, array_like=True, frozen=True):
-    """What a successor needs to go on without the client: the request as received, and its classification."""
+    """What a successor needs to go on without the client: the request as received, and its classification.
+
+    ``name`` is the id of the request, ``service`` and ``plan`` are the names of its class and plan, ``units``
+    its cost.  The customer is served by ``spread`` limiters, counted from number ``first``.
+    """
 
     name: str
     method: bytes
@@ -113,10 +134,10 @@
 class Record(msgspec.Struct, array_like=True, frozen=True):
     """What a custodian stores of a job.  Newer records have a higher (term, step).
 
-    ``body`` is the digest of the request's body; the same key with another body is another job.  ``start``
-    identifies the holder's process, a later start being another process.  ``left`` is the time in ms that the
-    client still waits.  ``paid`` is whether the units of the job were taken, and ``reason`` is why its result
-    is unknown.
+    ``body`` is a 32-bit digest of the request's body; a key is refused with another body.  ``start``
+    identifies the holder's process: it rises with each start and is not comparable with ``now``.  ``left`` is
+    the time in ms until the client's deadline, when the record was sent.  ``paid`` is whether the customer's
+    quota was charged, and ``reason`` is why the outcome is unknown.
     """
 
     key: int
@@ -142,9 +163,10 @@
 
 
 class Claim(msgspec.Struct, array_like=True, frozen=True, tag=1):
-    """A request for the term of a job, by the process of ``claimant`` that began at ``start``.
+    """A request for the term of a job, by the process of ``claimant`` that is identified by ``start``.
 
-    ``first`` is whether there cannot have been an earlier try of the job.
+    ``body`` is the digest of the request's body.  ``first`` is whether there cannot have been an earlier try
+    of the job.
     """
 
     key: int
@@ -162,7 +184,7 @@
 
 
 class Withdraw(msgspec.Struct, array_like=True, frozen=True, tag=3):
-    """Gives back the only vote that an unsuccessful claim obtained."""
+    """Ends the lease of an unsuccessful claim at every custodian that granted it."""
 
     key: int
     term: int
@@ -178,29 +200,31 @@
 
 
 class ReplyKind(Enum):
-    """A custodian's reply to a claim or a record."""
+    """A custodian's reply to any message."""
 
-    # The term is the claimant's; the record, if any, is attached.
+    # The term is granted to the claimant; the record, if any, is attached.
     GIVEN = "given"
+    # The record, or a newer one of the same term, is stored.  Also acknowledges Withdraw and Heartbeat.
     KEPT = "kept"
-    # The holder is alive.
+    # The lease of another holder or claimant is still running.
     BUSY = "busy"
-    # A higher term was granted.
+    # Refused: the claimed term is not above the granted one, the record's term is below it, or the record has
+    # another body.
     SUPERSEDED = "old"
-    # The job was answered or is unknown, as the attached record says.
+    # The job is final: answered, or its outcome is unknown, as the attached record says.
     ENDED = "ended"
     # The key was used with another body.
     BODY_MISMATCH = "other"
-    # The custodian has lost what it may have known.
+    # Restarted recently: a record of this job may have been lost.  Also stands for a missing reply.
     UNSURE = "unsure"
-    # There is no memory for the record.
+    # There is no memory for the record or the claim.
     FULL = "full"
 
 
 class Reply(msgspec.Struct, array_like=True, frozen=True, tag=5):
     """A custodian's reply.
 
-    ``term`` is the highest term granted, ``remaining_lease`` that of the holder in ms.
+    ``term`` is the highest term granted, ``remaining_lease`` the time in ms that is left of its lease.
     """
 
     kind: ReplyKind
@@ -209,6 +233,7 @@
     record: Record | None = None
 
 
+# The messages that a custodian handles.
 CustodyMessage = Claim | Keep | Withdraw | Heartbeat
 
 
@@ -217,58 +242,67 @@
     return digest(f"{customer}/{service}/{key.hex()}")
 
 
-def group_of(key: int, limiters: int, zones: Mapping[int, str] | None = None) -> tuple[int, ...]:
-    """Return the custodians of a key in order, by rendezvous hashing.
+def group_of(key: int, limiter_count: int, zones: Mapping[int, str] | None = None) -> tuple[int, ...]:
+    """Return the custodians of a key by rendezvous hashing, in different zones if possible.
 
-    They are in different zones as far as there are several.
+    They are in order of preference, which is also the order of takeover.
     """
-    order = sorted(range(limiters), key=lambda i: digest(f"{key}/{i}"))
-    chosen: list[int] = []
+    order = sorted(range(limiter_count), key=lambda i: digest(f"{key}/{i}"))
+    custodians: list[int] = []
     for distinct_zones in (True, False):
-        for i in order:
-            taken = {zones.get(c) for c in chosen} if zones else set()
-            if len(chosen) < GROUP and i not in chosen and not (
-                    distinct_zones and zones and zones.get(i) in taken):
-                chosen.append(i)
-    return tuple(sorted(chosen, key=order.index))
+        for limiter in order:
+            used_zones = {zones.get(c) for c in custodians} if zones else set()
+            if len(custodians) < GROUP and limiter not in custodians and not (
+                    distinct_zones and zones and zones.get(limiter) in used_zones):
+                custodians.append(limiter)
+    return tuple(sorted(custodians, key=order.index))
 
 
 def may_send_again(window: float, sent: tuple[SentAttempt, ...]) -> bool:
-    """Return whether a job of a class with keys may be sent again; the caller decides where.
+    """Return whether a job may be sent again without running twice.
 
-    It may within ``window`` ms of its first attempt, less the longest time that a record may be in transit.
+    ``sent`` are the attempts so far; ``window`` is the deduplication window of the service class in ms,
+    counted from the first attempt.  It is reduced by LEASE_MS, the longest time that a record may be in
+    transit, which the ages do not include.
     """
     return not sent or max(s.age for s in sent) < window - LEASE_MS
 
 
-class _KeyState:
-    """A custodian's state for one key."""
+class _JobEntry:
+    """A custodian's state of one job.
+
+    ``term`` is the highest term granted; ``holder`` and ``start`` identify the process that has it, where a
+    ``start`` of -1 matches no process.  ``last_heard_at`` is the time of the last message of that process on
+    this job, -inf after a withdrawal.  ``record`` may be of a lower term.  ``size`` is in bytes.
+    """
 
-    __slots__ = ("body", "term", "holder", "start", "last_heard_at", "record", "received_at", "size")
+    __slots__ = ("body_digest", "term", "holder", "start", "last_heard_at", "record", "received_at", "size")
 
-    def __init__(self, body: int, term: int, holder: int, start: int, now: float) -> None:
-        self.body, self.term, self.holder, self.start, self.last_heard_at = body, term, holder, start, now
+    def __init__(self, body_digest: int, term: int, holder: int, start: int, now: float) -> None:
+        self.body_digest, self.term, self.holder, self.start, self.last_heard_at = (
+            body_digest, term, holder, start, now)
         self.record: Record | None = None
-        # The ages in the record are as of this time.
+        # The times in the record are as of this time.
         self.received_at = now
         self.size = RECORD_OVERHEAD_BYTES
 
 
 class Custodian:
-    """The records of one limiter, for the jobs whose group it is in."""
+    """The custodian role of one limiter: stores records and grants terms."""
 
-    def __init__(self, number: int, now: float, keep_ms: float, max_bytes: int) -> None:
+    def __init__(self, limiter_number: int, now: float, retention_ms: float, max_bytes: int) -> None:
         """Initialize the custodian.
 
-        A record is forgotten ``keep_ms`` after the last message on it; ``max_bytes`` limits the memory of all
-        records.
+        A record is forgotten ``retention_ms`` after the last message on it; ``max_bytes`` limits the memory
+        of all records.
         """
-        self.number, self.keep_ms, self.max_bytes = number, keep_ms, max_bytes
+        self.limiter_number, self.retention_ms, self.max_bytes = limiter_number, retention_ms, max_bytes
         self.started_at = now
-        # The least recently updated first.
-        self.keys: OrderedDict[int, _KeyState] = OrderedDict()
-        # The start of each holder's process, and the time of its last message.
+        # By key, the least recently updated first.
+        self.jobs: OrderedDict[int, _JobEntry] = OrderedDict()
+        # By holder: the start of its process, and the time of its last message.
         self.heartbeats: dict[int, tuple[int, float]] = {}
+        # Approximate memory of all records in bytes.
         self.size = 0
         # Number of records refused for lack of memory.
         self.refused = 0
@@ -281,10 +315,11 @@
             case Keep(record):
                 return self._keep(now, record)
             case Withdraw():
-                job = self.keys.get(message.key)
+                job = self.jobs.get(message.key)
                 if job is not None and (job.term, job.holder, job.start) == (
                         message.term, message.claimant, message.start):
-                    # The term remains granted, but its lease is over.
+                    # The term is not granted again, but its lease ends.  A start of -1 matches no process, so
+                    # that heartbeats of the claimant do not extend the lease.
                     job.last_heard_at = -math.inf
                     if job.record is None or job.record.term < message.term:
                         job.start = -1
@@ -294,36 +329,36 @@
                 return Reply(ReplyKind.KEPT)
 
     def _record_heartbeat(self, now: float, holder: int, start: int) -> None:
-        last = self.heartbeats.get(holder)
-        if last is None or start >= last[0]:
+        previous = self.heartbeats.get(holder)
+        if previous is None or start >= previous[0]:
             self.heartbeats[holder] = start, now
 
-    def remaining_lease(self, now: float, job: _KeyState) -> float:
-        """Return the ms until the holder loses the job, negative if it has."""
+    def remaining_lease(self, now: float, job: _JobEntry) -> float:
+        """Return the ms that are left of the holder's lease; <= 0 or -inf if the lease has ended."""
         if job.start < 0 or job.record is not None and job.record.state is JobState.RELEASED and (
                 job.record.term == job.term):
             return -math.inf
-        # No client waits for the job any more, so that its holder has given it up.
+        # The client's deadline passed at least one lease ago, so the holder no longer works on the job.
         if job.record is not None and now - job.received_at > job.record.left + LEASE_MS:
             return -math.inf
-        start, at = self.heartbeats.get(job.holder, (job.start, -math.inf))
+        start, heartbeat_at = self.heartbeats.get(job.holder, (job.start, -math.inf))
         # The holder has restarted.
         if start > job.start:
             return -math.inf
-        return max(job.last_heard_at, at if start == job.start else -math.inf) + LEASE_MS - now
+        return max(job.last_heard_at, heartbeat_at if start == job.start else -math.inf) + LEASE_MS - now
 
     def _claim(self, now: float, claim: Claim) -> Reply:
         self._record_heartbeat(now, claim.claimant, claim.start)
-        job = self.keys.get(claim.key)
+        job = self.jobs.get(claim.key)
         if job is None:
-            if now - self.started_at < self.keep_ms and not claim.first:
+            if now - self.started_at < self.retention_ms and not claim.first:
                 return Reply(ReplyKind.UNSURE)
             if not self._has_room(RECORD_OVERHEAD_BYTES):
                 return Reply(ReplyKind.FULL)
-            self.keys[claim.key] = _KeyState(claim.body, claim.term, claim.claimant, claim.start, now)
+            self.jobs[claim.key] = _JobEntry(claim.body, claim.term, claim.claimant, claim.start, now)
             self.size += RECORD_OVERHEAD_BYTES
             return Reply(ReplyKind.GIVEN, claim.term)
-        if job.body != claim.body:
+        if job.body_digest != claim.body:
             return Reply(ReplyKind.BODY_MISMATCH)
         record = self.current_record(now, job)
         if record is not None and record.state in FINAL_STATES:
@@ -331,20 +366,20 @@
         # A repetition of the same claim.
         if (job.holder, job.start, job.term) == (claim.claimant, claim.start, claim.term):
             return Reply(ReplyKind.GIVEN, claim.term, 0.0, record)
-        # A process never claims a job that it holds, so its own lease does not block a claim.
+        # A process claims a job again only after it gave it up, so its own lease is ignored.
         if (job.holder, job.start) != (claim.claimant, claim.start) and (
                 remaining := self.remaining_lease(now, job)) > 0:
             return Reply(ReplyKind.BUSY, job.term, remaining)
         if claim.term <= job.term:
             return Reply(ReplyKind.SUPERSEDED, job.term)
         job.term, job.holder, job.start, job.last_heard_at = claim.term, claim.claimant, claim.start, now
-        self.keys.move_to_end(claim.key)
+        self.jobs.move_to_end(claim.key)
         return Reply(ReplyKind.GIVEN, claim.term, 0.0, record)
 
     def _keep(self, now: float, record: Record) -> Reply:
         self._record_heartbeat(now, record.holder, record.start)
-        job = self.keys.get(record.key)
-        if job is not None and (job.body != record.body or record.term < job.term):
+        job = self.jobs.get(record.key)
+        if job is not None and (job.body_digest != record.body or record.term < job.term):
             return Reply(ReplyKind.SUPERSEDED, job.term)
         if job is not None and job.record is not None and (
                 (record.term, record.step) <= (job.record.term, job.record.step)):
@@ -354,13 +389,13 @@
             self.refused += 1
             return Reply(ReplyKind.FULL, job.term if job is not None else 0)
         if job is None:
-            job = self.keys[record.key] = _KeyState(
+            job = self.jobs[record.key] = _JobEntry(
                 record.body, record.term, record.holder, record.start, now
             )
         job.term, job.holder, job.start, job.last_heard_at = record.term, record.holder, record.start, now
         job.record, job.received_at, job.size = record, now, size
         self.size += size - previous_size
-        self.keys.move_to_end(record.key)
+        self.jobs.move_to_end(record.key)
         return Reply(ReplyKind.KEPT, record.term)
 
     def _has_room(self, additional: int) -> bool:
@@ -370,51 +405,57 @@
         """
         return self.size + additional <= self.max_bytes
 
-    def current_record(self, now: float, job: _KeyState) -> Record | None:
-        """Return the record of a job with its times as of ``now``, None if there is none."""
+    def current_record(self, now: float, job: _JobEntry) -> Record | None:
+        """Return the record of a job with its times as of ``now``, or None if none is stored."""
         record, elapsed = job.record, now - job.received_at
         if record is None:
             return None
         return msgspec.structs.replace(record, left=record.left - elapsed, sent=tuple(
             msgspec.structs.replace(attempt, age=attempt.age + elapsed) for attempt in record.sent))
 
-    def orphans(self, now: float, limiters: int,
+    def orphans(self, now: float, limiter_count: int,
                 zones: Mapping[int, str] | None = None) -> Iterator[tuple[Record, int]]:
-        """Yield the jobs to be taken over here now, each with the highest term granted.
+        """Yield the orphaned jobs to be taken over here now, each with the highest term granted.
 
-        Their holder is lost, and it is the turn of this custodian.
+        Each custodian of the group waits TAKEOVER_STAGGER_MS longer than the one before it.  Jobs that are
+        stored without their content are left out.
         """
-        for key, job in self.keys.items():
+        for key, job in self.jobs.items():
             record = job.record
             if record is None or record.content is None or record.state not in (JobState.HELD, JobState.SENT):
                 continue
             if self.remaining_lease(now, job) > 0 or record.left <= now - job.received_at:
                 continue
-            group = group_of(key, limiters, zones)
-            turn = group.index(self.number) if self.number in group else GROUP
+            group = group_of(key, limiter_count, zones)
+            position = group.index(self.limiter_number) if self.limiter_number in group else GROUP
             if (
-                now - job.last_heard_at >= LEASE_MS + turn * TAKEOVER_STAGGER_MS
+                now - job.last_heard_at >= LEASE_MS + position * TAKEOVER_STAGGER_MS
                 and (current := self.current_record(now, job)) is not None
             ):
                 yield current, job.term
 
     def clean(self, now: float) -> None:
-        """Forget the jobs and holders without a message for ``keep_ms``."""
-        for key, job in list(self.keys.items()):
+        """Forget the jobs without a message for ``retention_ms`` and without a lease, and old heartbeats."""
+        for key, job in list(self.jobs.items()):
             if (
-                now - max(job.last_heard_at, job.received_at) > self.keep_ms
+                now - max(job.last_heard_at, job.received_at) > self.retention_ms
                 and self.remaining_lease(now, job) <= 0
             ):
                 self.size -= job.size
-                del self.keys[key]
+                del self.jobs[key]
         self.heartbeats = {
-            holder: last for holder, last in self.heartbeats.items() if now - last[1] <= self.keep_ms
+            holder: heartbeat for holder, heartbeat in self.heartbeats.items()
+            if now - heartbeat[1] <= self.retention_ms
         }
 
     def rows(self, now: float, key: int | None = None) -> list[dict[str, object]]:
-        """Return the rows that operators see, of all jobs or of the one with ``key``."""
+        """Return the rows that operators see, of all jobs or of the one with ``key``.
+
+        Here "orphaned" does not depend on whether the client still waits, and includes jobs that were claimed
+        and have no record.
+        """
         rows: list[dict[str, object]] = []
-        for job_key, job in self.keys.items():
+        for job_key, job in self.jobs.items():
             if key is not None and job_key != key:
                 continue
             record = self.current_record(now, job)
@@ -432,51 +473,57 @@
 class ClaimOutcome(Enum):
     """The outcome of a claim."""
 
-    # Two custodians granted the term; the record with its content is available.
+    # Two custodians granted the term; ``record`` of the session is the newest one they reported, or None.
     ACQUIRED = "mine"
-    # Another limiter holds the job: claim again after a delay.
+    # No majority, and at least one custodian reports a running lease: claim again after a delay.
     WAIT = "wait"
-    # A higher term is needed: claim again at once.
+    # No majority, no running lease, and a custodian refused the term: claim again with a higher term.
     RETRY = "retry"
-    # The job was answered, or must not be sent any more.
+    # The job is final: answered, or its outcome is unknown.
     ENDED = "ended"
     # The key was used with another body.
     BODY_MISMATCH = "other"
-    # Too few custodians can tell.
+    # No majority can be determined: replies are missing, or custodians replied UNSURE or FULL.
     UNSURE = "unsure"
 
 
 class HolderSession:
     """One try of a job at its holder or a claimant; counts the replies of the custodians."""
 
-    def __init__(self, number: int, start: int, key: int, body: int, group: tuple[int, ...],
+    def __init__(self, limiter_number: int, start: int, key: int, body_digest: int, group: tuple[int, ...],
                  first: bool = False) -> None:
         """Initialize the session.
 
         ``start`` identifies this process; ``first`` is whether the client states that this is its first try.
         """
-        self.number, self.start, self.key, self.body, self.group = number, start, key, body, group
+        self.limiter_number, self.start, self.key, self.body_digest, self.group = (
+            limiter_number, start, key, body_digest, group)
         self.first = first
+        # The term that was last claimed.
         self.term = 0
+        # Number of records sent under the term.
         self.step = 0
+        # By custodian: the replies to the last claim or record.
         self.replies: dict[int, Reply] = {}
-        # The newest valid record, as received.
+        # After a claim: the newest record received from the custodians that granted it, or a final record.
+        # After ``keep``: the record last sent, which may not be stored yet.
         self.record: Record | None = None
-        # End of the lease of the record that was last stored.
+        # End of the lease of the last record that a majority has stored.
         self.lease_until = -math.inf
+        # Time at which the last claim or record was sent.
         self.asked_at = -math.inf
 
     # Claiming -----------------------------------------------------------------------------
 
     def claim(self, now: float) -> Claim:
-        """Return the claim to be sent to the whole group."""
+        """Return a claim of a higher term than any known, to be sent to the whole group."""
         highest = max((r.term for r in self.replies.values()), default=0)
         self.term = max(self.term, highest) + 1
         self.replies, self.asked_at = {}, now
-        return Claim(self.key, self.body, self.term, self.number, self.start, self.first)
+        return Claim(self.key, self.body_digest, self.term, self.limiter_number, self.start, self.first)
 
-    def count_vote(self, custodian: int, reply: Reply | None) -> ClaimOutcome | None:
-        """Count a reply to the claim, None for a timeout; return the outcome once it is determined."""
+    def count_claim_reply(self, custodian: int, reply: Reply | None) -> ClaimOutcome | None:
+        """Count a reply to the claim, None for a timeout; return the outcome, None while undetermined."""
         self.replies[custodian] = reply or Reply(ReplyKind.UNSURE)
         kinds = [r.kind for r in self.replies.values()]
         if ReplyKind.BODY_MISMATCH in kinds:
@@ -500,8 +547,8 @@
         )
 
     def withdraw(self) -> Withdraw:
-        """Return the withdrawal to be sent to the group after an unsuccessful claim."""
-        return Withdraw(self.key, self.term, self.number, self.start)
+        """Return the withdrawal to be sent to the whole group after an unsuccessful claim."""
+        return Withdraw(self.key, self.term, self.limiter_number, self.start)
 
     # Keeping ------------------------------------------------------------------------------
 
@@ -510,23 +557,29 @@
         self.step += 1
         self.replies, self.asked_at = {}, now
         self.record = msgspec.structs.replace(
-            record, key=self.key, body=self.body, term=self.term, step=self.step, holder=self.number,
-            start=self.start)
+            record, key=self.key, body=self.body_digest, term=self.term, step=self.step,
+            holder=self.limiter_number, start=self.start)
         return Keep(self.record)
 
-    def count_kept(self, custodian: int, reply: Reply | None) -> bool | None:
-        """Count a reply to a record; return True once two have stored it, False once two cannot any more."""
+    def count_store_reply(self, custodian: int, reply: Reply | None) -> bool | None:
+        """Count a reply to a record, None for a timeout.
+
+        Return True once a majority has stored it, False once none can any more, None while undetermined.
+        """
         self.replies[custodian] = reply or Reply(ReplyKind.UNSURE)
-        kept = sum(r.kind is ReplyKind.KEPT for r in self.replies.values())
-        if kept >= MAJORITY:
+        stored = sum(r.kind is ReplyKind.KEPT for r in self.replies.values())
+        if stored >= MAJORITY:
             self.lease_until = self.asked_at + LEASE_MS * (1.0 - CLOCK_RATE_MARGIN)
             return True
-        return False if len(self.replies) - kept > len(self.group) - MAJORITY else None
+        return False if len(self.replies) - stored > len(self.group) - MAJORITY else None
 
     def is_fenced(self) -> bool:
-        """Return whether a higher term was granted, so that another limiter has the job."""
+        """Return whether a custodian refused the last message because of a higher term or another body.
+
+        This session must not send then.
+        """
         return any(r.kind is ReplyKind.SUPERSEDED for r in self.replies.values())
 
     def may_send(self, now: float) -> bool:
-        """Return whether the record stored last still excludes every successor."""
+        """Return whether the lease of the last record that a majority has stored is still running."""
         return now < self.lease_until
--- a/larklb/lab/check_custody.py
+++ b/larklb/lab/check_custody.py
@@ -135,7 +135,7 @@
                 self.tries[n].end = "killed"
             case "beat":
                 for c in self.custodians:
-                    c.handle(self.now, Heartbeat(self.tries[n].session.number, 1))
+                    c.handle(self.now, Heartbeat(self.tries[n].session.limiter_number, 1))
             case "restart":
                 self.restarted += 1
                 self.custodians[n] = self.make(n, self.now)
@@ -158,7 +158,7 @@
         if t.at == "claim":
             outcome = None
             for i, reply in self._replies(t.session.claim(self.now), reached, replies_arrive):
-                outcome = t.session.count_vote(i, reply) if outcome is None else outcome
+                outcome = t.session.count_claim_reply(i, reply) if outcome is None else outcome
             if outcome is ClaimOutcome.ACQUIRED:
                 self._acquire(t)
             elif outcome is ClaimOutcome.ENDED:
@@ -192,7 +192,7 @@
         return found
 
     def _acquire(self, t: Try) -> None:
-        if self.holders.setdefault(t.session.term, t.session.number) != t.session.number:
+        if self.holders.setdefault(t.session.term, t.session.limiter_number) != t.session.limiter_number:
             self.violation = f"term {t.session.term} has two holders"
         previous = t.session.record
         sent = previous.sent if previous is not None and self.omitted_step != "forgets" else ()
@@ -210,7 +210,7 @@
             record = msgspec.structs.replace(record, answer=StoredAnswer(200, b"", b"done"))
         stored = None
         for i, reply in self._replies(t.session.keep(self.now, record), reached, replies_arrive):
-            stored = t.session.count_kept(i, reply) if stored is None else stored
+            stored = t.session.count_store_reply(i, reply) if stored is None else stored
         if stored:
             t.record = record
         return bool(stored)
@@ -281,7 +281,7 @@
 
         custodians = []
         for c in self.custodians:
-            job = c.keys.get(KEY)
+            job = c.jobs.get(KEY)
             beats = tuple(sorted((w, age(b[1])) for w, b in c.heartbeats.items()))
             custodians.append(
                 (
--- a/larklb/net/keeper.py
+++ b/larklb/net/keeper.py
@@ -61,12 +61,12 @@
 class HeldJob:
     """A job that this limiter holds."""
 
-    def __init__(self, keeper: CustodyKeeper, hand: HolderSession, record: Record) -> None:
-        self.keeper, self.hand, self.record = keeper, hand, record
+    def __init__(self, keeper: CustodyKeeper, session: HolderSession, record: Record) -> None:
+        self.keeper, self.session, self.record = keeper, session, record
         now = keeper.now()
         self.sent = [(s, now - s.age) for s in record.sent]      # attempts and their send times
-        self.due = now + record.left
-        self.finished = False
+        self.due = now + record.left            # the client's deadline
+        self.finished = False       # the last record of this session is being stored, or was
         self.attempted = False      # an attempt of this try may have been sent
 
     def sent_attempts(self) -> tuple[SentAttempt, ...]:
@@ -76,7 +76,7 @@
 
     def _record(self, state: JobState, answer: StoredAnswer | None = None, why: str = "") -> Record:
         now, sent = self.keeper.now(), self.sent_attempts()
-        if len(sent) > cu.MAX_RECORDED_ATTEMPTS:               # the first one determines what may follow
+        if len(sent) > cu.MAX_RECORDED_ATTEMPTS:    # the first one determines whether another may follow
             sent = (sent[0], *sent[1 - cu.MAX_RECORDED_ATTEMPTS:])
         return msgspec.structs.replace(self.record, state=state, left=self.due - now, sent=sent,
                                        paid=self.record.paid or bool(sent), answer=answer, reason=why)
@@ -97,7 +97,7 @@
         entry = self.keeper.core.gateway.servers[server].entry
         self.sent.append((SentAttempt(server, entry.zone, entry.cell, 0.0), self.keeper.now()))
         self.keeper.step("before send")
-        if not await self.keep(JobState.SENT) or not self.hand.may_send(self.keeper.now()):
+        if not await self.keep(JobState.SENT) or not self.session.may_send(self.keeper.now()):
             self.sent.pop()
             return False
         self.attempted = True
@@ -114,19 +114,19 @@
         good = await self.keep(JobState.ANSWERED, StoredAnswer(status, kind, body))
         self.keeper.drop(self)
         self.keeper.step("answer kept")
-        result = "kept" if good else "fenced" if self.hand.is_fenced() else "unkept"
+        result = "kept" if good else "fenced" if self.session.is_fenced() else "unkept"
         self.keeper.counters.add(f"custody.{result}")
 
     async def keep(self, state: JobState, answer: StoredAnswer | None = None, why: str = "") -> bool:
         """Stores the job, without its content if there is no room; returns whether two custodians have it."""
         record = self._record(state, answer, why)
-        if await self.keeper.keep(self.hand, record):
+        if await self.keeper.keep(self.session, record):
             return True
-        if any(w.kind is cu.ReplyKind.FULL for w in self.hand.replies.values()):
+        if any(r.kind is cu.ReplyKind.FULL for r in self.session.replies.values()):
             self.keeper.counters.add("custody.full")
             if answer is not None:                   # an answer that isn't stored can't be replayed
                 record = msgspec.structs.replace(record, state=JobState.RELEASED, answer=None)
-            return await self.keeper.keep(self.hand, msgspec.structs.replace(record, content=None))
+            return await self.keeper.keep(self.session, msgspec.structs.replace(record, content=None))
         return False
 
     def close(self) -> None:
@@ -146,7 +146,7 @@
         tests kill a holder."""
         self.config, self.entry, self.zones = config, entry, zones
         self.core, self.nodes, self.counters, self.phase, self.step = core, nodes, counters, phase, step
-        self.number, self.limiters = config.settings.number, config.settings.gateways
+        self.number, self.limiter_count = config.settings.number, config.settings.gateways
         self.start_number = int(time.time() * 1000.0)
         self.custodian = Custodian(self.number, core.wheel.now(), entry.keep_s * 1000.0,
                                    int(entry.most_mb * 1e6))
@@ -159,6 +159,7 @@
         self.random = random.Random(config.seed ^ 0x5EED)
 
     def now(self) -> float:
+        """Returns the time in ms of the limiter's clock."""
         return self.core.wheel.now()
 
     async def start(self) -> None:
@@ -193,121 +194,127 @@
 
         The answer is a stored one, 502 if the job must not be sent again, 409 if the key was used with
         another body, or 503 if another limiter holds the job until the deadline of this try or its state
-        is
-        unknown.
+        cannot be determined.
         Returns None if the job proceeds without custody."""
         window = self.core.classes[request.service].window
         key_hash = cu.key_of(request.customer, request.service, key)
-        body = digest(content.body.hex()) & 0xFFFFFFFF
+        body_digest = digest(content.body.hex()) & 0xFFFFFFFF
         while key_hash in self.held_jobs:  # another try of the same job
             if client_gone() or self.now() >= request.due - ANSWER_MARGIN_MS:
                 return StoredAnswer(503, b"", b"")
             await asyncio.sleep(POLL_INTERVAL_MS / 1000.0)
         self.held_jobs[key_hash] = None
         try:
-            hand = HolderSession(
+            session = HolderSession(
                 self.number,
-                self.start_number, key_hash,
-                body,
-                        cu.group_of(key_hash, self.limiters, self.zones),
+                self.start_number,
+                key_hash,
+                body_digest,
+                cu.group_of(key_hash, self.limiter_count, self.zones),
                 first=self.entry.marked and not repeat,
             )
-            turn = await self._claim(
-                hand, lambda: client_gone() or self.now() >= request.due - ANSWER_MARGIN_MS)
-            if turn is ClaimOutcome.ENDED:
+            outcome = await self._claim(
+                session, lambda: client_gone() or self.now() >= request.due - ANSWER_MARGIN_MS)
+            if outcome is ClaimOutcome.ENDED:
                 self.counters.add("custody.given")
-                record = hand.record
+                record = session.record
                 return record.answer if record is not None and record.answer else StoredAnswer(502, b"", b"")
-            if turn is ClaimOutcome.BODY_MISMATCH:
+            if outcome is ClaimOutcome.BODY_MISMATCH:
                 return StoredAnswer(409, b"text/plain", b"this key came with another body")
-            if turn is not ClaimOutcome.ACQUIRED:
-                self.counters.add("custody.unsure" if turn is ClaimOutcome.UNSURE else "custody.elsewhere")
-                serve_anyway = turn is ClaimOutcome.UNSURE and not repeat and self.entry.lost == "serve"
+            if outcome is not ClaimOutcome.ACQUIRED:
+                self.counters.add("custody.unsure" if outcome is ClaimOutcome.UNSURE else "custody.elsewhere")
+                serve_anyway = outcome is ClaimOutcome.UNSURE and not repeat and self.entry.lost == "serve"
                 if serve_anyway:
                     self.counters.add("custody.without")
                 return None if serve_anyway else StoredAnswer(503, b"", b"")
-            hold = self._new_held_job(hand, request, content)
+            held_job = self._new_held_job(session, request, content)
             self.step("before copy")
-            if hold.sent and not cu.may_send_again(window, hold.record.sent):
-                return await self._end_unknown(hold)
-            if hold.sent:
+            if held_job.sent and not cu.may_send_again(window, held_job.record.sent):
+                return await self._end_unknown(held_job)
+            if held_job.sent:
                 self.counters.add("custody.joined")
-                if not await hold.keep(JobState.SENT):
-                    hold.close()
+                if not await held_job.keep(JobState.SENT):
+                    held_job.close()
                     return StoredAnswer(503, b"", b"")
-            self.held_jobs[key_hash] = hold
-            if not hold.sent:
-                self.core.wheel.after(STORE_CONTENT_AFTER_MS, self._store_content, hold)
-            return hold
+            self.held_jobs[key_hash] = held_job
+            if not held_job.sent:
+                self.core.wheel.after(STORE_CONTENT_AFTER_MS, self._store_content, held_job)
+            return held_job
         finally:
             if self.held_jobs.get(key_hash) is None:
                 self.held_jobs.pop(key_hash, None)
 
-    def _new_held_job(self, hand: HolderSession, request: io.Request, content: Content) -> HeldJob:
+    def _new_held_job(self, session: HolderSession, request: io.Request, content: Content) -> HeldJob:
         """Creates the record from the claimed one, with the request of this try."""
-        claimed = hand.record
+        claimed = session.record
         record = Record(
-            hand.key, hand.body, hand.term, 0, self.number, self.start_number, JobState.HELD,
+            session.key, session.body_digest, session.term, 0, self.number, self.start_number, JobState.HELD,
             request.due - self.now(), claimed.sent if claimed is not None else (),
             claimed is not None and claimed.paid,
             content=cu.Content(request.request, content.method, content.target, content.headers, content.body,
                                request.service, request.plan, request.customer, request.units, request.first,
                                request.spread))
-        return HeldJob(self, hand, record)
+        return HeldJob(self, session, record)
 
-    def _store_content(self, hold: HeldJob) -> None:
+    def _store_content(self, held_job: HeldJob) -> None:
         """Stores a job that still waits for its send with its content, so that it survives the loss of its
         holder.  Replies are ignored."""
-        if not hold.sent and not hold.finished:
-            record = msgspec.structs.replace(hold.record, state=JobState.HELD, left=hold.due - self.now(),
-                                             term=hold.hand.term, step=0)
-            self.links.ask(hold.hand.group, cu.Keep(record), _ignore_word)
-
-    async def _end_unknown(self, hold: HeldJob) -> StoredAnswer:
-        hold.finished = True
-        why = f"it was sent to {hold.sent[0][0].node}, and its class allows no other send now"
-        await hold.keep(JobState.UNKNOWN, why=why)
+        if not held_job.sent and not held_job.finished:
+            record = msgspec.structs.replace(
+                held_job.record, state=JobState.HELD, left=held_job.due - self.now(),
+                term=held_job.session.term, step=0)
+            self.links.ask(held_job.session.group, cu.Keep(record), _ignore_reply)
+
+    async def _end_unknown(self, held_job: HeldJob) -> StoredAnswer:
+        held_job.finished = True
+        why = f"it was sent to {held_job.sent[0][0].node}, and its class allows no other send now"
+        await held_job.keep(JobState.UNKNOWN, why=why)
         self.counters.add("custody.unknown")
         return StoredAnswer(502, b"", b"")
 
-    async def _claim(self, hand: HolderSession, give_up: Callable[[], bool]) -> ClaimOutcome:
-        """Claims a job until this limiter holds it or certainly won't, or ``give_up`` returns True."""
+    async def _claim(self, session: HolderSession, give_up: Callable[[], bool]) -> ClaimOutcome:
+        """Claims a job until it is acquired, final, refused or unsure; WAIT once ``give_up`` returns True."""
         while True:
-            turn = await self._ask_group(hand.group, hand.claim(self.now()), hand.count_vote)
-            if turn in (ClaimOutcome.ACQUIRED, ClaimOutcome.ENDED, ClaimOutcome.BODY_MISMATCH):
-                return turn or ClaimOutcome.UNSURE
-            self.links.ask(hand.group, hand.withdraw(), _ignore_word)
-            if turn in (None, ClaimOutcome.UNSURE):
+            outcome = await self._ask_group(
+                session.group, session.claim(self.now()), session.count_claim_reply)
+            if outcome in (ClaimOutcome.ACQUIRED, ClaimOutcome.ENDED, ClaimOutcome.BODY_MISMATCH):
+                return outcome or ClaimOutcome.UNSURE
+            self.links.ask(session.group, session.withdraw(), _ignore_reply)
+            if outcome in (None, ClaimOutcome.UNSURE):
                 return ClaimOutcome.UNSURE
             if give_up():
                 return ClaimOutcome.WAIT
-            pause = (POLL_INTERVAL_MS if turn is ClaimOutcome.WAIT
+            pause = (POLL_INTERVAL_MS if outcome is ClaimOutcome.WAIT
                      else self.random.uniform(0.2, 1.0) * CLAIM_BACKOFF_MS)
             await asyncio.sleep(pause / 1000.0)
 
-    async def keep(self, hand: HolderSession, record: Record) -> bool:
-        """Stores a record; returns whether two custodians have it under the hand's term."""
-        return bool(await self._ask_group(hand.group, hand.keep(self.now(), record), hand.count_kept))
+    async def keep(self, session: HolderSession, record: Record) -> bool:
+        """Stores a record; returns whether a majority has it under the session's term."""
+        return bool(await self._ask_group(
+            session.group, session.keep(self.now(), record), session.count_store_reply))
 
     async def _ask_group(self, group: tuple[int, ...], ask: CustodyMessage,
-                     judge: Callable[[int, Reply | None], T | None]) -> T | None:
-        """Asks a group; returns the result of ``judge`` as soon as it is not None."""
+                     evaluate: Callable[[int, Reply | None], T | None]) -> T | None:
+        """Sends a message to a group; returns the first result of ``evaluate`` that is not None.
+
+        A custodian that does not reply within ``REPLY_TIMEOUT_MS`` counts as the reply None.  Returns None if
+        ``evaluate`` did not determine a result from all replies."""
         loop = asyncio.get_running_loop()
         done: asyncio.Future[T | None] = loop.create_future()
         missing = set(group)
 
-        def on_word(custodian: int, word: Reply | None) -> None:
+        def on_reply(custodian: int, reply: Reply | None) -> None:
             missing.discard(custodian)
-            if not done.done() and ((found := judge(custodian, word)) is not None or not missing):
-                done.set_result(found)
+            if not done.done() and ((result := evaluate(custodian, reply)) is not None or not missing):
+                done.set_result(result)
 
         def on_timeout() -> None:
             for custodian in list(missing):
                 self.links.mark_unresponsive(custodian)
-                on_word(custodian, None)
+                on_reply(custodian, None)
 
         timer = loop.call_later(cu.REPLY_TIMEOUT_MS / 1000.0, on_timeout)
-        self.links.ask(group, ask, on_word)
+        self.links.ask(group, ask, on_reply)
         try:
             return await done
         finally:
@@ -321,23 +328,23 @@
 
     # Release ------------------------------------------------------------------------------
 
-    def drop(self, hold: HeldJob) -> None:
+    def drop(self, held_job: HeldJob) -> None:
         """Forgets a job that is no longer held."""
-        if self.held_jobs.get(hold.hand.key) is hold:
-            del self.held_jobs[hold.hand.key]
+        if self.held_jobs.get(held_job.session.key) is held_job:
+            del self.held_jobs[held_job.session.key]
 
-    def release(self, hold: HeldJob) -> None:
+    def release(self, held_job: HeldJob) -> None:
         """Releases a job in the background, for the next try."""
-        self._background(self._release(hold))
+        self._background(self._release(held_job))
 
-    async def _release(self, hold: HeldJob) -> None:
+    async def _release(self, held_job: HeldJob) -> None:
         try:
             for _ in range(MAX_RELEASE_TRIES):
-                if await hold.keep(JobState.RELEASED) or hold.hand.is_fenced():
+                if await held_job.keep(JobState.RELEASED) or held_job.session.is_fenced():
                     return
                 await asyncio.sleep(RELEASE_RETRY_S)
         finally:
-            self.drop(hold)
+            self.drop(held_job)
 
     # Background ---------------------------------------------------------------------------
 
@@ -345,10 +352,11 @@
         """Sends heartbeats to the custodians of the jobs that are held here."""
         while True:
             await asyncio.sleep(cu.HEARTBEAT_MS / 1000.0)
-            beat = cu.Heartbeat(self.number, self.start_number)
-            for i in {i for hold in self.held_jobs.values() if hold is not None for i in hold.hand.group}:
-                if not self.links.busy(i):           # a pending message serves as a heartbeat
-                    self.links.ask((i,), beat, _ignore_word)
+            heartbeat = cu.Heartbeat(self.number, self.start_number)
+            for custodian in {i for held_job in self.held_jobs.values() if held_job is not None
+                              for i in held_job.session.group}:
+                if not self.links.busy(custodian):      # a pending message serves as a heartbeat
+                    self.links.ask((custodian,), heartbeat, _ignore_reply)
             self.custodian.clean(self.now())
 
     async def _scan_orphans(self) -> None:
@@ -356,7 +364,7 @@
         while True:
             await asyncio.sleep(cu.ORPHAN_SCAN_MS / 1000.0)
             orphans = () if self.leaving or self.phase.leaving else self.custodian.orphans(
-                self.now(), self.limiters, self.zones)
+                self.now(), self.limiter_count, self.zones)
             for record, term in list(orphans):
                 if record.key not in self.held_jobs and self.core.classes.get(
                         record.content.service if record.content is not None else "") is not None:
@@ -364,44 +372,45 @@
                     self._background(self._take_over(record, term))
 
     async def _take_over(self, record: Record, term: int) -> None:
-        """Takes over a job that lost its holder and finishes it, if its class permits."""
+        """Takes over a job whose holder is lost, and finishes it if its class permits."""
         try:
-            hand = HolderSession(self.number, self.start_number, record.key, record.body,
-                        cu.group_of(record.key, self.limiters, self.zones))
-            hand.term, rounds = term, itertools.count(1)
-            turn = await self._claim(hand, lambda: next(rounds) >= MAX_TAKEOVER_CLAIMS)
-            claimed = hand.record
-            if (turn is not ClaimOutcome.ACQUIRED or claimed is None or claimed.content is None
+            session = HolderSession(self.number, self.start_number, record.key, record.body,
+                                    cu.group_of(record.key, self.limiter_count, self.zones))
+            session.term, rounds = term, itertools.count(1)
+            outcome = await self._claim(session, lambda: next(rounds) >= MAX_TAKEOVER_CLAIMS)
+            claimed = session.record
+            if (outcome is not ClaimOutcome.ACQUIRED or claimed is None or claimed.content is None
                     or claimed.left <= 0):
                 return
-            hold, cls = HeldJob(self, hand, claimed), self.core.classes.get(claimed.content.service)
-            if hold.sent and (cls is None or not cu.may_send_again(cls.window, claimed.sent)):
-                await self._end_unknown(hold)
+            held_job, cls = HeldJob(self, session, claimed), self.core.classes.get(claimed.content.service)
+            if held_job.sent and (cls is None or not cu.may_send_again(cls.window, claimed.sent)):
+                await self._end_unknown(held_job)
                 return
-            if not await hold.keep(
+            if not await held_job.keep(
                     claimed.state if claimed.state is not JobState.RELEASED else JobState.HELD):
                 return
-            self.held_jobs[record.key] = hold
+            self.held_jobs[record.key] = held_job
             self.counters.add("custody.inherited")
             log.info("taking over job %s of limiter %d, term %d", claimed.content.name, claimed.holder,
-                     hand.term)
-            await self._execute(hold, claimed.content)
+                     session.term)
+            await self._execute(held_job, claimed.content)
         finally:
             if self.held_jobs.get(record.key) is None:
                 self.held_jobs.pop(record.key, None)
 
-    async def _execute(self, hold: HeldJob, content: cu.Content) -> None:
-        request = hold.with_history(io.Request(
-            content.name, content.service, content.plan, content.customer, hold.due, content.units,
+    async def _execute(self, held_job: HeldJob, content: cu.Content) -> None:
+        """Makes the attempts of a job that was taken over, without a client, and records the answer."""
+        request = held_job.with_history(io.Request(
+            content.name, content.service, content.plan, content.customer, held_job.due, content.units,
             content.first, content.spread))
         if (content.plan not in self.core.plans or content.service not in self.core.classes
                 or content.name in self.core.jobs):
-            hold.close()
+            held_job.close()
             return
         window, job = self.core.classes[content.service].window, self.core.take(request)
         try:
             while isinstance(action := await job.next(), io.Send):
-                if not await self.send(hold, job, action):
+                if not await self.send(held_job, job, action):
                     return
                 ended = await self.nodes.attempt(
                     job, action, Content(content.method, content.target, content.headers, content.body),
@@ -410,19 +419,19 @@
                                   ended.stale)
                 if ended.result is io.Result.OK:
                     if not ended.streamed:
-                        await hold.record_answer(200, ended.kind, ended.body)
+                        await held_job.record_answer(200, ended.kind, ended.body)
                     return
             # The attempts failed; while the class permits another, the client may retry.
-            if hold.sent and not cu.may_send_again(window, hold.sent_attempts()):
-                await self._end_unknown(hold)
+            if held_job.sent and not cu.may_send_again(window, held_job.sent_attempts()):
+                await self._end_unknown(held_job)
         finally:
-            hold.close()
+            held_job.close()
             self.core.close(job)
 
-    async def send(self, hold: HeldJob, job: Job, action: io.Send) -> bool:
-        """Returns whether an attempt may be sent; otherwise the decision logic is informed."""
-        if await hold.record_send(action.server):
-            job.may_send = lambda: hold.hand.may_send(self.now())
+    async def send(self, held_job: HeldJob, job: Job, action: io.Send) -> bool:
+        """Records an attempt; returns whether it may be sent, otherwise withdraws it from ``core``."""
+        if await held_job.record_send(action.server):
+            job.may_send = lambda: held_job.session.may_send(self.now())
             return True
         self.counters.add("custody.held_back")
         log.info("job %s not sent: another limiter may hold it", job.id)
@@ -434,12 +443,12 @@
         rows = self.custodian.rows(self.now(), key)
         for row in rows:
             key_hash = int(str(row["key"]), 16)
-            row["group"] = list(cu.group_of(key_hash, self.limiters, self.zones))
+            row["group"] = list(cu.group_of(key_hash, self.limiter_count, self.zones))
             row["in_hand"] = self.held_jobs.get(key_hash) is not None
         return rows
 
 
-def _ignore_word(custodian: int, word: Reply | None) -> None:
+def _ignore_reply(custodian: int, reply: Reply | None) -> None:
     """Ignores a reply."""
 
 
--- a/tests/test_custody.py
+++ b/tests/test_custody.py
@@ -53,8 +53,8 @@
 
 
 class ExtendsLease(HolderSession):
-    def count_kept(self, custodian: int, reply: Reply | None) -> bool | None:
-        stored = super().count_kept(custodian, reply)
+    def count_store_reply(self, custodian: int, reply: Reply | None) -> bool | None:
+        stored = super().count_store_reply(custodian, reply)
         if stored:
             self.lease_until = self.asked_at + 3 * LEASE_MS
         return stored
@@ -62,7 +62,7 @@
 
 class VotesTwice(Custodian):
     def _claim(self, now: float, claim: Claim) -> Reply:
-        reply, job = super()._claim(now, claim), self.keys[claim.key]
+        reply, job = super()._claim(now, claim), self.jobs[claim.key]
         if reply.kind in (ReplyKind.SUPERSEDED, ReplyKind.BUSY):
             job.term, job.holder, job.start, job.last_heard_at = claim.term, claim.claimant, claim.start, now
             return Reply(ReplyKind.GIVEN, claim.term, 0.0, self.current_record(now, job))
@@ -71,7 +71,7 @@
 
 class AcceptsAnyTerm(Custodian):
     def _keep(self, now: float, record: Record) -> Reply:
-        job = self.keys.get(record.key)
+        job = self.jobs.get(record.key)
         return (
             Reply(ReplyKind.KEPT, record.term)
             if job is not None and record.term < job.term
@@ -151,9 +151,9 @@
         assert c.handle(0.0, Claim(key, 1, 1, 7, 1, False)).kind is ReplyKind.GIVEN
     assert c.handle(0.0, Claim(14, 1, 1, 7, 1, False)).kind is ReplyKind.FULL
     c.clean(KEEP_MS - 1.0)
-    assert len(c.keys) == 4
+    assert len(c.jobs) == 4
     c.clean(KEEP_MS + 1.0)
-    assert not c.keys and c.size == 0
+    assert not c.jobs and c.size == 0
 
 
 def test_groups_are_spread_evenly_and_over_different_zones() -> None:
