--- a/larklb/lab/emulator.py
+++ b/larklb/lab/emulator.py
@@ -20,12 +20,12 @@
 from larklb.admission.choice import ServerSelector, ServerState
 from larklb.admission.tries import AttemptHistory, AttemptOutcome, NextStep
 from larklb.gateway.data_plane import (
+    BASE_RETRY_AFTER_MS,
     HEDGE_P95_FACTOR,
     MAX_HEDGE_DELAY_SETPOINTS,
     MAX_RETRY_AFTER_MS,
     MIN_HEDGE_DELAY_SETPOINTS,
     RESPONSE_MARGIN_MS,
-    RETRY_AFTER_MS,
 )
 from larklb.gateway.servers import DEFAULT_IDLE_TIMEOUT_MS, MIN_TIME_LEFT_MS, REGIONAL_DIAL_TIMEOUT_MS
 from larklb.lab.emulator_deployment import Deployment, Fault, Route, Service
@@ -364,7 +364,7 @@
         can_retry = request.tries < MAX_CLIENT_TRIES and (step is NextStep.REFUSE or request.route.safe)
         backoff = 0.0
         if step is NextStep.REFUSE:
-            backoff = max(1.0, min(RETRY_AFTER_MS * (1 + self.network_rng.random()), MAX_RETRY_AFTER_MS,
+            backoff = max(1.0, min(BASE_RETRY_AFTER_MS * (1 + self.network_rng.random()), MAX_RETRY_AFTER_MS,
                                    left / 4.0))
         if can_retry and left > (
                 backoff + 2 * self.deployment.client_delay + RESPONSE_MARGIN_MS + MIN_TIME_LEFT_MS):
