--- a/larklb/balancing/choice.py
+++ b/larklb/balancing/choice.py
@@ -1,6 +1,9 @@
-"""Chooses the server with the least expected cost of a request, by the estimated capacity of each server.
+"""Selects the server with the lowest expected cost of a request.
 
-Has the interface of ``larklb.admission.choice.ServerSelector``, and adds the exchange between limiters.
+The cost (ms) consists of the estimated queueing and service time, a surcharge for other zones, and the risk
+of missing the latency setpoint.  Extends ``larklb.admission.choice.ServerSelector`` by measured slowdowns and
+by load reports that the limiters of a zone exchange.  The *service time* of a request is the time from its
+send to its answer, less the time in the server's queue.
 """
 
 from __future__ import annotations
@@ -14,49 +17,53 @@
 from larklb.admission import choice as admission
 from larklb.admission.choice import ServerSelector, ServerState
 from larklb.balancing.estimates import Estimate, Estimates, Evidence
-from larklb.balancing.load import MIN_TRUST, InFlight, LoadOfOthers, expected_queue, max_in_flight
+from larklb.balancing.load import MIN_TRUST, InFlight, ReportedLoad, expected_queue, max_in_flight
 from larklb.quota.ring import digest
 
 # The estimate of a server is computed again after this time.
 ESTIMATE_MAX_AGE_MS = 250.0
-# A server that was added, warmed up or recovered less than this ago is expected to have the same load as the
-# others, because all limiters see it idle at the same moment.
+# A server that was added, warmed up or recovered is expected to have at least the usual load of its service,
+# because all limiters see it idle at the same moment: fully for this time, then decaying with it as the time
+# constant, for four times this in all.  Also the time constant with which the last report of an idle server
+# decays towards the usual load.
 NEW_SERVER_MS = 4_000.0
 # Time constant of the mean number of requests in flight that is reported to the other limiters.
 IN_FLIGHT_MEAN_MS = 3_000.0
-# Part of the service time that a server with all slots in use costs beside its queue: one more request there
-# makes others wait.
+# Fraction of the service time that a server with all slots in use costs in addition to the time in its queue:
+# one more request there makes others wait.
 UTILISATION_COST = 0.5
-# Parts of the latency setpoint that a server in another zone of the region, or in another region, costs.
+# Fractions of the latency setpoint that a server in another zone of the region, or in another region, costs.
 SAME_REGION_COST = 0.12
 OTHER_REGION_COST = 0.5
-# Part of the latency setpoint that it costs to miss the setpoint for certain.
+# Fraction of the latency setpoint that it costs to miss the setpoint with certainty.
 MISS_COST = 0.5
-# Part of the service time by which a server costs less that this limiter prefers to its peers.
+# Fraction of the service time that is subtracted from the cost of a server that is preferred by this limiter
+# (see ``_assign_preferred``).
 PREFERRED_DISCOUNT = 0.12
-# Part of the standard error of a server's slowdown by which its logarithm is reduced, so that servers with
+# The log slowdown used for selection is the estimate minus this many standard errors, so that servers with
 # little evidence are tried.
 UNCERTAINTY_DISCOUNT = 0.25
-# Factor on the time after which a request is overdue, since the slowdown of the server is uncertain.
+# A request is overdue after exp(m + OVERDUE_DEVIATIONS * s) * slowdown * OVERDUE_MARGIN ms, with the mean m,
+# the standard deviation s of the logarithm of the service time, and a slowdown of at least 0.5; the margin is
+# there because the slowdown is uncertain.  A server also counts as one with an overdue request if more than
+# MAX_OVERDUE_OBSERVERS other limiters report one.
 OVERDUE_MARGIN = 1.5
-# A server also counts as one with an overdue request if more other limiters than this report one.
 MAX_OVERDUE_OBSERVERS = 1
-# Standard deviations (of the logarithm) above the usual service time from which a request is overdue.
 OVERDUE_DEVIATIONS = 2.3
 # Factors on the cost of a server with an overdue request, and of one that has just failed.
 OVERDUE_COST_FACTOR = 4.0
 FAILED_COST_FACTOR = 4.0
-# Part of the requests for which FAILED_COST_FACTOR doesn't apply.
+# Fraction of the requests for which FAILED_COST_FACTOR doesn't apply.
 FAILED_EXEMPT_SHARE = 0.2
-# Weight of one answer in the usual service time of a route.
+# Smallest weight of one answer in the usual service time of a route; the first answers weigh 1/count.
 ROUTE_SAMPLE_WEIGHT = 0.03
 # Standard deviation of the logarithm of a route's service times that is assumed before many answers.
 INITIAL_LOG_DEVIATION = 0.7
 # Weight of a sample that waited in a queue or came from a server that was warming up.
 QUEUED_SAMPLE_WEIGHT = 0.3
-# Part of the cost that is random.
+# Largest random fraction that is added to the cost.
 COST_JITTER = 0.04
-# Where all servers report that they are full, one whose report is older than this is tried: it may be wrong.
+# If all servers report that they are full, one whose report is older than this is tried: it may be wrong.
 FULL_RETRY_MS = 1_000.0
 # Upper bound of the requests in flight at one server whose start is recorded.
 MAX_PENDING = 4_096
@@ -64,14 +71,17 @@
 
 @define
 class RouteServiceTime:
-    """Mean and variance of the logarithm of a route's service time (ms), at a server with no slowdown."""
+    """Mean and variance of the logarithm of a route's service time (ms), at a server without slowdown.
+
+    ``count``: number of service times added.
+    """
 
     log_mean: float = math.log(admission.INITIAL_LATENCY_MS)
     log_variance: float = INITIAL_LOG_DEVIATION**2
     count: int = 0
 
     def add(self, log_ms: float, weight: float) -> None:
-        """Adds the logarithm of one service time, without the time in the queue and the server's slowdown."""
+        """Adds the logarithm of one service time without the server's slowdown; ``weight`` is at most 1."""
         self.count += 1
         step = weight * max(ROUTE_SAMPLE_WEIGHT, 1.0 / self.count)
         deviation = log_ms - self.log_mean
@@ -92,22 +102,29 @@
     """What this limiter records about one server, in addition to its ``ServerState``."""
 
     evidence: Evidence
-    reported_load: LoadOfOthers = field(factory=LoadOfOthers)
+    reported_load: ReportedLoad = field(factory=ReportedLoad)
     estimate: Estimate = field(factory=Estimate)
-    slowdown: float = 1.0  # of the estimate, reduced by its uncertainty
-    shared_mean: float | None = None  # mean requests of the others by their reports, None without recent ones
-    mean_load: float = 0.0  # mean requests of the limiters without a valid report of requests in flight
+    # Optimistic slowdown used for selection: lower the less evidence there is; without warm-up.
+    slowdown: float = 1.0
+    # Mean number of requests in flight here from limiters whose last in-flight report has expired, by their
+    # estimate messages; None if none of these messages is recent.
+    shared_mean: float | None = None
+    # Estimated mean number of requests here that ``in_flight.totals`` does not include; ``_mean_load`` names
+    # the sources.
+    mean_load: float = 0.0
     overdue_observers: int = 0  # other limiters with an overdue request at the server
-    # When the server was last added, warmed up or recovered; -inf for those present at the start.
+    # When the server was last added, warmed up or recovered, in the future while it is warming up; -inf for
+    # those present at the start.
     ready_since: float = -math.inf
-    estimated_at: float = -math.inf
-    in_flight_at: float = -math.inf
+    estimated_at: float = -math.inf  # when the estimate was last computed
+    in_flight_at: float = -math.inf  # time of the mean number of requests in flight
     preferred: bool = False  # by this limiter, see ``_assign_preferred``
-    zone_cost: float = 0.0  # part of the latency setpoint
+    zone_cost: float = 0.0  # fraction of the latency setpoint
     pending: list[tuple[float, str]] = field(factory=list)  # start and route of the requests in flight
-    # When the first of the pending requests becomes overdue that started after all answered ones.
+    # Earliest time at which a pending request that started after every answered one becomes overdue.
     overdue_at: float = math.inf
-    # Pending requests that are overdue while later ones were answered; they no longer count as load.
+    # Pending requests that are overdue although a request sent later was answered; assumed lost by the server
+    # and not counted as load.
     dropped: int = 0
     last_answered_start: float = -math.inf  # the latest start of an answered request
 
@@ -116,8 +133,15 @@
 class CapacityAwareSelector(ServerSelector):
     """Selects a server for each request by its estimated capacity and the load that other limiters report.
 
-    *Near peers* are the other limiters of this zone.  ``exchange_enabled``: whether they report their
-    requests in flight and estimates; without these reports the base class selects the server.
+    *Peers* are the other limiters of this zone.  ``exchange_enabled``: whether this limiter and its peers
+    send each other their requests in flight and estimates; without these messages, as in zones with many
+    limiters, the base class selects the server.  Requests of limiters in other zones are known only from the
+    load reports of the servers.
+
+    ``statistics``: by server; ``estimates``: evidence on the slowdown of all servers, own and of peers;
+    ``in_flight``: requests that peers have in flight.  ``last_call_at`` and ``last_route``: time of the last
+    event, and route of the last ``pick``.  ``longest_setpoints``: longest latency setpoint (ms) of a request
+    so far, which limits the requests in flight at a server.
     """
 
     own_name: str = ""
@@ -125,14 +149,17 @@
     limiters: tuple[tuple[str, str], ...] = ()  # name and zone
     estimates: Estimates = field(factory=Estimates)
     in_flight: InFlight = field(factory=InFlight)
-    mean_loads: dict[str, float] = field(factory=dict)  # by target: requests of others per slot
+    # By target: moving average of ``mean_load`` per slot over servers that are not new.
+    mean_loads: dict[str, float] = field(factory=dict)
     route_service_times: dict[str, RouteServiceTime] = field(factory=dict)
     statistics: dict[str, ServerStatistics] = field(factory=dict)
-    service_ms: dict[str, float] = field(factory=dict)  # by target: mean service time with no slowdown
+    service_ms: dict[str, float] = field(factory=dict)  # by target: mean service time without slowdown
     longest_setpoints: dict[str, float] = field(factory=dict)  # by target
     last_call_at: float = 0.0
     last_route: str = ""
-    pending_answer: tuple[ServerState, str, float] | None = None  # an answer whose load report may yet follow
+    # The last answer (server, route, latency in ms), held back until its load report is recorded or the next
+    # event shows that there was none.
+    pending_answer: tuple[ServerState, str, float] | None = None
 
     # Servers and limiters -------------------------------------------------------------------
 
@@ -174,15 +201,17 @@
     def _assign_preferred(self) -> None:
         """Assigns each server to one or more limiters of its zone, which prefer it.
 
-        This keeps the limiters from all choosing the same idle server, and makes most of the requests in
-        flight there known here.  It is only a preference: any limiter may use any server.
+        Each limiter prefers an equal share of the zone's servers, in the order of their digests; a server at
+        the boundary of two shares is preferred by both limiters.  This keeps the limiters from all choosing
+        the same idle server, and makes most of the requests in flight there known here.  It is only a
+        preference: any limiter may use any server.
         """
         zone_limiters = sorted(name for name, zone in self.limiters if zone == self.zone) or [self.own_name]
         if self.own_name not in zone_limiters:
             return
         rank, count = zone_limiters.index(self.own_name), len(zone_limiters)
         for servers in self.by_target.values():
-            zone_servers = sorted((p for p in servers if p.zone == self.zone), key=lambda p: digest(p.id))
+            zone_servers = sorted((s for s in servers if s.zone == self.zone), key=lambda s: digest(s.id))
             for server in servers:
                 self.statistics[server.id].preferred = False
             servers_each = len(zone_servers) / count
@@ -226,11 +255,22 @@
         )
         stats.in_flight_at = now
 
-    def _slowdown(self, now: float, server: ServerState, stats: ServerStatistics) -> float:
+    def _current_slowdown(self, now: float, server: ServerState, stats: ServerStatistics) -> float:
+        """Returns the slowdown used for selection, including that of a server that is warming up."""
         return stats.slowdown * (admission.COLD_FACTOR if now < server.cold_until else 1.0)
 
     def _mean_load(self, now: float, server: ServerState, stats: ServerStatistics) -> float:
-        """Returns the mean requests of the limiters without a valid report of their requests in flight."""
+        """Returns the estimated mean number of requests here that ``in_flight.totals`` does not include.
+
+        The first of these sources that is available: (1) the estimate messages of other limiters, if there
+        are recent ones and either some peer reports requests in flight or the server's own reports are not
+        trusted; (2) the server's last reports, decaying to the usual load; (3) the own mean times the number
+        of other limiters.  A server that was recently added, warmed up or recovered has at least the usual
+        load, which decays.
+
+        The totals of all servers are tested, since a server that is missing from them has no requests of the
+        peers that report.
+        """
         usual_load, reported = self.mean_loads.get(server.target, 0.0) * server.slots, stats.reported_load
         if stats.shared_mean is not None and (self.in_flight.totals or not reported.trusted()):
             mean = stats.shared_mean
@@ -250,30 +290,31 @@
             )
         return mean
 
-    def load_of_others(
-        self, now: float, server: ServerState, stats: ServerStatistics, service_ms: float
+    def estimate_other_requests(
+        self, now: float, server: ServerState, stats: ServerStatistics, server_ms: float
     ) -> tuple[int, float]:
-        """Returns the requests of others at a server: those that near peers report, and the mean of the rest.
+        """Returns the requests of others at a server: those that peers report, and the mean of the rest.
 
-        For about one service time after a server's report, the mean is adjusted towards that report.
+        The mean is adjusted to the server's last report: fully at first, then decaying with a time constant
+        of one service time (``server_ms``), not at all after four.
         """
-        reported, known, mean = (
+        reported, peer_requests, mean = (
             stats.reported_load,
             self.in_flight.totals.get(server.id, 0),
             stats.mean_load,
         )
         age = now - reported.updated_at
-        if age < 4.0 * service_ms and reported.trust >= MIN_TRUST:
-            mean += (reported.last - known - mean) * math.exp(-max(0.0, age) / service_ms)
-        return known, mean if mean > 0.0 else 0.0
+        if age < 4.0 * server_ms and reported.trust >= MIN_TRUST:
+            mean += (reported.last - peer_requests - mean) * math.exp(-max(0.0, age) / server_ms)
+        return peer_requests, mean if mean > 0.0 else 0.0
 
     def load(self, now: float, server: ServerState) -> float:
         """Returns the requests in flight at the server, from here and, as far as known, from others."""
         if not self.exchange_enabled:
             return ServerSelector.load(self, now, server)
         stats = self.statistics[server.id]
-        service_ms = self.service_ms.get(server.target, admission.INITIAL_LATENCY_MS) * stats.slowdown
-        return server.in_flight + sum(self.load_of_others(now, server, stats, service_ms))
+        server_ms = self.service_ms.get(server.target, admission.INITIAL_LATENCY_MS) * stats.slowdown
+        return server.in_flight + sum(self.estimate_other_requests(now, server, stats, server_ms))
 
     # Choice ---------------------------------------------------------------------------------
 
@@ -286,13 +327,16 @@
         exclude: Collection[str] = (),
         caller: int | None = None,
     ) -> ServerState | None:
-        """Returns the server with the least expected cost for a request, None if no server can take it.
+        """Returns the server with the lowest expected cost for a request, None if no server can take it.
 
-        ``setpoint``: the latency setpoint of the route in ms; ``exclude``: ids of servers that are left out.
+        ``setpoint``: the latency setpoint of the route in ms; ``exclude``: ids of servers that are left out;
+        ``caller``: hash of a caller, whose assigned server is used while it has capacity.  If no healthy
+        server has room, one that is silent, probed or ejected is returned, and otherwise, of those that
+        reported to be full more than FULL_RETRY_MS ago, the one with the fewest known requests.
         """
-        self._flush_pending_answer()
+        self._add_answer_without_load_report()
         self.last_call_at, self.last_route = now, route
-        if not self.exchange_enabled:  # without the reports of other limiters this is no better than the base
+        if not self.exchange_enabled:  # without messages of peers this is no better than the base class
             return ServerSelector.pick(self, now, target, route, setpoint, exclude, caller)
         if caller is not None and target in self.assignments:
             self.callers.record_request(now, caller, self.route_latency(route).mean)
@@ -300,12 +344,13 @@
                 return server
         if setpoint > self.longest_setpoints.get(target, 0.0):
             self.longest_setpoints[target] = setpoint
-        service_time, usual_ms = (
+        service_time, base_ms = (
             self.route_service_time(route),
             self.service_ms.get(target, admission.INITIAL_LATENCY_MS),
         )
         route_ms, longest_setpoint = service_time.mean_ms(), self.longest_setpoints[target]
         log_mean, steepness = service_time.log_mean, 1.702 / math.sqrt(max(service_time.log_variance, 0.01))
+        # ``limit`` is for this limiter alone, ``max_in_flight`` for all limiters together.
         best, min_cost, limit = None, math.inf, self.in_flight_limit(target)
         impaired: list[ServerState] = []
         reported_full: list[tuple[int, float, ServerState]] = []
@@ -317,22 +362,25 @@
             if now - stats.estimated_at > ESTIMATE_MAX_AGE_MS:
                 self._update_estimate(now, server, stats)
             slowdown = stats.slowdown if now >= server.cold_until else stats.slowdown * admission.COLD_FACTOR
-            service_ms = usual_ms * slowdown
-            known, others = self.load_of_others(now, server, stats, service_ms)
-            slots, known = server.slots or 1, known + server.in_flight - stats.dropped
-            load = known + others
-            if load >= slots and load >= max_in_flight(slots, usual_ms, slowdown, longest_setpoint):
+            server_ms = base_ms * slowdown
+            peer_requests, others = self.estimate_other_requests(now, server, stats, server_ms)
+            # Requests of this limiter and its peers; ``others`` is the mean of all further ones.
+            slots, known_requests = server.slots or 1, peer_requests + server.in_flight - stats.dropped
+            load = known_requests + others
+            if load >= slots and load >= max_in_flight(slots, base_ms, slowdown, longest_setpoint):
                 if (
-                    known < slots
+                    known_requests < slots
                     and now - stats.reported_load.updated_at > FULL_RETRY_MS
                     and not server.silent
                 ):
-                    reported_full.append((known, stats.reported_load.updated_at, server))
+                    reported_full.append((known_requests, stats.reported_load.updated_at, server))
                 continue
             if server.silent or server.probing or now < server.ejected_until:
                 impaired.append(server)
                 continue
-            wait_ms = expected_queue(known + (known >= slots), others, slots) * service_ms
+            wait_ms = (
+                expected_queue(known_requests + (known_requests >= slots), others, slots) * server_ms
+            )
             left_ms = setpoint - wait_ms
             # Probability of missing the setpoint, by the logistic curve closest to the normal distribution.
             miss_probability = (
@@ -354,28 +402,32 @@
             if cost < min_cost:
                 best, min_cost = server, cost
         if best is None and impaired:
-            best = min(impaired, key=lambda p: (p.silent, p.ejected_until, random()))
+            best = min(impaired, key=lambda s: (s.silent, s.ejected_until, random()))
         if best is None and reported_full:
-            best = min(reported_full, key=lambda p: p[:2])[2]
+            best = min(reported_full, key=lambda entry: entry[:2])[2]
         return best
 
     def has_room(self, now: float, target: str) -> bool:
         """Returns whether some server of the service can take one more request."""
-        usual_ms, longest_setpoint = (
+        base_ms, longest_setpoint = (
             self.service_ms.get(target, admission.INITIAL_LATENCY_MS),
             self.longest_setpoints.get(target, math.inf),
         )
         return any(
-            not p.draining
-            and self.load(now, p)
-            < max_in_flight(max(1, p.slots), usual_ms, self.statistics[p.id].slowdown, longest_setpoint)
-            for p in self.by_target.get(target, ())
+            not s.draining
+            and self.load(now, s)
+            < max_in_flight(max(1, s.slots), base_ms, self.statistics[s.id].slowdown, longest_setpoint)
+            for s in self.by_target.get(target, ())
         )
 
     # Events ---------------------------------------------------------------------------------
 
     def record_start(self, server: ServerState) -> None:
-        """Records the start of an attempt at the server, for the route of the last ``pick``."""
+        """Records the start of an attempt at the server.
+
+        Its time and route are those of the last ``pick``: must follow the ``pick`` of the same request
+        directly.
+        """
         now, stats = self.last_call_at, self.statistics.get(server.id)
         if stats is not None:
             self._update_mean_in_flight(now, server, stats)
@@ -388,14 +440,15 @@
         """Returns when a request that went to the server at ``start`` becomes overdue."""
         service_time = self.route_service_time(route)
         deviation = math.sqrt(max(service_time.log_variance, 0.01))
+        # The exponent is limited to avoid an overflow.
         late_ms = math.exp(min(12.0, service_time.log_mean + OVERDUE_DEVIATIONS * deviation))
         return start + late_ms * max(0.5, stats.slowdown) * OVERDUE_MARGIN
 
     def _update_overdue(self, now: float, stats: ServerStatistics) -> None:
         """Updates ``overdue_at`` and ``dropped`` of a server.
 
-        A server that answers later requests is alive: an earlier one that is overdue was dropped by it when
-        it was full.
+        A server that answers later requests works: it has dropped an earlier one that is overdue, as it was
+        full.
         """
         stats.overdue_at, stats.dropped = math.inf, 0
         for start, route in stats.pending:
@@ -406,8 +459,11 @@
                 stats.dropped += 1
 
     def _end_attempt(self, now: float, server: ServerState, started: float, answered: bool = False) -> None:
-        """Removes the pending request whose start is closest to ``started``."""
-        self._flush_pending_answer()
+        """Removes the pending request whose start is closest to ``started``.
+
+        With -inf that is the oldest, with the present time the newest one.
+        """
+        self._add_answer_without_load_report()
         self.last_call_at = now
         stats = self.statistics.get(server.id)
         if stats is None:
@@ -437,13 +493,13 @@
         ServerSelector.record_load(self, now, server, running, waiting)
         stats = self.statistics.get(server.id)
         if stats is None:
-            self._flush_pending_answer()
+            self._add_answer_without_load_report()
             return
         answer, self.pending_answer, self.last_call_at = self.pending_answer, None, now
         expected_ms = max(
             1.0,
             self.service_ms.get(server.target, admission.INITIAL_LATENCY_MS)
-            * self._slowdown(now, server, stats),
+            * self._current_slowdown(now, server, stats),
         )
         latency_ms = answer[2] if answer is not None and answer[0] is server else expected_ms
         stats.reported_load.record(
@@ -458,8 +514,8 @@
             queue = 0.0 if free else (waiting + 0.5) / max(1, server.slots)
             self._add_sample(now, server, stats, answer[1], latency_ms, queue)
 
-    def _flush_pending_answer(self) -> None:
-        """Adds the sample of an answer that came without a load report."""
+    def _add_answer_without_load_report(self) -> None:
+        """Adds the service time of the pending answer, if any, for which no load report was recorded."""
         if self.pending_answer is not None:
             (server, route, latency_ms), self.pending_answer = self.pending_answer, None
             stats = self.statistics.get(server.id)
@@ -475,34 +531,42 @@
         latency_ms: float,
         queue: float | None,
     ) -> None:
-        """Adds one response time to the evidence.
+        """Adds one answer to the server's evidence and to the service times of its route and target.
 
-        ``queue``: requests per slot that were ahead of it in the server's queue, None if not reported.
+        ``queue``: requests per slot that were ahead of it in the server's queue; None if not reported, which
+        is then estimated.  The expected time in that queue is subtracted from the latency, at most 80% of it.
+        The evidence excludes the effect of warming up, the service times the server's slowdown as well.  A
+        sample with a queue or warm-up weighs less, as its service time is less certain.
         """
-        usual_ms = self.service_ms.get(server.target, admission.INITIAL_LATENCY_MS)
-        slowdown, weight = self._slowdown(now, server, stats), 1.0
+        base_ms = self.service_ms.get(server.target, admission.INITIAL_LATENCY_MS)
+        slowdown, weight = self._current_slowdown(now, server, stats), 1.0
         if queue is None:
-            known, others = self.load_of_others(now, server, stats, usual_ms * slowdown)
-            queue = expected_queue(server.in_flight + known, others, max(1, server.slots))
+            peer_requests, others = self.estimate_other_requests(now, server, stats, base_ms * slowdown)
+            queue = expected_queue(server.in_flight + peer_requests, others, max(1, server.slots))
             weight = 1.0 - 0.5 * min(1.0, queue)
         elif queue > 0.0:
             weight = QUEUED_SAMPLE_WEIGHT
         if now - latency_ms < server.cold_until:
             weight = QUEUED_SAMPLE_WEIGHT
-        service_ms = max(0.2 * latency_ms, latency_ms - queue * usual_ms * slowdown, 0.5)
+        sample_ms = max(0.2 * latency_ms, latency_ms - queue * base_ms * slowdown, 0.5)
         log_cold = math.log(admission.COLD_FACTOR) if now - latency_ms < server.cold_until else 0.0
-        service_time, log_ms = self.route_service_time(route), math.log(service_ms) - log_cold
+        service_time, log_ms = self.route_service_time(route), math.log(sample_ms) - log_cold
         if service_time.count >= 8:
             variance = max(0.2, service_time.log_variance)
             stats.evidence.add(now, log_ms - service_time.log_mean, weight / variance)
         service_time.add(log_ms - stats.estimate.log_slowdown, weight)
-        service_ms /= slowdown
+        sample_ms /= slowdown
         self.service_ms[server.target] = (
-            usual_ms + 0.03 * (service_ms - usual_ms) if server.target in self.service_ms else service_ms
+            base_ms + 0.03 * (sample_ms - base_ms) if server.target in self.service_ms else sample_ms
         )
 
     def record_rejection(self, now: float, server: ServerState) -> None:
-        """Records that the server rejected a request because it is full."""
+        """Records that the server rejected a request because it is full.
+
+        That is the load at this moment, not the mean load: ``reported_load.last`` is set, which applies for a
+        few service times, and ``mean`` stays, or is 0 if nothing was reported.
+        """
+        # The newest pending request: a server rejects at once.
         self._end_attempt(now, server, now)
         ServerSelector.record_rejection(self, now, server)
         stats = self.statistics.get(server.id)
@@ -524,6 +588,7 @@
             and bool(stats.pending)
             and stats.pending[0][0] < stats.last_answered_start
         )
+        # The start of the failed attempt is not known; it is assumed to be the oldest.
         self._end_attempt(now, server, -math.inf)
         if dropped:
             # The server was full then and has answered since.  Excluding it for a while would cost capacity
@@ -533,7 +598,11 @@
             ServerSelector.record_failure(self, now, server, unresponsive)
 
     def record_abandonment(self, now: float, server: ServerState, route: str, waited_ms: float) -> None:
-        """Records an attempt that this limiter aborted; it would have taken at least ``waited_ms``."""
+        """Records an attempt that this limiter aborted after ``waited_ms``.
+
+        It counts as a failure if it was overdue and no request sent later was answered.  Otherwise its
+        latency is at least ``waited_ms``, which is added as a sample if it is above the usual latency.
+        """
         stats, started = self.statistics.get(server.id), now - waited_ms
         if stats is None:
             ServerSelector.release(self, server)
@@ -544,11 +613,12 @@
             ServerSelector.record_failure(self, now, server, True)
             return
         ServerSelector.release(self, server)
-        if waited_ms > self.route_service_time(route).mean_ms() * self._slowdown(now, server, stats):
+        if waited_ms > self.route_service_time(route).mean_ms() * self._current_slowdown(now, server, stats):
             self._add_sample(now, server, stats, route, waited_ms, None)
 
     def release(self, server: ServerState) -> None:
         """Records the end of an attempt that says nothing about the server."""
+        # The newest pending request: most of these attempts end before anything is sent.
         self._end_attempt(self.last_call_at, server, self.last_call_at)
         ServerSelector.release(self, server)
 
@@ -556,7 +626,7 @@
 
     def estimates_message(self, now: float) -> dict[str, Any]:
         """Returns this limiter's evidence on all servers for the other limiters, as a JSON object."""
-        self._flush_pending_answer()
+        self._add_answer_without_load_report()
         for name, stats in self.statistics.items():
             self._update_mean_in_flight(now, self.servers[name], stats)
             stats.evidence.overdue = int(now > stats.overdue_at)
@@ -568,7 +638,7 @@
             self.estimates.apply(now, observer, message)
 
     def in_flight_message(self, now: float) -> dict[str, Any] | None:
-        """Returns this limiter's requests in flight for its near peers, as a JSON object.
+        """Returns this limiter's requests in flight for its peers, as a JSON object.
 
         None if they were reported recently and haven't changed since.
         """
@@ -577,6 +647,6 @@
         )
 
     def apply_in_flight(self, now: float, observer: str, message: Mapping[str, Any]) -> None:
-        """Applies a near peer's requests in flight.  Raises UnreadableError if the message is malformed."""
+        """Applies a peer's requests in flight.  Raises UnreadableError if the message is malformed."""
         if observer != self.own_name:
             self.in_flight.apply(now, observer, message)
--- a/larklb/balancing/load.py
+++ b/larklb/balancing/load.py
@@ -1,7 +1,7 @@
 """The load that other limiters cause at a server, and how many requests may be in flight there.
 
 A server reports its load with each answer.  Between two answers the load is estimated from the messages of
-near peers on their requests in flight.  No I/O; times are arguments in ms.
+peers, the other limiters of this zone, on their requests in flight.  No I/O; times are arguments in ms.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 from larklb.balancing.errors import UnreadableError
 
-# Time constant with which the mean load of others follows the reported load.
+# Time constant with which the mean load of other limiters follows the reported load.
 LOAD_MEAN_MS = 2_000.0
 # Weight of one answer in the trust in a server's load reports, and the trust below which they are ignored.
 TRUST_WEIGHT = 0.1
@@ -26,6 +26,7 @@
 RESEND_MS = 200.0
 # A peer's report of its requests in flight is valid for this time.
 REPORT_MAX_AGE_MS = 500.0
+# Peers whose reports are stored, and servers in one report, at most.
 MAX_PEERS, MAX_SERVERS = 64, 4_096
 # Steps per request of load in which the expected queue is cached.
 LOAD_STEPS = 8
@@ -57,8 +58,8 @@
 
 
 @define
-class LoadOfOthers:
-    """The load that other limiters cause at a server, in requests: as last reported, and its mean.
+class ReportedLoad:
+    """The load of other limiters at a server, in requests, by the server's reports: the last, and its mean.
 
     ``mean`` is negative until the first report; ``updated_at`` is in ms; ``trust`` is the moving average of
     whether the reports were plausible, from 0 to 1.
@@ -70,18 +71,18 @@
     trust: float = 1.0
 
     def record(
-        self, now: float, running: int, queued: int, slots: int, own: int, relative_duration: float
+        self, now: float, running: int, queued: int, slots: int, own_requests: int, relative_duration: float
     ) -> None:
         """Records the load that a server reported with an answer, and whether it is plausible.
 
-        ``own``: requests of this limiter that are still at the server; ``relative_duration``: the time until
-        that answer as a multiple of the mean service time at this server.
+        ``own_requests``: requests of this limiter that are still at the server; ``relative_duration``: the
+        time until that answer as a multiple of the mean service time at this server.
         """
-        plausible = running + queued >= own and not (queued and running < slots)
+        plausible = running + queued >= own_requests and not (queued and running < slots)
         # An answer can't come this fast behind a long queue.
         plausible = plausible and (queued < 2 * slots or relative_duration > 0.5 * queued / slots)
         self.trust += TRUST_WEIGHT * (plausible - self.trust)
-        load = max(0.0, running + queued - own)
+        load = max(0.0, running + queued - own_requests)
         elapsed = max(0.0, now - self.updated_at)
         self.mean = (
             load
@@ -106,7 +107,7 @@
 
 @define
 class InFlight:
-    """Requests that near peers have in flight at each server, by the newest report of each peer.
+    """Requests that peers have in flight at each server, by the newest report of each peer.
 
     ``reports``: by peer; ``totals``: requests by server.  ``incarnation`` rises with each start of this
     limiter.
--- a/tests/test_balancing.py
+++ b/tests/test_balancing.py
@@ -18,7 +18,7 @@
 from larklb.balancing.choice import CapacityAwareSelector
 from larklb.balancing.errors import UnreadableError
 from larklb.balancing.estimates import Estimate, Estimates, estimate_from_sums
-from larklb.balancing.load import InFlight, LoadOfOthers, divide_limit, expected_queue, max_in_flight
+from larklb.balancing.load import InFlight, ReportedLoad, divide_limit, expected_queue, max_in_flight
 
 
 class AppliesOldMessages(Estimates):
@@ -175,7 +175,7 @@
 
 
 def test_implausible_load_reports_are_ignored() -> None:
-    reported = LoadOfOthers()
+    reported = ReportedLoad()
     for i in range(20):
         reported.record(i * 100.0, 0, 0, 2, 1, 1.0)            # no load, though one request is from here
     assert not reported.trusted()
