--- a/larklb/balancing/choice.py
+++ b/larklb/balancing/choice.py
@@ -378,9 +378,7 @@
             if server.silent or server.probing or now < server.ejected_until:
                 impaired.append(server)
                 continue
-            wait_ms = (
-                expected_queue(known_requests + (known_requests >= slots), others, slots) * server_ms
-            )
+            wait_ms = expected_queue(known_requests + (known_requests >= slots), others, slots) * server_ms
             left_ms = setpoint - wait_ms
             # Probability of missing the setpoint, by the logistic curve closest to the normal distribution.
             miss_probability = (
--- a/larklb/gateway/data_plane.py
+++ b/larklb/gateway/data_plane.py
@@ -197,9 +197,7 @@
                 self.count["refused.quota"] += 1
                 return error_reply(
                     429,
-                    self._retry_after_ms(
-                        request.deadline, max(BASE_RETRY_AFTER_MS, decision.retry_after_ms)
-                    ),
+                    self._retry_after_ms(request.deadline, max(BASE_RETRY_AFTER_MS, decision.retry_after_ms)),
                 )
         # Yields to the event loop once, so that a client close that arrived with the request is noticed
         # before anything is sent.
@@ -222,9 +220,7 @@
         if not active.keys.needed:
             return None, None
         scheme, _, key = headers.get(b"authorization", b"").partition(b" ")
-        tenant = (
-            active.keys.tenant(key.strip().decode("latin-1")) if scheme.lower() == b"bearer" else None
-        )
+        tenant = active.keys.tenant(key.strip().decode("latin-1")) if scheme.lower() == b"bearer" else None
         if tenant is None and not route.unkeyed:
             self.count["no_key"] += 1
             return None, error_reply(401)
