--- a/larklb/cli/lab.py
+++ b/larklb/cli/lab.py
@@ -49,7 +49,7 @@
     from larklb.lab import net
     from larklb.quota.entitlements import Entitlements
     if scenario == "list":
-        print_rows([{"name": s.name, "what": s.words} for s in net.SCENARIOS.values()],
+        print_rows([{"name": s.name, "what": s.description} for s in net.SCENARIOS.values()],
                    ("name", "what"), as_json)
         return
     if scenario not in net.SCENARIOS:
