--- a/larklb/lab/fleet.py
+++ b/larklb/lab/fleet.py
@@ -2,7 +2,8 @@
 
 Limiters are processes of the program.  Each has separate routes to every other (``relay.py``) and to every
 node (``streams.py``), and its own discovery service, so that each can fail independently.  The audit counts
-at nodes and clients and takes no figures from limiters.
+at nodes and clients and takes no figures from limiters.  Times are in s from the start of the run, unless
+stated otherwise.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 from larklb.lab.machines import COLD_SHARE, CRASH_FACTOR, CRASH_WINDOW_S, WARM_S, Cells, Machine
 from larklb.lab.relay import Relay
 from larklb.lab.script import Fault, Script
-from larklb.lab.streams import Streams, Way
+from larklb.lab.streams import NodeRoutes, Route
 from larklb.quota.bucket import TokenBucket
 from larklb.quota.ring import members
 
@@ -34,29 +35,31 @@
 GRACE_S = 0.3              # wait for an answer after the deadline, before the try counts as lost
 LAG_INTERVAL_S = 0.05      # between measurements of the lag of the event loop
 WINDOW_S = 0.5             # step of the figures over time
-ENDS = {429: "refused", 503: "refused", 0: "lost", -1: "unreached", -2: "spoilt"}
+# Outcomes of tries by status; any other status except 200 counts as failed.
+OUTCOMES = {429: "refused", 503: "refused", 0: "lost", -1: "unreached", -2: "spoilt"}
 COLUMNS = ("s", "tries", "in time", "late", "refused", "failed", "unreached", "lost")
-AIMS = {"stock-check": 1500.0, "place-order": 2000.0}        # ms, as in the cluster's settings
-DEADLINES = {"stock-check": 4.0, "place-order": 5.0}         # s
+AIMS_MS = {"stock-check": 1500.0, "place-order": 2000.0}     # as in the cluster's settings
+DEADLINES_S = {"stock-check": 4.0, "place-order": 5.0}
 
 
-def each(act: Callable[[T], object], of: Iterable[T]) -> None:
-    for x in of:
-        act(x)
+def for_each(action: Callable[[T], object], items: Iterable[T]) -> None:
+    """Performs an action on each of the items."""
+    for item in items:
+        action(item)
 
 
 @dataclass
 class Try:
-    """One try of a client and its status.
+    """One request of a client to a limiter.
 
-    Other than HTTP statuses: 0 for no answer, -1 if the limiter was unreachable, -2 for a wrong body.
+    ``status`` is the HTTP status, 0 for no answer, -1 if the limiter was unreachable, or -2 for a wrong body.
     """
 
-    name: str
+    name: str                          # correlation id in hex: 16 times the job's number, plus the retry's
     customer: int
     limiter: int
     service: str
-    submitted_at: float                # s from the start of the run
+    submitted_at: float
     duration_s: float = 0.0
     status: int = 0
 
@@ -67,7 +70,7 @@
 
     tries: list[Try] = field(default_factory=list)
     figures: dict[str, float] = field(default_factory=dict)
-    windows: list[dict[str, Any]] = field(default_factory=list)
+    windows: list[dict[str, Any]] = field(default_factory=list)  # tries and their outcomes per ``WINDOW_S``
     stderr: dict[str, str] = field(default_factory=dict)         # of killed limiters, by name
 
     def violations(self, script: Script) -> list[str]:
@@ -100,51 +103,53 @@
                        "fall": CRASH_WINDOW_S * 1000.0, "drain_grace": 250.0}}
         self.relay = Relay(self.cluster.peers, seed)
         self.relay.loss = script.loss
-        self.streams = Streams(script.limiters, {name: m.port for name, m in self.machines.items()})
+        self.routes = NodeRoutes(script.limiters, {name: m.port for name, m in self.machines.items()})
         # Custody uses TCP links between limiters, at the numbers of their peer ports.
-        linked = "[custody]" in self.cluster.more
-        self.peer_links = {pair: Way(self.cluster.peers[pair[1]], port)
-                      for pair, port in self.relay.ports.items()} if linked else {}
+        uses_links = "[custody]" in self.cluster.more
+        self.peer_links = {pair: Route(self.cluster.peers[pair[1]], port)
+                      for pair, port in self.relay.ports.items()} if uses_links else {}
         self.discoveries = [Discovery() for _ in range(script.limiters)]
-        self.generation = 1
-        self.listed = set(self.machines)
+        self.generation = 1                    # of the node list
+        self.listed_nodes = set(self.machines)
         self.cluster.peers_of = self.relay.peers
         self.cluster.discovery_of = lambda number: self.discoveries[number].port
         self.cluster.entries_of = self.entries
+        # Senders, receivers and lost fraction of the datagrams between them.
         self.partitions: list[tuple[set[int], set[int], float]] = []
         self.relay.cut = self._is_dropped
         self.tasks: set[asyncio.Task[None]] = set()
         self.audit = Audit()
-        self.started_at = 0.0
+        self.started_at = 0.0                  # by the monotonic clock
         self.lag = 0.0                         # s, the largest lag of this process's event loop
 
     # Environment of the limiters ------------------------------------------------------------------
 
     def entries(self, number: int) -> list[dict[str, Any]]:
         """Returns the node list for one limiter, with the addresses of its routes."""
-        return [self._entry(number, name, "up") for name in self.machines if name in self.listed]
+        return [self._entry(number, name, "up") for name in self.machines if name in self.listed_nodes]
 
     def _entry(self, number: int, name: str, lifecycle: str) -> dict[str, Any]:
-        place = f"127.0.0.1:{self.streams.ways[number, name].port}"
-        return self.machines[name].entry(lifecycle) | {"hostPort": place}
+        address = f"127.0.0.1:{self.routes.by_pair[number, name].port}"
+        return self.machines[name].entry(lifecycle) | {"hostPort": address}
 
-    def _list(self, names: list[str], lifecycle: str) -> None:
+    def _publish_nodes(self, names: list[str], lifecycle: str) -> None:
         self.generation += 1
         for number, discovery in enumerate(self.discoveries):
             discovery.publish(self.generation, *(self._entry(number, name, lifecycle) for name in names))
 
-    def _is_dropped(self, sender: int, to: int) -> bool:
-        return any(sender in a and to in b and self.random.random() < part for a, b, part in self.partitions)
+    def _is_dropped(self, sender: int, receiver: int) -> bool:
+        return any(sender in senders and receiver in receivers and self.random.random() < fraction
+                   for senders, receivers, fraction in self.partitions)
 
     async def __aenter__(self) -> Rig:
         try:
             await self.relay.start()
-            await self.streams.start()
-            for wire in self.peer_links.values():
-                await wire.start()
+            await self.routes.start()
+            for link in self.peer_links.values():
+                await link.start()
             for discovery in self.discoveries:
                 await discovery.start()
-            self._list(list(self.machines), "up")
+            self._publish_nodes(list(self.machines), "up")
             await self.cluster.__aenter__()
         except BaseException:
             await asyncio.sleep(1.0)           # other processes may be starting and must be stopped too
@@ -158,11 +163,11 @@
         for limiter in self.cluster.limiters:
             process = limiter.process
             if process is not None and process.returncode is None:
-                process.send_signal(signal.SIGCONT)
+                process.send_signal(signal.SIGCONT)        # paused by a fault that has not ended
         await self.cluster.__aexit__()
         self.relay.stop()
-        self.streams.stop()
-        each(Way.stop, self.peer_links.values())
+        self.routes.stop()
+        for_each(Route.stop, self.peer_links.values())
 
     # Running ------------------------------------------------------------------------------
 
@@ -171,23 +176,27 @@
         return time.monotonic() - self.started_at
 
     async def play(self, watch: Callable[[float], Any] | None = None) -> Audit:
-        """Runs the script and computes the figures; ``watch`` is called with the time every ``WINDOW_S``."""
+        """Runs the script and computes the figures.
+
+        ``watch`` is a function or coroutine function that is called with the time every ``WINDOW_S``.
+        """
         self.started_at = time.monotonic()
-        coroutines = [self._submit(), self._measure_lag()] + [self._fault(f) for f in self.script.fault]
+        coroutines = [self._generate_load(), self._measure_lag()] + [
+            self._run_fault(fault) for fault in self.script.fault]
         if watch is not None:
-            coroutines.append(self._watch(watch))
+            coroutines.append(self._call_periodically(watch))
         await asyncio.gather(*coroutines)
         while self.tasks:
             await asyncio.wait(self.tasks)
-        self._figures()
+        self._compute_figures()
         return self.audit
 
-    async def _watch(self, watch: Callable[[float], Any]) -> None:
+    async def _call_periodically(self, watch: Callable[[float], Any]) -> None:
         while self.now() < self.script.length:
             await asyncio.sleep(WINDOW_S)
-            found = watch(self.now())
-            if asyncio.iscoroutine(found):
-                await found
+            result = watch(self.now())
+            if asyncio.iscoroutine(result):
+                await result
 
     async def _measure_lag(self) -> None:
         while self.now() < self.script.length:
@@ -195,183 +204,198 @@
             await asyncio.sleep(LAG_INTERVAL_S)
             self.lag = max(self.lag, time.monotonic() - before - LAG_INTERVAL_S)
 
-    async def _until(self, at: float) -> None:
-        await asyncio.sleep(max(0.0, at - self.now()))
+    async def _sleep_until(self, time_s: float) -> None:
+        await asyncio.sleep(max(0.0, time_s - self.now()))
 
-    async def _submit(self) -> None:
-        load, at, count = self.script.load, 0.0, 0
-        while (at := at + self.random.expovariate(load.rate)) < self.script.length:
-            await self._until(at)
-            count += 1
+    async def _generate_load(self) -> None:
+        """Starts a client for each job, at random times and without waiting for earlier jobs."""
+        load, submit_at, job_number = self.script.load, 0.0, 0
+        while (submit_at := submit_at + self.random.expovariate(load.rate)) < self.script.length:
+            await self._sleep_until(submit_at)
+            job_number += 1
             customer = self.random.randrange(load.customers)
-            within = members(customer % self.script.limiters, load.spread, self.script.limiters)
-            weights = [load.hot if m == 0 else 1.0 for m in within]
-            order = self.random.choices(within, weights)
-            order += self.random.sample([m for m in within if m != order[0]], len(within) - 1)
+            member_numbers = members(customer % self.script.limiters, load.spread, self.script.limiters)
+            weights = [load.hot if m == 0 else 1.0 for m in member_numbers]
+            limiters = self.random.choices(member_numbers, weights)
+            limiters += self.random.sample(
+                [m for m in member_numbers if m != limiters[0]], len(member_numbers) - 1)
             service = "place-order" if self.random.random() < load.keyed else "stock-check"
-            task = asyncio.ensure_future(self._client(count, customer, order, service))
+            task = asyncio.ensure_future(self._run_client(job_number, customer, limiters, service))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
 
-    async def _client(self, count: int, customer: int, order: list[int], service: str) -> None:
+    async def _run_client(self, job_number: int, customer: int, limiters: list[int], service: str) -> None:
         """Submits one job, retrying at the next limiter of its set as a front proxy does."""
-        until = self.now() + DEADLINES[service]
-        key = f"{count:032x}"
-        for again in range(1 + MAX_RETRIES):
-            left = until - self.now()
-            if left <= 0.05:
+        deadline = self.now() + DEADLINES_S[service]
+        key = f"{job_number:032x}"
+        for retry in range(1 + MAX_RETRIES):
+            time_left = deadline - self.now()
+            if time_left <= 0.05:
                 return
-            tried = Try(f"{count * 16 + again:016x}", customer, order[again % len(order)], service,
-                        self.now())
-            await self._try(tried, left, key, again > 0)
-            self.audit.tries.append(tried)
-            retryable = service == "stock-check" or tried.status in (-1, 429, 503)
-            if tried.status == 200 or not retryable:
+            attempt = Try(f"{job_number * 16 + retry:016x}", customer, limiters[retry % len(limiters)],
+                          service, self.now())
+            await self._send_request(attempt, time_left, key, retry > 0)
+            self.audit.tries.append(attempt)
+            retryable = service == "stock-check" or attempt.status in (-1, 429, 503)
+            if attempt.status == 200 or not retryable:
                 return
             await asyncio.sleep(RETRY_DELAY_S)
 
-    async def _try(self, tried: Try, left: float, key: str, repeat: bool) -> None:
-        text = job(tried.name, tried.service, "wide", tried.customer + 1, left, self.script.load.spread,
-                   tried.customer % self.script.limiters)
-        if tried.service == "place-order":
-            lines = text.split("\r\n")
-            marked = f"Idempotency-Key: {key}" + "\r\nX-Repeat: 1" * repeat
-            text = "\r\n".join(marked if line.startswith("Idempotency-Key") else line for line in lines)
+    async def _send_request(self, attempt: Try, time_left: float, key: str, is_retry: bool) -> None:
+        """Sends a try to its limiter and records its status and duration; an order carries ``key``."""
+        request = job(attempt.name, attempt.service, "wide", attempt.customer + 1, time_left,
+                      self.script.load.spread, attempt.customer % self.script.limiters)
+        if attempt.service == "place-order":
+            lines = request.split("\r\n")
+            key_lines = f"Idempotency-Key: {key}" + "\r\nX-Repeat: 1" * is_retry
+            request = "\r\n".join(
+                key_lines if line.startswith("Idempotency-Key") else line for line in lines)
         try:
-            async with asyncio.timeout(left + GRACE_S):
-                tried.status, _, body = await ask(self.cluster.limiters[tried.limiter].port, text)
-                if tried.status == 200 and not body.startswith(b"done "):
-                    tried.status = -2
+            async with asyncio.timeout(time_left + GRACE_S):
+                attempt.status, _, body = await ask(self.cluster.limiters[attempt.limiter].port, request)
+                if attempt.status == 200 and not body.startswith(b"done "):
+                    attempt.status = -2
         except ConnectionRefusedError:
-            tried.status = -1
+            attempt.status = -1
         except (OSError, TimeoutError, asyncio.IncompleteReadError):
-            limiter = self.cluster.limiters[tried.limiter]
-            dead = limiter.process is None or limiter.process.returncode is not None
-            tried.status = -1 if dead else 0
-        tried.duration_s = self.now() - tried.submitted_at
+            limiter = self.cluster.limiters[attempt.limiter]
+            has_exited = limiter.process is None or limiter.process.returncode is not None
+            attempt.status = -1 if has_exited else 0
+        attempt.duration_s = self.now() - attempt.submitted_at
 
     # Faults -------------------------------------------------------------------------------
 
-    async def _fault(self, f: Fault) -> None:
-        await self._until(f.at)
-        undo = await self._begin(f)
-        if f.lasts:
-            await self._until(f.at + f.lasts)
-            found = undo()
-            if asyncio.iscoroutine(found):
-                await found
-
-    async def _begin(self, f: Fault) -> Callable[[], Any]:
-        """Injects the fault and returns the function that reverts it."""
-        limiters, nodes = self.script.limiters_of(f.who), self.script.nodes_of(f.to)
+    async def _run_fault(self, fault: Fault) -> None:
+        """Injects a fault at its time, and reverts it when it ends."""
+        await self._sleep_until(fault.at)
+        revert = await self._inject_fault(fault)
+        if fault.lasts:
+            await self._sleep_until(fault.at + fault.lasts)
+            result = revert()
+            if asyncio.iscoroutine(result):
+                await result
+
+    async def _inject_fault(self, fault: Fault) -> Callable[[], Any]:
+        """Injects a fault and returns the function or coroutine function that reverts it."""
+        limiters, nodes = self.script.limiters_of(fault.who), self.script.nodes_of(fault.to)
         machines = [self.machines[name] for name in nodes]
-        ways = [self.streams.ways[i, name] for i in limiters for name in nodes]
-        match f.what:
+        routes = [self.routes.by_pair[number, name] for number in limiters for name in nodes]
+        match fault.what:
             case "kill":
-                await asyncio.gather(*(self._kill(self.cluster.limiters[i]) for i in limiters))
-                return lambda: self._start(limiters)
+                await asyncio.gather(*(self._kill_limiter(self.cluster.limiters[i]) for i in limiters))
+                return lambda: self._start_limiters(limiters)
             case "pause":
-                for i in limiters:
-                    self._signal(i, signal.SIGSTOP)
-                return lambda: each(lambda i: self._signal(i, signal.SIGCONT), limiters)
+                for number in limiters:
+                    self._send_signal(number, signal.SIGSTOP)
+                return lambda: for_each(lambda number: self._send_signal(number, signal.SIGCONT), limiters)
             case "apart":
-                some, others = set(limiters), set(self.script.limiters_of(f.to))
-                cuts = [(some, others, f.part)] + ([] if f.one_way else [(others, some, f.part)])
+                one_side, other_side = set(limiters), set(self.script.limiters_of(fault.to))
+                cuts = [(one_side, other_side, fault.part)] + (
+                    [] if fault.one_way else [(other_side, one_side, fault.part)])
                 self.partitions += cuts
-                silent = [wire for (a, b), wire in self.peer_links.items() if f.part >= 1.0 and any(
-                    a in here and b in there for here, there, _ in cuts)]
-                each(lambda wire: wire.set("silent"), silent)
+                # TCP links lose nothing at random: only a complete cut affects them.
+                silenced = [
+                    link for (sender, receiver), link in self.peer_links.items() if fault.part >= 1.0 and any(
+                        sender in senders and receiver in receivers for senders, receivers, _ in cuts)]
+                for_each(lambda link: link.set_state("silent"), silenced)
 
                 def heal() -> None:
-                    each(self.partitions.remove, cuts)
-                    each(lambda wire: wire.set("open"), silent)
+                    for_each(self.partitions.remove, cuts)
+                    for_each(lambda link: link.set_state("open"), silenced)
                 return heal
             case "refused" | "silent":
-                for way in ways:
-                    way.set("refused" if f.what == "refused" else "silent")
-                return lambda: each(lambda way: way.set("open"), ways)
+                for route in routes:
+                    route.set_state("refused" if fault.what == "refused" else "silent")
+                return lambda: for_each(lambda route: route.set_state("open"), routes)
             case "delayed":
-                for way in ways:
-                    way.delay = f.ms / 1000.0
-                return lambda: each(lambda way: setattr(way, "delay", 0.0), ways)
+                for route in routes:
+                    route.delay = fault.ms / 1000.0
+                return lambda: for_each(lambda route: setattr(route, "delay", 0.0), routes)
             case "failing":
-                for m in machines:
-                    m.failing, m.failing_service = True, f.service
-                return lambda: each(lambda m: setattr(m, "failing", False), machines)
+                for machine in machines:
+                    machine.failing, machine.failing_service = True, fault.service
+                return lambda: for_each(lambda machine: setattr(machine, "failing", False), machines)
             case "slow":
-                for m in machines:
-                    m.work_factor = f.times
-                return lambda: each(lambda m: setattr(m, "work_factor", 1.0), machines)
+                for machine in machines:
+                    machine.work_factor = fault.times
+                return lambda: for_each(lambda machine: setattr(machine, "work_factor", 1.0), machines)
             case "restart":
-                routes = [way for (_, name), way in self.streams.ways.items() if name in nodes]
-                for way in routes:
-                    way.set("refused")
-                return lambda: self._return(nodes, routes)
+                node_routes = [route for (_, name), route in self.routes.by_pair.items() if name in nodes]
+                for route in node_routes:
+                    route.set_state("refused")
+                return lambda: self._restart_nodes(nodes, node_routes)
             case "unlisted":
-                self.listed -= set(nodes)
-                self._list(nodes, "draining")
-                return lambda: self._relist(nodes)
+                self.listed_nodes -= set(nodes)
+                self._publish_nodes(nodes, "draining")
+                return lambda: self._relist_nodes(nodes)
             case "deaf":
-                for i in limiters:
-                    self.discoveries[i].muted = True
-                return lambda: each(self._unmute, limiters)
+                for number in limiters:
+                    self.discoveries[number].muted = True
+                return lambda: for_each(self._resume_discovery, limiters)
 
-    async def _kill(self, limiter: Limiter) -> None:
+    async def _kill_limiter(self, limiter: Limiter) -> None:
         await limiter.stop(signal.SIGKILL)
         self.audit.stderr[limiter.name] = self.audit.stderr.get(limiter.name, "") + limiter.errors.decode()
 
-    async def _start(self, numbers: list[int]) -> None:
+    async def _start_limiters(self, numbers: list[int]) -> None:
         await asyncio.gather(*(self.cluster.limiters[i].start() for i in numbers))
 
-    def _signal(self, number: int, name: signal.Signals) -> None:
+    def _send_signal(self, number: int, signal_number: signal.Signals) -> None:
         process = self.cluster.limiters[number].process
         if process is not None:
             with suppress(ProcessLookupError):
-                process.send_signal(name)
+                process.send_signal(signal_number)
 
-    def _return(self, nodes: list[str], ways: list[Any]) -> None:
+    def _restart_nodes(self, nodes: list[str], routes: list[Any]) -> None:
         for name in nodes:
             self.machines[name].restart()
-        for way in ways:
-            way.set("open")
-        self._list(nodes, "up")
+        for route in routes:
+            route.set_state("open")
+        self._publish_nodes(nodes, "up")
 
-    def _relist(self, nodes: list[str]) -> None:
-        self.listed |= set(nodes)
-        self._list(nodes, "up")
+    def _relist_nodes(self, nodes: list[str]) -> None:
+        self.listed_nodes |= set(nodes)
+        self._publish_nodes(nodes, "up")
 
-    def _unmute(self, number: int) -> None:
+    def _resume_discovery(self, number: int) -> None:
         """Closes the watches of a limiter; the ones that it opens next deliver what it missed."""
         self.discoveries[number].muted = False
         self.discoveries[number].disconnect_watchers()
 
     # Figures ------------------------------------------------------------------------
 
-    def _figures(self) -> None:
+    def _compute_figures(self) -> None:
+        """Computes the figures of the whole run and those of each window.
+
+        The keys of the figures are printed, and scripts state their bounds.
+        """
         audit, script = self.audit, self.script
-        ends = Counter(self._end(t) for t in audit.tries)
+        outcomes = Counter(self._outcome(attempt) for attempt in audit.tries)
         jobs: dict[int, list[Try]] = defaultdict(list)
-        for t in audit.tries:
-            jobs[int(t.name, 16) // 16].append(t)
-        good = sum(any(self._end(t) == "in time" for t in ts) for ts in jobs.values())
-        reached: dict[str, float] = {}
+        for attempt in audit.tries:
+            jobs[int(attempt.name, 16) // 16].append(attempt)
+        served_in_time = sum(
+            any(self._outcome(attempt) == "in time" for attempt in attempts) for attempts in jobs.values())
+        # By correlation id: when the first node accepted the try, by the monotonic clock.
+        first_accepted_at: dict[str, float] = {}
         sends = 0
-        for m in self.machines.values():
-            sends += len(m.accepted)
-            for at, name in m.accepted:
-                reached[name] = min(at, reached.get(name, at))
-        opened = self.streams.opened()
+        for machine in self.machines.values():
+            sends += len(machine.accepted)
+            for accepted_at, name in machine.accepted:
+                first_accepted_at[name] = min(accepted_at, first_accepted_at.get(name, accepted_at))
+        opened = self.routes.opened()
         self.audit.figures = {
-            "jobs": len(jobs), "tries": len(audit.tries), "served": good / max(1, len(jobs)),
-            "refused": ends["refused"] / max(1, len(audit.tries)),
-            "failed": ends["failed"] / max(1, len(audit.tries)), "lost": ends["lost"],
-            "orders": sum(any(self._end(t) in ("in time", "late") for t in ts) for ts in jobs.values()
-                          if ts[0].service == "place-order") / max(1, sum(
-                              ts[0].service == "place-order" for ts in jobs.values())),
-            "spoilt": ends["spoilt"], "twice": len(self.cells.executed_twice()),
+            "jobs": len(jobs), "tries": len(audit.tries), "served": served_in_time / max(1, len(jobs)),
+            "refused": outcomes["refused"] / max(1, len(audit.tries)),
+            "failed": outcomes["failed"] / max(1, len(audit.tries)), "lost": outcomes["lost"],
+            "orders": sum(any(self._outcome(attempt) in ("in time", "late") for attempt in attempts)
+                          for attempts in jobs.values()
+                          if attempts[0].service == "place-order") / max(1, sum(
+                              attempts[0].service == "place-order" for attempts in jobs.values())),
+            "spoilt": outcomes["spoilt"], "twice": len(self.cells.executed_twice()),
             "wasted": sum(m.failed for m in self.machines.values()), "sends": sends,
             # Attempts beyond the first for each try that reached a node.
-            "further": sends / len(reached) - 1.0 if reached else 0.0,
+            "further": sends / len(first_accepted_at) - 1.0 if first_accepted_at else 0.0,
             "turned away": sum(m.rejected for m in self.machines.values()),
             "fallen": sum(m.crashes for m in self.machines.values()),
             "at once": max(m.max_concurrent_requests for m in self.machines.values()),
@@ -379,33 +403,35 @@
             "cold times": max(m.max_cold_load for m in self.machines.values()),
             "opened": sum(opened.values()), "opened a try": sum(opened.values()) / max(1, len(audit.tries)),
             "p50 ms": 1000 * statistics.median(
-                [t.duration_s for t in audit.tries if t.status == 200] or [0.0]),
-            "over": self._max_excess(reached), "messages": self.relay.forwarded,
+                [attempt.duration_s for attempt in audit.tries if attempt.status == 200] or [0.0]),
+            "over": self._max_excess(first_accepted_at), "messages": self.relay.forwarded,
             "messages a try": self.relay.forwarded / max(1, len(audit.tries))}
-        steps = round(script.length / WINDOW_S)
-        for n in range(steps):
-            submitted = [t for t in audit.tries if n <= t.submitted_at / WINDOW_S < n + 1]
-            found = Counter(self._end(t) for t in submitted)
-            audit.windows.append({"s": n * WINDOW_S, "tries": len(submitted), **found})
+        window_count = round(script.length / WINDOW_S)
+        for window in range(window_count):
+            submitted = [attempt for attempt in audit.tries
+                         if window <= attempt.submitted_at / WINDOW_S < window + 1]
+            window_outcomes = Counter(self._outcome(attempt) for attempt in submitted)
+            audit.windows.append({"s": window * WINDOW_S, "tries": len(submitted), **window_outcomes})
 
     @staticmethod
-    def _end(t: Try) -> str:
-        if t.status == 200:
-            return "in time" if t.duration_s * 1000.0 <= AIMS[t.service] else "late"
-        return ENDS.get(t.status, "failed")
+    def _outcome(attempt: Try) -> str:
+        if attempt.status == 200:
+            return "in time" if attempt.duration_s * 1000.0 <= AIMS_MS[attempt.service] else "late"
+        return OUTCOMES.get(attempt.status, "failed")
 
-    def _max_excess(self, reached: dict[str, float]) -> float:
+    def _max_excess(self, first_accepted_at: dict[str, float]) -> float:
         """Returns the largest excess in units of a customer's accepted jobs over an ideal token bucket."""
         load, max_excess = self.script.load, 0.0
         if not load.quota:
             return 0.0
-        by_name = {t.name: t for t in self.audit.tries}
+        by_name = {attempt.name: attempt for attempt in self.audit.tries}
         for customer in range(load.customers):
             # The ideal bucket may go below zero, and its deficit is the excess.
             bucket = TokenBucket(load.quota, load.burst, load.burst, 0.0)
-            accepted = sorted(at for name, at in reached.items() if by_name[name].customer == customer)
-            for at in accepted:
-                bucket.fill(at * 1000.0)
+            accepted = sorted(accepted_at for name, accepted_at in first_accepted_at.items()
+                              if by_name[name].customer == customer)
+            for accepted_at in accepted:
+                bucket.fill(accepted_at * 1000.0)
                 bucket.tokens -= 1.0
                 max_excess = max(max_excess, -bucket.tokens)
         return max_excess
--- a/tests/test_custody.py
+++ b/tests/test_custody.py
@@ -444,7 +444,7 @@
             waits = asyncio.ensure_future(orders.order(0, "b" * 32, 2))
             await asyncio.sleep(0.35)
             cut = script.Fault(at=0.0, what="apart", who=("n0",), to=("n1", "n2", "n3", "n4", "n5"))
-            heal = await rig._begin(cut)
+            heal = await rig._inject_fault(cut)
             there = asyncio.ensure_future(orders.order_with_retries(3, "a" * 32, 3))
             here = asyncio.ensure_future(orders.order(0, "b" * 32, 4, repeat=True))
             ends = [status for status, _ in await asyncio.gather(first_try, waits, there, here)]
--- a/tests/test_lab_fleet.py
+++ b/tests/test_lab_fleet.py
@@ -37,7 +37,7 @@
 
 
 def outcomes_of(audit: Audit, numbers: set[int], since: float, until: float) -> list[str]:
-    return [Rig._end(t) for t in audit.tries if t.limiter in numbers and since <= t.submitted_at < until]
+    return [Rig._outcome(t) for t in audit.tries if t.limiter in numbers and since <= t.submitted_at < until]
 
 
 @pytest.mark.parametrize("name", ["calm", "one-class", "all-slow", "new-list", "hot-limiter"])
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -547,7 +547,7 @@
     audit, seen = watched("zone-cut", tmp_path)
     assert away(seen, 3.0, 8.0) >= {0, 2, 3, 5}
     assert not away(seen, 3.0, 7.0) & {1, 4}, "inside they are served there"
-    inside = [Rig._end(t) for t in audit.tries if t.limiter in (1, 4) and 3.5 <= t.submitted_at < 6.5]
+    inside = [Rig._outcome(t) for t in audit.tries if t.limiter in (1, 4) and 3.5 <= t.submitted_at < 6.5]
     assert len(inside) > 40 and inside.count("in time") >= 0.85 * len(inside)
     assert back(seen) == set(range(6))
 
