--- a/benchmarks/fleet_limits.py
+++ b/benchmarks/fleet_limits.py
@@ -166,51 +166,55 @@
     with multiprocessing.Pool() as pool:
         sizes = (3, 4, 32, 200) if args.quick else (3, 4, 9, 32, 200, 500)
         losses = (0.02, 0.2) if args.quick else (0.0, 0.02, 0.065, 0.2, 0.3)
-        jobs = [(n, loss, seed, False) for n, loss in itertools.product(sizes, losses)
+        jobs = [(limiters, loss, seed, False) for limiters, loss in itertools.product(sizes, losses)
                 for seed in range(1, seeds + 1)]
         ages_by_job = dict(zip(jobs, pool.map(ages, jobs, chunksize=1), strict=True))
         print("\nage of a verdict, ms      median  stated   99.9%  stated  bytes a message")
-        for n, loss in itertools.product(sizes, losses):
-            by_seed = [ages_by_job[n, loss, seed, False] for seed in range(1, seeds + 1)]
+        for limiters, loss in itertools.product(sizes, losses):
+            by_seed = [ages_by_job[limiters, loss, seed, False] for seed in range(1, seeds + 1)]
             median, most = max(a.median for a in by_seed), max(a.most for a in by_seed)
-            stated = bound.age(n, loss)
-            print(f"{n:4} limiters, {loss:5.1%} lost  {median:6.0f}  {stated.median:6.0f}  {most:6.0f}  "
+            stated = bound.age(limiters, loss)
+            print(f"{limiters:4} limiters, {loss:5.1%} lost  "
+                  f"{median:6.0f}  {stated.median:6.0f}  {most:6.0f}  "
                   f"{stated.tail:6.0f}  {statistics.mean(a.bytes for a in by_seed):5.0f}")
             if median > stated.median or most > stated.tail:
-                violations.append(f"the age of verdicts for {n} limiters and {loss:.1%} lost")
-        former_ages = pool.map(ages, [(n, 0.02, 1, True) for n in sizes])
+                violations.append(f"the age of verdicts for {limiters} limiters and {loss:.1%} lost")
+        former_ages = pool.map(ages, [(limiters, 0.02, 1, True) for limiters in sizes])
         print("bytes a message as before: "
-              + ", ".join(f"{n} limiters {a.bytes:.0f}" for n, a in zip(sizes, former_ages, strict=True)))
+              + ", ".join(f"{limiters} limiters {a.bytes:.0f}"
+                          for limiters, a in zip(sizes, former_ages, strict=True)))
         print("\none limiter calls eight good nodes bad: pairs of limiter and node condemned, before and now")
-        for n in (4, 32, 200):
-            former, present = condemned(n, True), condemned(n, False)
-            print(f"{n:4} limiters  {former:5}  {present:5}")
+        for limiters in (4, 32, 200):
+            former, present = condemned(limiters, True), condemned(limiters, False)
+            print(f"{limiters:4} limiters  {former:5}  {present:5}")
             if present:
-                violations.append(f"{present} condemned on the word of one of {n}")
+                violations.append(f"{present} condemned on the word of one of {limiters}")
         print("\nlimiters that send to a server: fewest, mean, most")
-        for n, servers in ((9, 40), (32, 60), (60, 60), (200, 106), (200, 200), (500, 200)):
-            smallest, mean, largest = reaches(n, servers)
-            print(f"{n:4} limiters, {servers:3} servers  {smallest:3}  {mean:5.1f}  {largest:3}")
+        for limiters, servers in ((9, 40), (32, 60), (60, 60), (200, 106), (200, 200), (500, 200)):
+            smallest, mean, largest = reaches(limiters, servers)
+            print(f"{limiters:4} limiters, {servers:3} servers  {smallest:3}  {mean:5.1f}  {largest:3}")
             if smallest < 1 or largest > 1.5 * mean + 1:
-                violations.append(f"the spread of {n} limiters over {servers} servers")
+                violations.append(f"the spread of {limiters} limiters over {servers} servers")
         print(f"\nwait for a word on the quota, {LOSS:.1%} lost, {RATE:g} tries a second at each limiter")
         print("                 mean ms  over 500 ms  messages a s  bytes a try  lost for room  CPU us a try")
         fleets = (4, 60) if args.quick else (4, 60, 200)
-        runs = [(n, uniform, seed) for n in fleets for uniform in (True, False)
+        runs = [(limiters, uniform, seed) for limiters in fleets for uniform in (True, False)
                 for seed in range(1, seeds + 1)]
         rows = dict(zip(runs, pool.map(waits, runs, chunksize=1), strict=True))
     cpu_us_by_size: dict[int, float] = {}
-    for n, uniform in itertools.product(fleets, (True, False)):
-        fleet_by_seed = [rows[n, uniform, seed] for seed in range(1, seeds + 1)]
+    for limiters, uniform in itertools.product(fleets, (True, False)):
+        fleet_by_seed = [rows[limiters, uniform, seed] for seed in range(1, seeds + 1)]
         means = Wait(*(statistics.mean(values) for values in zip(*fleet_by_seed, strict=True)))
-        print(f"{n:4} limiters, {'before' if uniform else 'now   '}  {means.mean:6.1f}  {means.late:10.2%}  "
+        print(f"{limiters:4} limiters, {'before' if uniform else 'now   '}  "
+              f"{means.mean:6.1f}  {means.late:10.2%}  "
               f"{means.messages:11.1f}  {means.bytes:11.1f}  {means.overflown:11.1f}  {means.cpu_us:11.0f}")
         if not uniform:
-            cpu_us_by_size[n] = means.cpu_us
+            cpu_us_by_size[limiters] = means.cpu_us
             if means.mean > 80.0 or means.late > 0.01:
-                violations.append(f"the wait for a word at {n} limiters")
+                violations.append(f"the wait for a word at {limiters} limiters")
     print("CPU a try, of that with 4 limiters: "
-          + ", ".join(f"{n}: {cpu_us / cpu_us_by_size[4]:.2f}" for n, cpu_us in cpu_us_by_size.items()))
+          + ", ".join(f"{limiters}: {cpu_us / cpu_us_by_size[4]:.2f}"
+                      for limiters, cpu_us in cpu_us_by_size.items()))
     print("within the bound" if not violations else "not within the bound: " + "; ".join(violations))
     return 1 if violations else 0
 
--- a/larklb/cli/lab.py
+++ b/larklb/cli/lab.py
@@ -77,13 +77,13 @@
 
     from larklb.lab import fleet, script
     if scenario == "list":
-        print_rows(script.names(), ("name", "what"), as_json)
+        print_rows(script.builtin_scenarios(), ("name", "what"), as_json)
         return
     try:
         day = script.load(scenario)
         if limiters:
             day = msgspec.structs.replace(day, limiters=limiters)
-        if why := day.checked():
+        if why := day.find_inconsistency():
             raise script.ScriptError(f"{scenario}: {why}")
     except script.ScriptError as error:
         raise exit_error(error) from error
--- a/larklb/lab/example.py
+++ b/larklb/lab/example.py
@@ -10,7 +10,8 @@
 
 from larklb.lab.cluster import ExecuteNode, configuration, free_port
 
-# First port of the example.
+# First port of the example.  Offsets: instances from 0 on (HTTP), 10 (messages between them) and 20 (gRPC);
+# discovery 30; execute nodes from 31 on.
 FIRST_PORT = 18100
 INSTANCES, NODES = 3, 3
 PLANS = [{"name": "taller", "quota_rate": 1.4, "depth": 7.0, "pays": 1.1},
@@ -71,39 +72,42 @@
 """
 
 
-def write(folder: Path, base: int = FIRST_PORT) -> Path:
-    """Writes all files of the example with ports from ``base`` on; returns the operator's file."""
+def write(folder: Path, first_port: int = FIRST_PORT) -> Path:
+    """Writes all files of the example with ports from ``first_port`` on; returns the operator's file."""
     folder.mkdir(parents=True, exist_ok=True)
-    nodes = [node.entry() for node in execute_nodes(base)]
-    peers = [base + 10 + i for i in range(INSTANCES)]
+    nodes = [node.entry() for node in execute_nodes(first_port)]
+    peers = [first_port + 10 + number for number in range(INSTANCES)]
     text = OPERATOR
-    for i in range(INSTANCES):
-        config = configuration(i, base + i, base + 30, peers, nodes, PLANS, seed=i + 1)
-        (folder / f"n{i}.json").write_text(json.dumps(config, indent=1) + "\n")
-        text += (f'[[instance]]\nname = "n{i}"\nconfig = "n{i}.json"\ngrpc = "127.0.0.1:{base + 20 + i}"\n'
-                 f'admin = "var/n{i}.sock"\n\n')
+    for number in range(INSTANCES):
+        config = configuration(
+            number, first_port + number, first_port + 30, peers, nodes, PLANS, seed=number + 1)
+        (folder / f"n{number}.json").write_text(json.dumps(config, indent=1) + "\n")
+        text += (f'[[instance]]\nname = "n{number}"\nconfig = "n{number}.json"\n'
+                 f'grpc = "127.0.0.1:{first_port + 20 + number}"\n'
+                 f'admin = "var/n{number}.sock"\n\n')
     (folder / "plans.toml").write_text(CATALOGUE)
     operator = folder / "operator.toml"
     operator.write_text(text.rstrip() + "\n")
     return operator
 
 
-def execute_nodes(base: int) -> list[ExecuteNode]:
+def execute_nodes(first_port: int) -> list[ExecuteNode]:
     """Returns the execute nodes of the example, which are not started."""
-    return [ExecuteNode(f"s-{i}", cell=i % 2, port=base + 31 + i) for i in range(NODES)]
+    return [ExecuteNode(f"s-{number}", cell=number % 2, port=first_port + 31 + number)
+            for number in range(NODES)]
 
 
 def free_first_port() -> int:
     """Returns the first port of the example, or of another range if one of its ports is in use."""
     import socket
-    base = FIRST_PORT
+    first_port = FIRST_PORT
     while True:
         try:
-            for port in range(base, base + 40):
+            for port in range(first_port, first_port + 40):
                 for socket_type in (socket.SOCK_STREAM, socket.SOCK_DGRAM):
                     with socket.socket(socket.AF_INET, socket_type) as probe:
                         probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
                         probe.bind(("127.0.0.1", port))
-            return base
+            return first_port
         except OSError:
-            base = free_port()
+            first_port = free_port()
--- a/larklb/lab/fleet.py
+++ b/larklb/lab/fleet.py
@@ -107,7 +107,7 @@
         # Custody uses TCP links between limiters, at the numbers of their peer ports.
         uses_links = "[custody]" in self.cluster.more
         self.peer_links = {pair: Route(self.cluster.peers[pair[1]], port)
-                      for pair, port in self.relay.ports.items()} if uses_links else {}
+                      for pair, port in self.relay.relay_ports.items()} if uses_links else {}
         self.discoveries = [Discovery() for _ in range(script.limiters)]
         self.generation = 1                    # of the node list
         self.listed_nodes = set(self.machines)
--- a/larklb/lab/machines.py
+++ b/larklb/lab/machines.py
@@ -22,24 +22,29 @@
     """Idempotency keys that have been executed, by cell: the nodes of one cell share them."""
 
     def __init__(self) -> None:
-        self.ran: dict[int, dict[str, bytes]] = {}
-        self.executions: dict[str, int] = {}
-
-    def first(self, cell: int, key: str, answer: bytes) -> bytes:
-        """Returns the answer of the key's first execution in its cell, and counts that execution once."""
-        ran = self.ran.setdefault(cell, {})
-        if key not in ran:
-            ran[key] = answer
+        self.answers: dict[int, dict[str, bytes]] = {}         # by cell and key
+        self.executions: dict[str, int] = {}                   # number of cells that executed a key
+
+    def record_execution(self, cell: int, key: str, answer: bytes) -> bytes:
+        """Records an execution and returns the answer of the key's first execution in its cell."""
+        answers = self.answers.setdefault(cell, {})
+        if key not in answers:
+            answers[key] = answer
             self.executions[key] = self.executions.get(key, 0) + 1
-        return ran[key]
+        return answers[key]
 
     def executed_twice(self) -> list[str]:
         """Returns the keys that were executed in more than one cell."""
-        return [key for key, n in self.executions.items() if n > 1]
+        return [key for key, count in self.executions.items() if count > 1]
 
 
 class Machine(ExecuteNode):
-    """One execute node; ``accepted`` holds the time and the id of each request that it accepted."""
+    """One execute node; ``accepted`` holds the time and the id of each request that it accepted.
+
+    Times are in s by the monotonic clock.  ``work`` is the mean service time in ms on a core of a warm node,
+    ``work_factor`` a factor on it, and ``failing`` makes the node answer 500: only to ``failing_service``,
+    if that is set.
+    """
 
     def __init__(self, number: int, zone: str, cores: int, work: float, cells: Cells, seed: int) -> None:
         super().__init__(f"s{number}", cell=number % 3)
@@ -47,13 +52,13 @@
         self.random = random.Random(seed * 7919 + number)
         self.started = -1e9                            # long ago, so warm
         self.failing, self.failing_service, self.work_factor = False, "", 1.0
-        self.down = False
-        self.busy, self.waiting = 0, 0
+        self.down = False                              # after a crash, until ``restart``
+        self.busy, self.waiting = 0, 0                 # cores in use, and requests that wait for one
         self.core_free = asyncio.Condition()
         self.arrivals: deque[float] = deque()
         self.accepted: list[tuple[float, str]] = []
         self.rejected = self.failed = self.crashes = 0
-        self.max_cold_load = 0.0                          # largest load while cold, relative to its capacity
+        self.max_cold_load = 0.0                       # largest load while cold, relative to its capacity
         self.reply = self._reply
 
     def entry(self, lifecycle: str = "up") -> dict[str, Any]:
@@ -87,14 +92,14 @@
         self._check_overload(now)
         if self.down:
             return None
-        name, key = headers["x-correlation-id"], headers.get("idempotency-key", "")
+        request_id, key = headers["x-correlation-id"], headers.get("idempotency-key", "")
         if self.waiting * self.work / 1000.0 / self.cores > MAX_QUEUE_S:
             self.rejected += 1
             return http(503, b"", "X-Unprocessed: 1")
-        self.accepted.append((now, name))
+        self.accepted.append((now, request_id))
         # Only the path names the class, and ExecuteNode drops it; only orders have a key.
-        kind = "place-order" if key else "stock-check"
-        if self.failing and self.failing_service in ("", kind):
+        service = "place-order" if key else "stock-check"
+        if self.failing and self.failing_service in ("", service):
             self.failed += 1
             return http(500)
         async with self.core_free:
@@ -111,7 +116,7 @@
             async with self.core_free:
                 self.busy -= 1
                 self.core_free.notify()
-        answer = http(200, b"done " + name.encode())
+        answer = http(200, b"done " + request_id.encode())
         if key:
-            self.cells.first(self.cell, key, answer)
+            self.cells.record_execution(self.cell, key, answer)
         return answer
--- a/larklb/lab/script.py
+++ b/larklb/lab/script.py
@@ -1,7 +1,8 @@
 """Scenario files of the fleet rig in TOML: the size of the fleet, its load, its faults and expected figures.
 
-Patterns select the targets of a fault: ``n3`` or ``n*`` are limiters, ``s2`` or ``s*`` are nodes, and ``@a``
-is everything in zone ``a``.  Limiters and nodes are assigned to the zones in turn.
+The fields of the structs are the keys of these files.  Patterns select the targets of a fault: ``n3`` or
+``n*`` are limiters, ``s2`` or ``s*`` are nodes, and ``@a`` is everything in zone ``a``.  Limiters and nodes
+are assigned to the zones in turn.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 import msgspec
 
 SCENARIOS_DIR = Path(__file__).parent / "scenarios"
-What = Literal["kill", "pause", "apart", "refused", "silent", "delayed", "failing", "slow", "restart",
+FaultKind = Literal["kill", "pause", "apart", "refused", "silent", "delayed", "failing", "slow", "restart",
                "unlisted", "deaf"]
 
 
@@ -25,7 +26,8 @@
     """The load: ``rate`` jobs per second over the whole fleet from ``customers`` customers.
 
     Each customer uses a set of ``spread`` limiters, of which ``n0`` receives ``hot`` times as many jobs as
-    any other.  The fraction ``keyed`` of the jobs are orders with an idempotency key.
+    any other.  The fraction ``keyed`` of the jobs are orders with an idempotency key; the others are stock
+    checks, which may be repeated.
     """
 
     rate: float = 80.0
@@ -34,7 +36,7 @@
     hot: float = 1.0
     keyed: float = 0.2
     quota: float = 0.0         # units per second of a customer; 0: above its demand
-    burst: float = 4.0
+    burst: float = 4.0         # units; without effect unless ``quota`` is set
 
 
 class Fault(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
@@ -53,7 +55,7 @@
     """
 
     at: float
-    what: What
+    what: FaultKind
     lasts: float = 0.0
     who: tuple[str, ...] = ("n*",)
     to: tuple[str, ...] = ("s*",)
@@ -65,9 +67,9 @@
 
 
 class Script(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """A scenario; ``expect`` holds the lower and upper bounds of its figures."""
+    """A scenario; ``expect`` holds the lower and upper bounds of its figures by name (see ``fleet.py``)."""
 
-    words: str
+    words: str                             # description in one line
     limiters: int = 6
     nodes: int = 9
     zones: tuple[str, ...] = ("a", "b", "c")
@@ -94,23 +96,24 @@
         return [f"s{i}" for i in range(self.nodes) if self._matches(f"s{i}", i, patterns)]
 
     def _matches(self, name: str, number: int, patterns: tuple[str, ...]) -> bool:
-        return any(fnmatch.fnmatchcase(name, p) or p == f"@{self.zone(number)}" for p in patterns)
+        return any(fnmatch.fnmatchcase(name, pattern) or pattern == f"@{self.zone(number)}"
+                   for pattern in patterns)
 
-    def checked(self) -> str:
-        """Returns the first inconsistency found, in one line, or an empty string."""
+    def find_inconsistency(self) -> str:
+        """Returns the first inconsistency of the scenario in one line, or an empty string."""
         if not (1 <= self.limiters <= 32 and 1 <= self.nodes <= 64 and self.zones and 0 < self.length <= 600):
             return "1 to 32 limiters, 1 to 64 nodes, a zone and a length of 600 s at most are needed"
-        x = self.load
-        if not (0 < x.rate <= 1000 and 1 <= x.customers and 1 <= x.spread <= self.limiters):
+        load = self.load
+        if not (0 < load.rate <= 1000 and 1 <= load.customers and 1 <= load.spread <= self.limiters):
             return "load: the figures make no sense"
-        for f in self.fault:
-            if not (0 <= f.at <= self.length and f.lasts >= 0 and 0 <= f.part <= 1):
-                return f"fault {f.what}: it does not lie within the day"
-            limiters = f.what in ("kill", "pause", "apart", "refused", "silent", "delayed", "deaf")
-            nodes = f.what in ("refused", "silent", "delayed", "failing", "slow", "restart", "unlisted")
-            if (limiters and not self.limiters_of(f.who) or nodes and not self.nodes_of(f.to)
-                    or f.what == "apart" and not self.limiters_of(f.to)):
-                return f"fault {f.what}: it meets nobody"
+        for fault in self.fault:
+            if not (0 <= fault.at <= self.length and fault.lasts >= 0 and 0 <= fault.part <= 1):
+                return f"fault {fault.what}: it does not lie within the day"
+            limiters = fault.what in ("kill", "pause", "apart", "refused", "silent", "delayed", "deaf")
+            nodes = fault.what in ("refused", "silent", "delayed", "failing", "slow", "restart", "unlisted")
+            if (limiters and not self.limiters_of(fault.who) or nodes and not self.nodes_of(fault.to)
+                    or fault.what == "apart" and not self.limiters_of(fault.to)):
+                return f"fault {fault.what}: it meets nobody"
         return ""
 
 
@@ -123,11 +126,12 @@
         raise ScriptError(f"{name}: {error.strerror}") from error
     except (msgspec.DecodeError, ValueError) as error:
         raise ScriptError(f"{name}: {str(error).splitlines()[0]}") from error
-    if problem := script.checked():
+    if problem := script.find_inconsistency():
         raise ScriptError(f"{name}: {problem}")
     return script
 
 
-def names() -> list[dict[str, Any]]:
+def builtin_scenarios() -> list[dict[str, Any]]:
     """Returns the name and description of each built-in scenario."""
-    return [{"name": p.stem, "what": load(p.stem).words} for p in sorted(SCENARIOS_DIR.glob("*.toml"))]
+    return [{"name": path.stem, "what": load(path.stem).words}
+            for path in sorted(SCENARIOS_DIR.glob("*.toml"))]
--- a/larklb/lab/spread.py
+++ b/larklb/lab/spread.py
@@ -2,7 +2,8 @@
 
 Each limiter asks its neighbours as in service, so that inbox capacity is used; the findings that are
 piggybacked on these messages come from the program's own ``fleet/outbox.py``.  The simulated network loses
-and delays messages, and an inbox accepts a limited number of messages per second.
+and delays messages, and an inbox accepts a limited number of messages per second.  Times are in ms from the
+start, unless stated otherwise.
 """
 
 from __future__ import annotations
@@ -21,6 +22,8 @@
 from larklb.quota.entitlements import Entitlements
 from larklb.quota.fallback import Fallback
 
+# Settings of the limiters: target of a request, resolution of timers, messages per second that a limiter
+# accepts, and half-life of a finding.
 AIM_MS, TICK_MS, INBOX_PER_S, HALF_LIFE_MS = 1500.0, 4.0, 60.0, 4000.0
 # Bounds of the delay of a message, as the operators state them.
 MESSAGE_DELAY_MS = (1.0, 39.0)
@@ -35,6 +38,7 @@
 FAULT_DURATION_MS = 6000.0
 TOPIC = 1
 VerdictsFactory = Callable[[int, int, float], Verdicts]
+"""Creates the verdicts of a limiter from its number, the number of limiters and the half-life in ms."""
 
 
 @dataclass
@@ -45,8 +49,8 @@
     pace: PeerPacer
     verdicts: Verdicts
     outbox: Outbox
-    last_heard_at: dict[int, float] = field(default_factory=dict)
-    inbox: deque[float] = field(default_factory=deque)
+    last_heard_at: dict[int, float] = field(default_factory=dict)          # by sender
+    inbox: deque[float] = field(default_factory=deque)         # arrival times of the last second
 
 
 class UnboundedGossip(Verdicts):
@@ -61,10 +65,12 @@
         self.quorum, self.sends_per_finding = 1, 1 << 30
 
     def has_severe_unsent(self, now: float) -> bool:
+        """Returns False, so that no message is sent for the sake of a finding."""
         return False
 
-    def findings_for(self, now: float, peer: int, most: int) -> Iterator[Finding]:
-        for name, observer in list(reversed(self.unsent))[:most]:
+    def findings_for(self, now: float, peer: int, limit: int) -> Iterator[Finding]:
+        """Yields up to ``limit`` findings, the newest first, also those that the peer received before."""
+        for name, observer in list(reversed(self.unsent))[:limit]:
             stored = self.findings[name][observer]
             yield Finding(*name, stored.slowness, now - stored.at, observer, stored.stamp)
 
@@ -72,15 +78,17 @@
 class Fleet:
     """A fleet of limiters in simulated time.
 
-    ``ages`` holds, for each subject and limiter, the milliseconds from the second observer's finding to the
-    limiter's verdict.
+    ``loss`` is the fraction of lost messages, and ``is_cut`` maps a time, a sender and a receiver to whether
+    the link between them is cut.  ``ages`` holds, for each subject and limiter, the milliseconds from the
+    second observer's finding to the limiter's verdict.
     """
 
-    def __init__(self, limiters: int, loss: float, seed: int, make: VerdictsFactory = Verdicts,
-                 cut: Callable[[float, int, int], bool] = lambda now, a, b: False) -> None:
-        self.count, self.loss, self.cut = limiters, loss, cut
+    def __init__(self, limiters: int, loss: float, seed: int, make_verdicts: VerdictsFactory = Verdicts,
+                 is_cut: Callable[[float, int, int], bool] = lambda now, sender, receiver: False) -> None:
+        self.count, self.loss, self.is_cut = limiters, loss, is_cut
         self.random = random.Random(seed)
-        self.now, self.order = 0.0, 0
+        self.now, self.scheduled_count = 0.0, 0
+        # A heap of times, sequence numbers and actions.
         self.queue: list[tuple[float, int, Callable[[], object]]] = []
         self.messages = self.bytes = self.asks = self.inbox_overflows = 0
         # Time of the second observer's first finding, by faulty subject.
@@ -88,136 +96,141 @@
         self.ages: dict[int, dict[int, float]] = {}
         # Pairs of a limiter and a healthy subject that it condemned.
         self.false_verdicts: set[tuple[int, int]] = set()
-        self.limiters = [self._limiter(i, make) for i in range(limiters)]
-        for x in self.limiters:
-            self.at(self.random.uniform(0.0, GOSSIP_INTERVAL_MS), lambda x=x: self._gossip(x))       # type: ignore[misc]
-            self.at(self.random.uniform(0.0, 1000.0 / ASKS_PER_S), lambda x=x: self._ask(x))      # type: ignore[misc]
-
-    def _limiter(self, number: int, make: VerdictsFactory) -> Limiter:
+        self.limiters = [self._create_limiter(number, make_verdicts) for number in range(limiters)]
+        for limiter in self.limiters:
+            self.schedule(self.random.uniform(0.0, GOSSIP_INTERVAL_MS),
+                          lambda limiter=limiter: self._gossip(limiter))           # type: ignore[misc]
+            self.schedule(self.random.uniform(0.0, 1000.0 / ASKS_PER_S),
+                          lambda limiter=limiter: self._ask(limiter))              # type: ignore[misc]
+
+    def _create_limiter(self, number: int, make_verdicts: VerdictsFactory) -> Limiter:
         settings = io.Settings(number=number, gateways=self.count, inbox_per_s=INBOX_PER_S, tick=TICK_MS,
                                classes=(io.ServiceClass("c", AIM_MS, 4000.0),), plans=(io.Plan("p"),))
-        pace, verdicts = PeerPacer(INBOX_PER_S, TICK_MS, AIM_MS), make(number, self.count, HALF_LIFE_MS)
+        pace, verdicts = (
+            PeerPacer(INBOX_PER_S, TICK_MS, AIM_MS), make_verdicts(number, self.count, HALF_LIFE_MS))
         fallback = Fallback(settings, Entitlements(settings.plans), -1e6)
         return Limiter(number, pace, verdicts, Outbox(number, AIM_MS, pace, fallback, verdicts))
 
-    def at(self, when: float, act: Callable[[], object]) -> None:
-        """Schedules ``act`` at the simulated time ``when`` (ms)."""
-        self.order += 1
-        heapq.heappush(self.queue, (when, self.order, act))
+    def schedule(self, time_ms: float, action: Callable[[], object]) -> None:
+        """Schedules an action at a simulated time."""
+        self.scheduled_count += 1
+        heapq.heappush(self.queue, (time_ms, self.scheduled_count, action))
 
     def run(self, until: float) -> None:
-        """Runs all events up to and including the simulated time ``until`` (ms)."""
+        """Processes all events up to and including a simulated time."""
         while self.queue and self.queue[0][0] <= until:
-            self.now, _, act = heapq.heappop(self.queue)
-            act()
+            self.now, _, action = heapq.heappop(self.queue)
+            action()
         self.now = until
 
     # Faults -------------------------------------------------------------------------------
 
-    def add_fault(self, subject: int, at: float) -> None:
-        """Lets two limiters find ``subject`` bad from ``at`` on, the second of them up to 200 ms later."""
+    def add_fault(self, subject: int, start: float) -> None:
+        """Lets two limiters find ``subject`` bad from ``start`` on, the second of them up to 200 ms later."""
         first, second = self.random.sample(range(self.count), 2)
-        lag = self.random.uniform(0.0, 200.0)
-        self.confirmed_at[subject], self.ages[subject] = at + lag, {}
-        step = HALF_LIFE_MS / 8
-        for n in range(int(FAULT_DURATION_MS / step)):
-            self.at(at + n * step, lambda: self._record_bad(first, subject))
-            self.at(at + lag + n * step, lambda: self._record_bad(second, subject))
-
-    def add_faulty_observer(self, number: int, at: float, subjects: range) -> None:
+        second_delay_ms = self.random.uniform(0.0, 200.0)
+        self.confirmed_at[subject], self.ages[subject] = start + second_delay_ms, {}
+        interval_ms = HALF_LIFE_MS / 8
+        for index in range(int(FAULT_DURATION_MS / interval_ms)):
+            self.schedule(start + index * interval_ms, lambda: self._record_bad(first, subject))
+            self.schedule(start + second_delay_ms + index * interval_ms,
+                          lambda: self._record_bad(second, subject))
+
+    def add_faulty_observer(self, number: int, start: float, subjects: range) -> None:
         """Lets one limiter find all of ``subjects`` bad without suspecting itself."""
-        for n in range(int(FAULT_DURATION_MS / 500.0)):
+        for index in range(int(FAULT_DURATION_MS / 500.0)):
             for subject in subjects:
-                self.at(at + n * 500.0, lambda s=subject: self._record_bad(number, s))       # type: ignore[misc]
+                self.schedule(start + index * 500.0,
+                              lambda subject=subject: self._record_bad(number, subject))     # type: ignore[misc]
 
     def _record_bad(self, number: int, subject: int) -> None:
-        x = self.limiters[number]
+        limiter = self.limiters[number]
         # As if many other subjects were healthy; otherwise the limiter would suspect itself.
-        x.verdicts.own_evidence.clear()
-        x.verdicts.record_evidence(self.now, subject, TOPIC, 12.0)
+        limiter.verdicts.own_evidence.clear()
+        limiter.verdicts.record_evidence(self.now, subject, TOPIC, 12.0)
 
     # Messages -----------------------------------------------------------------------------
 
-    def _gossip(self, x: Limiter) -> None:
-        self.at(self.now + GOSSIP_INTERVAL_MS, lambda: self._gossip(x))
-        if x.verdicts.has_severe_unsent(self.now):
+    def _gossip(self, limiter: Limiter) -> None:
+        self.schedule(self.now + GOSSIP_INTERVAL_MS, lambda: self._gossip(limiter))
+        if limiter.verdicts.has_severe_unsent(self.now):
             peer = self.random.randrange(self.count)
-            if peer != x.number:
-                x.outbox.request_message(peer)
-                self._flush(x, peer)
-
-    def _ask(self, x: Limiter) -> None:
-        self.at(self.now + self.random.expovariate(ASKS_PER_S) * 1000.0, lambda: self._ask(x))
-        nearby = [(x.number + n) % self.count for n in range(-NEIGHBOURS, NEIGHBOURS + 1)]
-        peers = sorted({p for p in nearby if p != x.number})
+            if peer != limiter.number:
+                limiter.outbox.request_message(peer)
+                self._flush(limiter, peer)
+
+    def _ask(self, limiter: Limiter) -> None:
+        self.schedule(self.now + self.random.expovariate(ASKS_PER_S) * 1000.0, lambda: self._ask(limiter))
+        nearby = [(limiter.number + n) % self.count for n in range(-NEIGHBOURS, NEIGHBOURS + 1)]
+        peers = sorted({p for p in nearby if p != limiter.number})
         if peers:
             peer = self.random.choice(peers)
             self.asks += 1
-            x.outbox.send(peer, pw.Ask(1, x.number, 0, 1.0, 4000.0, 1.0))
-            self._flush(x, peer)
+            limiter.outbox.send(peer, pw.Ask(1, limiter.number, 0, 1.0, 4000.0, 1.0))
+            self._flush(limiter, peer)
 
-    def _flush(self, x: Limiter, peer: int) -> None:
-        if peer not in x.outbox.send_at:
+    def _flush(self, limiter: Limiter, peer: int) -> None:
+        if peer not in limiter.outbox.send_at:
             return
-        recent_peers = sum(self.now - at <= 1000.0 for at in x.last_heard_at.values())
-        for result in x.outbox.flush(self.now, peer, recent_peers, lambda: ()):
+        recent_peers = sum(self.now - at <= 1000.0 for at in limiter.last_heard_at.values())
+        for result in limiter.outbox.flush(self.now, peer, recent_peers, lambda: ()):
             if isinstance(result, bytes):
-                self._send(x.number, peer, result)
+                self._send(limiter.number, peer, result)
             else:
-                self.at(self.now + result, lambda: self._flush(x, peer))
+                self.schedule(self.now + result, lambda: self._flush(limiter, peer))
 
-    def _send(self, sender: int, to: int, data: bytes) -> None:
+    def _send(self, sender: int, receiver: int, data: bytes) -> None:
         self.messages += 1
         self.bytes += len(data)
-        if self.random.random() >= self.loss and not self.cut(self.now, sender, to):
-            self.at(self.now + self.random.uniform(*MESSAGE_DELAY_MS),
-                    lambda: self._receive(sender, to, data))
-
-    def _receive(self, sender: int, to: int, data: bytes) -> None:
-        x = self.limiters[to]
-        while x.inbox and x.inbox[0] <= self.now - 1000.0:
-            x.inbox.popleft()
-        if len(x.inbox) >= INBOX_PER_S:
+        if self.random.random() >= self.loss and not self.is_cut(self.now, sender, receiver):
+            self.schedule(self.now + self.random.uniform(*MESSAGE_DELAY_MS),
+                          lambda: self._receive(sender, receiver, data))
+
+    def _receive(self, sender: int, receiver: int, data: bytes) -> None:
+        limiter = self.limiters[receiver]
+        while limiter.inbox and limiter.inbox[0] <= self.now - 1000.0:
+            limiter.inbox.popleft()
+        if len(limiter.inbox) >= INBOX_PER_S:
             self.inbox_overflows += 1
             return
-        x.inbox.append(self.now)
-        x.last_heard_at[sender] = self.now
-        x.pace.record_arrival(self.now, sender)
+        limiter.inbox.append(self.now)
+        limiter.last_heard_at[sender] = self.now
+        limiter.pace.record_arrival(self.now, sender)
         for item in pw.unpack(data):
             match item:
-                case pw.Loads(((pw.INBOX_RATE_ID, allowed), *_)):
-                    x.pace.record_allowance(self.now, sender, allowed / pw.STEPS_PER_UNIT)
+                case pw.Loads(((pw.INBOX_RATE_ID, allowance), *_)):
+                    limiter.pace.record_allowance(self.now, sender, allowance / pw.STEPS_PER_UNIT)
                 case pw.Ask():
-                    x.outbox.send(sender, pw.Verdict(item.number, True, 1.0, 0))
-                    self._flush(x, sender)
+                    limiter.outbox.send(sender, pw.Verdict(item.number, True, 1.0, 0))
+                    self._flush(limiter, sender)
                 case Finding():
-                    x.verdicts.receive(self.now, sender, item)
-                    self._record_verdict(x, item.subject)
+                    limiter.verdicts.receive(self.now, sender, item)
+                    self._record_verdict(limiter, item.subject)
 
-    def _record_verdict(self, x: Limiter, subject: int) -> None:
-        if x.verdicts.verdict(self.now, subject, TOPIC) >= BAD_SLOWNESS:
+    def _record_verdict(self, limiter: Limiter, subject: int) -> None:
+        if limiter.verdicts.verdict(self.now, subject, TOPIC) >= BAD_SLOWNESS:
             if subject not in self.confirmed_at:
-                self.false_verdicts.add((x.number, subject))
-            elif x.number not in self.ages[subject]:
-                self.ages[subject][x.number] = max(0.0, self.now - self.confirmed_at[subject])
+                self.false_verdicts.add((limiter.number, subject))
+            elif limiter.number not in self.ages[subject]:
+                self.ages[subject][limiter.number] = max(0.0, self.now - self.confirmed_at[subject])
 
     def convergence_ages(self) -> list[float]:
-        """Returns the sorted ages (ms) of all pairs of a subject and a limiter other than its observers.
+        """Returns the sorted ages in ms of all pairs of a subject and a limiter other than its observers.
 
         The age is infinite for a limiter that never reached a verdict.
         """
         result: list[float] = []
         for ages in self.ages.values():
-            reached = sorted(ages.values())[:self.count - 2]
-            result += reached + [float("inf")] * (self.count - 2 - len(reached))
+            known_ages = sorted(ages.values())[:self.count - 2]
+            result += known_ages + [float("inf")] * (self.count - 2 - len(known_ages))
         return sorted(result)
 
 
 def simulate(limiters: int, loss: float, seed: int = 1, subjects: int = 6,
-             make: VerdictsFactory = Verdicts) -> Fleet:
-    """Runs a fleet in which ``subjects`` fail one after the other, each observed by two limiters."""
-    fleet = Fleet(limiters, loss, seed, make)
-    for n in range(subjects):
-        fleet.add_fault(1000 + n, FIRST_FAULT_MS + n * FAULT_INTERVAL_MS)
+             make_verdicts: VerdictsFactory = Verdicts) -> Fleet:
+    """Runs a fleet in which so many subjects fail one after the other, each observed by two limiters."""
+    fleet = Fleet(limiters, loss, seed, make_verdicts)
+    for index in range(subjects):
+        fleet.add_fault(1000 + index, FIRST_FAULT_MS + index * FAULT_INTERVAL_MS)
     fleet.run(FIRST_FAULT_MS + subjects * FAULT_INTERVAL_MS + FAULT_DURATION_MS)
     return fleet
--- a/larklb/lab/trial.py
+++ b/larklb/lab/trial.py
@@ -22,6 +22,7 @@
 from larklb.lab import example
 from larklb.lab.cluster import ROOT, Discovery, ask, job
 
+# Account of the first customer; the next numbers are those of others.
 CUSTOMER = 0x2A
 # Time in which every instance must answer its health check.
 START_TIMEOUT_S = 30.0
@@ -36,14 +37,16 @@
     """One run of the demonstration; ``stop`` ends the agent and ``failed`` counts the failed checks."""
 
     def __init__(self, folder: Path) -> None:
-        self.folder, self.base = folder, example.free_first_port()
-        self.operator = example.write(folder, self.base)
-        self.nodes = example.execute_nodes(self.base)
-        self.discovery = Discovery(self.base + 30)
+        """Writes the example into ``folder``, with ports that are free."""
+        self.folder, self.first_port = folder, example.free_first_port()
+        self.operator = example.write(folder, self.first_port)
+        self.nodes = example.execute_nodes(self.first_port)
+        self.discovery = Discovery(self.first_port + 30)
         self.agent: asyncio.subprocess.Process | None = None
         self.failed = 0
 
     def _environment(self) -> dict[str, str]:
+        """Returns the environment of processes that import the program from this source tree."""
         return {**os.environ, "PYTHONPATH": os.pathsep.join(filter(None, (
             str(ROOT), os.environ.get("PYTHONPATH"))))}
 
@@ -55,18 +58,19 @@
         await self.discovery.start()
         for node in self.nodes:
             await node.start()
-        log = (self.folder / "agent.log").open("wb")
+        log_file = (self.folder / "agent.log").open("wb")
         self.agent = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "larklb", "agent", str(self.operator), env=self._environment(), stdout=log,
-            stderr=log)
+            sys.executable, "-m", "larklb", "agent", str(self.operator), env=self._environment(),
+            stdout=log_file, stderr=log_file)
         deadline = asyncio.get_running_loop().time() + START_TIMEOUT_S
-        for i in range(example.INSTANCES):
+        for number in range(example.INSTANCES):
             while True:
                 with contextlib.suppress(OSError, asyncio.IncompleteReadError):
-                    if (await ask(self.base + i, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 200:
+                    if (await ask(self.first_port + number,
+                                  "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 200:
                         break
                 if asyncio.get_running_loop().time() > deadline or self.agent.returncode is not None:
-                    raise RuntimeError(f"instance n{i} did not start: see {self.folder / 'agent.log'}")
+                    raise RuntimeError(f"instance n{number} did not start: see {self.folder / 'agent.log'}")
                 await asyncio.sleep(0.05)
 
     async def stop(self) -> None:
@@ -92,9 +96,9 @@
     async def send_orders(self, count: int, account: int = CUSTOMER) -> Counter[int]:
         """Sends ``count`` orders of one customer to the instances in turn and counts the HTTP statuses."""
         statuses: Counter[int] = Counter()
-        for i in range(count):
-            text = job(service="place-order", plan="taller", account=account, spread=example.INSTANCES)
-            statuses[(await ask(self.base + i % example.INSTANCES, text))[0]] += 1
+        for index in range(count):
+            request = job(service="place-order", plan="taller", account=account, spread=example.INSTANCES)
+            statuses[(await ask(self.first_port + index % example.INSTANCES, request))[0]] += 1
         return statuses
 
     async def check_quota(self, count: int, account: int) -> Counter[str]:
@@ -104,8 +108,8 @@
                    "set": f"spread={example.INSTANCES},first=0"}
         request = RateLimitRequest(domain="manta-yard", descriptors=[RateLimitDescriptor(
             entries=[RateLimitDescriptor.Entry(key=k, value=v) for k, v in entries.items()])])
-        for i in range(count):
-            address = f"127.0.0.1:{self.base + 20 + i % example.INSTANCES}"
+        for index in range(count):
+            address = f"127.0.0.1:{self.first_port + 20 + index % example.INSTANCES}"
             async with grpc.aio.insecure_channel(address) as channel:
                 call = channel.unary_unary(f"/{SERVICE}/ShouldRateLimit",
                                            RateLimitRequest.SerializeToString, RateLimitResponse.FromString)
@@ -113,15 +117,16 @@
                 codes[RateLimitResponse.Code.Name(answer.overall_code)] += 1
         return codes
 
-    def check(self, passed: bool, text: str) -> None:
+    def check(self, passed: bool, description: str) -> None:
         """Prints the result of a check and counts it if it failed."""
-        show(f"  {'as it should be' if passed else 'NOT as it should be'}: {text}")
+        show(f"  {'as it should be' if passed else 'NOT as it should be'}: {description}")
         self.failed += not passed
 
     async def demonstrate(self) -> None:
         """Demonstrates quotas, a change of plans, reservations and the export of use, and checks each."""
-        show(f"Three instances run, on ports {self.base} to {self.base + 2}; execute nodes and discovery are "
-            "stand-ins.\n\n1. One quota over all three: plan `taller` has a burst of 7 units.")
+        show(f"Three instances run, on ports {self.first_port} to {self.first_port + 2}; "
+            "execute nodes and discovery are stand-ins.\n\n"
+            "1. One quota over all three: plan `taller` has a burst of 7 units.")
         statuses = await self.send_orders(12)
         self.check(statuses[429] >= 4 and statuses[200] >= 7,
                    f"12 orders over HTTP: {statuses[200]} served, {statuses[429]} beyond the quota (429)")
@@ -163,14 +168,14 @@
 
     def instructions(self) -> str:
         """Returns the commands with which a user can inspect the running example."""
-        tool = "larklb" if sys.argv[0].endswith("larklb") else "python -m larklb"
+        command = "larklb" if sys.argv[0].endswith("larklb") else "python -m larklb"
         return (f"\nLook around, in another terminal:\n"
-                f"  {tool} status {self.operator}\n"
-                f"  {tool} plans show {self.operator} --live\n"
-                f"  {tool} reserve list {self.operator}\n"
-                f"  {tool} usage show {self.operator} --rows\n"
+                f"  {command} status {self.operator}\n"
+                f"  {command} plans show {self.operator} --live\n"
+                f"  {command} reserve list {self.operator}\n"
+                f"  {command} usage show {self.operator} --rows\n"
                 f"  ls {self.folder / 'billed'}\n"
-                f"  curl -i http://127.0.0.1:{self.base}/stock-check/cleat-12 "
+                f"  curl -i http://127.0.0.1:{self.first_port}/stock-check/cleat-12 "
                 f"-H 'X-Service-Class: stock-check' -H 'Plan: taller' -H 'Account: {CUSTOMER:016x}' "
                 f"-H 'X-Correlation-Id: mine-1' -H 'X-Time-Left: 2' "
                 f"-H 'Quota-Info: units=1,spread=3,first=0'\n"
@@ -179,8 +184,8 @@
 
 async def _run(once: bool) -> int:
     stop = asyncio.Event()
-    for name in (signal.SIGINT, signal.SIGTERM):
-        asyncio.get_running_loop().add_signal_handler(name, stop.set)
+    for signal_number in (signal.SIGINT, signal.SIGTERM):
+        asyncio.get_running_loop().add_signal_handler(signal_number, stop.set)
     with tempfile.TemporaryDirectory(prefix="larklb-try-") as folder:
         trial = Trial(Path(folder))
         task = asyncio.ensure_future(_run_demonstration(trial))
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -20,7 +20,7 @@
     _worker, _workers = (
         int(os.environ["PYTEST_XDIST_WORKER"][2:]), int(os.environ["PYTEST_XDIST_WORKER_COUNT"]))
     _first_port, _port_count = 10000, 22000 // _workers
-    cluster._ports = iter(range(
+    cluster._candidate_ports = iter(range(
         _first_port + _worker * _port_count, _first_port + (_worker + 1) * _port_count))
 
 SAFE = io.ServiceClass("read", aim=1000.0, deadline=4000.0)
--- a/tests/test_lab_fleet.py
+++ b/tests/test_lab_fleet.py
@@ -117,7 +117,7 @@
         with pytest.raises(script.ScriptError, match=message) as raised:
             script.load(str(path))
         assert "\n" not in str(raised.value)
-    assert {n["name"] for n in script.names()} >= {"calm", "split", "bad-link", "stopped"}
+    assert {n["name"] for n in script.builtin_scenarios()} >= {"calm", "split", "bad-link", "stopped"}
 
 
 # State of running instances ---------------------------------------------------------------
