--- a/larklb/lab/check_custody.py
+++ b/larklb/lab/check_custody.py
@@ -70,20 +70,21 @@
 
 @dataclass
 class Try:
-    """One try at its limiter; ``at`` is its next step and ``end`` its outcome."""
+    """One try at its limiter; ``outcome`` is empty while it is in progress."""
 
     session: HolderSession
-    at: str = "claim"
+    next_step: str = "claim"
     record: Record | None = None
-    end: str = ""
+    outcome: str = ""
 
 
 class World:
     """One state of the model.
 
     ``make`` creates a custodian and ``session_type`` the session of a holder; tests pass faulty
-    implementations.
-    ``omitted_step`` names a step that every holder omits.
+    implementations.  ``omitted_step`` names a step that every holder omits: "sends first" (it sends before
+    the record is stored and without a check of its lease), "passes on" (it does not store the answer) or
+    "forgets" (it ignores the attempts of earlier holders).
     """
 
     def __init__(self, start: str = "empty", make: Callable[[int, float], Custodian] | None = None,
@@ -94,7 +95,8 @@
         self.custodians = [self.make(i, self.now) for i in GROUP]
         self.now += KEEP_MS + 1.0
         self.restarted = 0
-        self.tries = [self._try(0)]
+        self.tries = [self._new_try(0)]
+        # Messages that may arrive later, with the custodians that they are sent to.
         self.late: list[tuple[int, CustodyMessage]] = []
         # Times at which the rack ran the job.
         self.runs: list[float] = []
@@ -102,137 +104,149 @@
         self.holders: dict[int, int] = {}
         self.violation = ""
         for name, n in STARTS[start]:
-            self.act((name, n))
+            self.perform_action((name, n))
 
-    def _try(self, number: int) -> Try:
+    def _new_try(self, number: int) -> Try:
         return Try(self.session_type(10 + number, 1, KEY, BODY, GROUP))
 
-    def actions(self) -> list[Action]:
-        found: list[Action] = [("wait", 0), ("long", 0)]
-        for i, t in enumerate(self.tries):
-            if t.end:
+    def enabled_actions(self) -> list[Action]:
+        """Returns the actions that are possible in this state.
+
+        The argument of ``step`` and ``deaf`` is ten times the number of the try, plus an index in
+        ``REACHED``; with ``deaf`` the replies are lost.
+        """
+        enabled: list[Action] = [("wait", 0), ("long", 0)]
+        for number, attempt in enumerate(self.tries):
+            if attempt.outcome:
                 continue
-            if t.at in ("send", "answer", "pass on"):
-                found.append(("do", i))
+            if attempt.next_step in ("send", "answer", "pass on"):
+                enabled.append(("do", number))
             else:
-                found += [("step", i * 10 + n) for n in range(len(REACHED))] + [("deaf", i * 10 + 1)]
-            found += [("kill", i), ("beat", i)]
+                enabled += [("step", number * 10 + index) for index in range(len(REACHED))] + [
+                    ("deaf", number * 10 + 1)]
+            enabled += [("kill", number), ("beat", number)]
         if len(self.tries) < 2:
-            found.append(("return", 0))
-        found += [("late", n) for n in range(len(self.late))]
-        return found + ([("restart", i) for i in (0, 2)] if not self.restarted else [])
+            enabled.append(("return", 0))
+        enabled += [("late", index) for index in range(len(self.late))]
+        return enabled + ([("restart", number) for number in (0, 2)] if not self.restarted else [])
 
-    def act(self, action: Action) -> None:
-        name, n = action
+    def perform_action(self, action: Action) -> None:
+        """Performs an action, which changes this state."""
+        name, argument = action
         match name:
             case "wait":
                 self.now += STEP_MS
             case "long":
                 self.now += WINDOW_MS
             case "return":
-                self.tries.append(self._try(len(self.tries)))
+                self.tries.append(self._new_try(len(self.tries)))
             case "kill":
-                self.tries[n].end = "killed"
+                self.tries[argument].outcome = "killed"
             case "beat":
-                for c in self.custodians:
-                    c.handle(self.now, Heartbeat(self.tries[n].session.number, 1))
+                for custodian in self.custodians:
+                    custodian.handle(self.now, Heartbeat(self.tries[argument].session.number, 1))
             case "restart":
                 self.restarted += 1
-                self.custodians[n] = self.make(n, self.now)
+                self.custodians[argument] = self.make(argument, self.now)
             case "late":
-                custodian, message = self.late.pop(n)
-                self.custodians[custodian].handle(self.now, message)
+                number, message = self.late.pop(argument)
+                self.custodians[number].handle(self.now, message)
             case "step":
-                self._step(self.tries[n // 10], REACHED[n % 10], True)
+                self._send_next_message(self.tries[argument // 10], REACHED[argument % 10], True)
             case "deaf":
-                self._step(self.tries[n // 10], REACHED[n % 10], False)
+                self._send_next_message(self.tries[argument // 10], REACHED[argument % 10], False)
             case _:
-                self._do(self.tries[n])
+                self._perform_local_step(self.tries[argument])
 
     # Steps of a try -----------------------------------------------------------------------
 
-    def _step(self, t: Try, reached: tuple[int, ...], replies_arrive: bool) -> None:
+    def _send_next_message(self, attempt: Try, reached: tuple[int, ...], replies_arrive: bool) -> None:
         """Sends the next message of a try to the custodians and processes their replies."""
-        if t.end or t.at in ("send", "answer", "pass on"):
+        if attempt.outcome or attempt.next_step in ("send", "answer", "pass on"):
             return
-        if t.at == "claim":
-            outcome = None
-            for i, reply in self._replies(t.session.claim(self.now), reached, replies_arrive):
-                outcome = t.session.count_vote(i, reply) if outcome is None else outcome
-            if outcome is ClaimOutcome.ACQUIRED:
-                self._acquire(t)
-            elif outcome is ClaimOutcome.ENDED:
-                record = t.session.record
-                t.end = "answered" if record is not None and record.answer is not None else "failed"
+        if attempt.next_step == "claim":
+            claim_outcome = None
+            for number, reply in self._replies(attempt.session.claim(self.now), reached, replies_arrive):
+                claim_outcome = (
+                    attempt.session.count_vote(number, reply) if claim_outcome is None else claim_outcome)
+            if claim_outcome is ClaimOutcome.ACQUIRED:
+                self._acquire(attempt)
+            elif claim_outcome is ClaimOutcome.ENDED:
+                record = attempt.session.record
+                attempt.outcome = "answered" if record is not None and record.answer is not None else "failed"
             else:
-                for _ in self._replies(t.session.withdraw(), reached, replies_arrive):
+                for _ in self._replies(attempt.session.withdraw(), reached, replies_arrive):
                     pass
         else:
-            stored = self._store(t, STORED_STATES[t.at], reached, replies_arrive)
-            if t.at == "keep answer":
-                t.at = "pass on"
-                t.end = "" if stored else "unkept"
-            elif t.at == "keep unknown":
-                t.end = "failed"
+            stored = self._store(attempt, STORED_STATES[attempt.next_step], reached, replies_arrive)
+            if attempt.next_step == "keep answer":
+                attempt.next_step = "pass on"
+                attempt.outcome = "" if stored else "unkept"
+            elif attempt.next_step == "keep unknown":
+                attempt.outcome = "failed"
             else:
-                t.at = "send" if stored else "keep sent"
+                attempt.next_step = "send" if stored else "keep sent"
 
     def _replies(
         self, message: CustodyMessage, reached: tuple[int, ...], replies_arrive: bool
     ) -> list[tuple[int, Reply | None]]:
-        found: list[tuple[int, Reply | None]] = []
-        for i in GROUP:
-            if i in reached:
-                reply = self.custodians[i].handle(self.now, message)
-                found.append((i, reply if replies_arrive else None))
+        """Sends a message to all custodians and returns their numbers and replies, None if there is none."""
+        replies: list[tuple[int, Reply | None]] = []
+        for number in GROUP:
+            if number in reached:
+                reply = self.custodians[number].handle(self.now, message)
+                replies.append((number, reply if replies_arrive else None))
             else:
-                found.append((i, None))
+                replies.append((number, None))
                 if len(self.late) < MAX_LATE and not isinstance(message, Heartbeat):
-                    self.late.append((i, message))
-        return found
+                    self.late.append((number, message))
+        return replies
 
-    def _acquire(self, t: Try) -> None:
-        if self.holders.setdefault(t.session.term, t.session.number) != t.session.number:
-            self.violation = f"term {t.session.term} has two holders"
-        previous = t.session.record
+    def _acquire(self, attempt: Try) -> None:
+        """Lets a try proceed as the holder of the job."""
+        if self.holders.setdefault(attempt.session.term, attempt.session.number) != attempt.session.number:
+            self.violation = f"term {attempt.session.term} has two holders"
+        previous = attempt.session.record
         sent = previous.sent if previous is not None and self.omitted_step != "forgets" else ()
-        t.record = Record(KEY, BODY, 0, 0, 0, 1, JobState.SENT, 1e6, sent)
-        t.at = "keep sent" if may_send_again(WINDOW_MS, sent) else "keep unknown"
-        if self.omitted_step == "sends first" and t.at == "keep sent":
-            t.at = "send"
-
-    def _store(self, t: Try, state: JobState, reached: tuple[int, ...], replies_arrive: bool) -> bool:
-        assert t.record is not None
-        record = msgspec.structs.replace(t.record, state=state)
+        attempt.record = Record(KEY, BODY, 0, 0, 0, 1, JobState.SENT, 1e6, sent)
+        attempt.next_step = "keep sent" if may_send_again(WINDOW_MS, sent) else "keep unknown"
+        if self.omitted_step == "sends first" and attempt.next_step == "keep sent":
+            attempt.next_step = "send"
+
+    def _store(self, attempt: Try, state: JobState, reached: tuple[int, ...], replies_arrive: bool) -> bool:
+        """Sends the record of a try in a new state to the custodians; returns whether it is stored."""
+        assert attempt.record is not None
+        record = msgspec.structs.replace(attempt.record, state=state)
         if state is JobState.SENT:
             record = msgspec.structs.replace(record, sent=(*record.sent, SentAttempt("s", "a", 0, 0.0)))
         if state is JobState.ANSWERED:
             record = msgspec.structs.replace(record, answer=StoredAnswer(200, b"", b"done"))
         stored = None
-        for i, reply in self._replies(t.session.keep(self.now, record), reached, replies_arrive):
-            stored = t.session.count_kept(i, reply) if stored is None else stored
+        for number, reply in self._replies(attempt.session.keep(self.now, record), reached, replies_arrive):
+            stored = attempt.session.count_kept(number, reply) if stored is None else stored
         if stored:
-            t.record = record
+            attempt.record = record
         return bool(stored)
 
-    def _do(self, t: Try) -> None:
-        if t.end in ("killed", "served", "failed", "answered"):
+    def _perform_local_step(self, attempt: Try) -> None:
+        """Performs the next step of a try that needs no custodian: send, receive the answer or pass it on."""
+        if attempt.outcome in ("killed", "served", "failed", "answered"):
             return
-        match t.at:
+        match attempt.next_step:
             case "send":
-                if self.omitted_step != "sends first" and not t.session.may_send(self.now):
+                if self.omitted_step != "sends first" and not attempt.session.may_send(self.now):
                     # The limiter was suspended past its lease: it stores the record again, or does not send.
-                    t.at = "keep sent"
-                    assert t.record is not None
-                    t.record = msgspec.structs.replace(t.record, sent=t.record.sent[:-1])
+                    attempt.next_step = "keep sent"
+                    assert attempt.record is not None
+                    attempt.record = msgspec.structs.replace(attempt.record, sent=attempt.record.sent[:-1])
                     return
                 if not self.runs or self.now - self.runs[0] >= WINDOW_MS:
                     self.runs.append(self.now)
-                t.at = "answer"
+                attempt.next_step = "answer"
             case "answer":
-                t.at = "pass on" if self.omitted_step == "passes on" else "keep answer"
+                attempt.next_step = "pass on" if self.omitted_step == "passes on" else "keep answer"
             case _:
-                t.end = "unkept" if t.end == "unkept" else "served"
+                attempt.outcome = "unkept" if attempt.outcome == "unkept" else "served"
 
     # Invariants ---------------------------------------------------------------------------
 
@@ -242,51 +256,52 @@
             return self.violation
         if len(self.runs) > 1:
             return f"the job ran {len(self.runs)} times"
-        ends = [t.end for t in self.tries]
-        if "served" in ends and "failed" in ends and not self.restarted:
+        outcomes = [attempt.outcome for attempt in self.tries]
+        if "served" in outcomes and "failed" in outcomes and not self.restarted:
             return "one try was served, and another was told that the job failed"
         return ""
 
     def find_divergence(self) -> str:
         """Runs a third try with all custodians reachable and returns the violated invariant, if any."""
-        for t in self.tries:
-            t.end = t.end or "killed"
+        for attempt in self.tries:
+            attempt.outcome = attempt.outcome or "killed"
         for _ in range(3):
-            self.act(("wait", 0))
-        t = self._try(len(self.tries))
-        self.tries.append(t)
+            self.perform_action(("wait", 0))
+        attempt = self._new_try(len(self.tries))
+        self.tries.append(attempt)
         for _ in range(4):
-            if not t.end and t.at == "claim":
-                self._step(t, REACHED[0], True)
-        if t.at == "claim" and not t.end and not self.restarted:
+            if not attempt.outcome and attempt.next_step == "claim":
+                self._send_next_message(attempt, REACHED[0], True)
+        if attempt.next_step == "claim" and not attempt.outcome and not self.restarted:
             return "a third try neither has the job nor is told how it ended"
-        while not t.end:
-            if t.at in ("send", "answer", "pass on"):
-                self._do(t)
+        while not attempt.outcome:
+            if attempt.next_step in ("send", "answer", "pass on"):
+                self._perform_local_step(attempt)
             else:
-                self._step(t, REACHED[0], True)
-            if t.at == "claim":
+                self._send_next_message(attempt, REACHED[0], True)
+            if attempt.next_step == "claim":
                 break
         return self.find_violation()
 
     def fingerprint(self) -> object:
         """Returns a value that is equal for equivalent states; times are compared in half steps."""
-        def age(at: float) -> int:
-            return round(min(99.0, max(-99.0, (self.now - at) / STEP_MS * 2)))
+        def age(time_ms: float) -> int:
+            return round(min(99.0, max(-99.0, (self.now - time_ms) / STEP_MS * 2)))
 
-        def of(r: Record | None) -> object:
-            return None if r is None else (r.term, r.step, r.holder, r.state,
-                                           tuple(round(s.age / STEP_MS) for s in r.sent),
-                                           r.answer is not None)
+        def state_of(record: Record | None) -> object:
+            return None if record is None else (
+                record.term, record.step, record.holder, record.state,
+                tuple(round(sent.age / STEP_MS) for sent in record.sent), record.answer is not None)
 
         custodians = []
-        for c in self.custodians:
-            job = c.keys.get(KEY)
-            beats = tuple(sorted((w, age(b[1])) for w, b in c.heartbeats.items()))
+        for custodian in self.custodians:
+            job = custodian.keys.get(KEY)
+            heartbeats = tuple(sorted(
+                (holder, age(heartbeat[1])) for holder, heartbeat in custodian.heartbeats.items()))
             custodians.append(
                 (
-                    age(c.started_at),
-                    beats,
+                    age(custodian.started_at),
+                    heartbeats,
                     None
                     if job is None
                     else (
@@ -295,12 +310,14 @@
                         job.start,
                         age(job.last_heard_at),
                         age(job.received_at),
-                        of(job.record),
+                        state_of(job.record),
                     ),
                 )
             )
-        tries = tuple((t.at, t.end, t.session.term, t.session.step, age(t.session.lease_until), of(t.record))
-                      for t in self.tries)
-        late = tuple((i, type(a).__name__, getattr(a, "term", 0), of(getattr(a, "record", None)))
-                     for i, a in self.late)
-        return tuple(custodians), tries, late, tuple(age(at) for at in self.runs), self.restarted
+        tries = tuple(
+            (attempt.next_step, attempt.outcome, attempt.session.term, attempt.session.step,
+             age(attempt.session.lease_until), state_of(attempt.record)) for attempt in self.tries)
+        late = tuple(
+            (number, type(message).__name__, getattr(message, "term", 0),
+             state_of(getattr(message, "record", None))) for number, message in self.late)
+        return tuple(custodians), tries, late, tuple(age(run_at) for run_at in self.runs), self.restarted
--- a/larklb/lab/check_leases.py
+++ b/larklb/lab/check_leases.py
@@ -65,29 +65,35 @@
     def __init__(self, start: str = "empty", make: Callable[[int, float], FleetLimits] = make_limits) -> None:
         self.make = make
         self.now = 1000.0
-        self.limiters = [Limiter(make(i, self.now)) for i in range(LIMITERS)]
+        self.limiters = [Limiter(make(number, self.now)) for number in range(LIMITERS)]
         self.lender = self.limiters[0].limits.lender_of(SUBJECT)
+        # Sender, receiver and message.
         self.in_flight: list[tuple[int, int, LeaseRequest | LeaseReply]] = []
         # The recovery after the start is over, so that the lender lends.
         self.now += 2 * LEASE_MS + MAX_ATTEMPT_MS
-        others = [i for i in range(LIMITERS) if i != self.lender]
+        others = [number for number in range(LIMITERS) if number != self.lender]
         numbers = {"l": self.lender, "a": others[0], "b": others[1], "": 0}
         for name, role in STARTS[start]:
-            self.act((name, numbers[role]))
-
-    def actions(self) -> list[Action]:
-        found: list[Action] = [("wait", 0)]
-        for i, limiter in enumerate(self.limiters):
-            found += [("renew", i), ("fill", i)]
-            found += [("ask", i)] if i != self.lender and len(self.in_flight) < MAX_MESSAGES else []
-            found += [("restart", i)] if limiter.starts < 2 else []
-            found += [("greet", i)] if i != self.lender and self.limiters[self.lender].starts > 1 else []
-        for n in range(len(self.in_flight)):
-            found += [("deliver", n), ("repeat", n), ("lose", n)]
-        return found
-
-    def act(self, action: Action) -> None:
-        name, n = action
+            self.perform_action((name, numbers[role]))
+
+    def enabled_actions(self) -> list[Action]:
+        """Returns the actions that are possible in this state."""
+        enabled: list[Action] = [("wait", 0)]
+        for number, limiter in enumerate(self.limiters):
+            enabled += [("renew", number), ("fill", number)]
+            enabled += (
+                [("ask", number)] if number != self.lender and len(self.in_flight) < MAX_MESSAGES else [])
+            enabled += [("restart", number)] if limiter.starts < 2 else []
+            enabled += (
+                [("greet", number)]
+                if number != self.lender and self.limiters[self.lender].starts > 1 else [])
+        for index in range(len(self.in_flight)):
+            enabled += [("deliver", index), ("repeat", index), ("lose", index)]
+        return enabled
+
+    def perform_action(self, action: Action) -> None:
+        """Performs an action, which changes this state."""
+        name, argument = action
         # Time advances so that no two requests of a limiter have the same number.
         self.now += 1.0
         match name:
@@ -96,54 +102,58 @@
                 for limiter in self.limiters:
                     limiter.running = [at for at in limiter.running if self.now - at < MAX_ATTEMPT_MS]
             case "ask":
-                self.in_flight += self._requests(n)
+                self.in_flight += self._requests(argument)
             case "renew":
-                for sender, to, message in self._requests(n):
-                    for answer in self._receive(sender, to, message):
+                for sender, receiver, message in self._requests(argument):
+                    for answer in self._receive(sender, receiver, message):
                         self._receive(*answer)
             case "fill":
-                limiter = self.limiters[n]
+                limiter = self.limiters[argument]
                 limiter.running.clear()
                 while (len(limiter.running) < WANTED
                        and limiter.limits.has_slot(self.now, SUBJECT, len(limiter.running))):
                     limiter.running.append(self.now)
                     limiter.limits.record_attempt(self.now, SUBJECT, len(limiter.running), True)
             case "restart":
-                self.limiters[n] = Limiter(self.make(n, self.now), starts=self.limiters[n].starts + 1)
+                self.limiters[argument] = Limiter(
+                    self.make(argument, self.now), starts=self.limiters[argument].starts + 1)
             case "greet":
                 # Reports the slots that the limiter holds to the restarted lender.
-                limiter = self.limiters[n]
+                limiter = self.limiters[argument]
                 for request in limiter.limits.report_holdings(
                         self.now, self.lender, lambda subject: len(limiter.running)):
-                    self._receive(n, self.lender, request)
+                    self._receive(argument, self.lender, request)
                 self.limiters[self.lender].limits.lender.reported |= {
-                    i for i, limiter in enumerate(self.limiters) if limiter.starts > 1} - {self.lender}
+                    number for number, limiter in enumerate(self.limiters) if limiter.starts > 1
+                } - {self.lender}
             case "lose":
-                self.in_flight.pop(n)
+                self.in_flight.pop(argument)
             case _:
-                sender, to, message = self.in_flight[n] if name == "repeat" else self.in_flight.pop(n)
-                answers = self._receive(sender, to, message)
+                sender, receiver, message = (
+                    self.in_flight[argument] if name == "repeat" else self.in_flight.pop(argument))
+                answers = self._receive(sender, receiver, message)
                 self.in_flight += answers[:MAX_MESSAGES - len(self.in_flight)]
 
-    def _requests(self, i: int) -> list[tuple[int, int, LeaseRequest | LeaseReply]]:
-        limiter = self.limiters[i]
+    def _requests(self, number: int) -> list[tuple[int, int, LeaseRequest | LeaseReply]]:
+        limiter = self.limiters[number]
         # A shortage of slots makes the limiter send its request early.
         for _ in range(WANTED - 1):
             limiter.limits.has_slot(self.now, SUBJECT, WANTED)
         if SUBJECT in limiter.limits.held:
             limiter.limits.held[SUBJECT].requested_at = -1e9
-        return [(i, to, request) for to, request in limiter.limits.due_requests(
+        return [(number, receiver, request) for receiver, request in limiter.limits.due_requests(
             self.now, lambda subject: len(limiter.running))]
 
     def _receive(
-        self, sender: int, to: int, message: LeaseRequest | LeaseReply
+        self, sender: int, receiver: int, message: LeaseRequest | LeaseReply
     ) -> list[tuple[int, int, LeaseRequest | LeaseReply]]:
-        limits = self.limiters[to].limits
+        """Passes a message to its receiver and returns the answer, if there is one."""
+        limits = self.limiters[receiver].limits
         if isinstance(message, LeaseReply):
             limits.receive_reply(self.now, message)
             return []
         reply = limits.lender.handle_request(self.now, sender, message, limits.pool())
-        return [(to, sender, reply)] if reply is not None else []
+        return [(receiver, sender, reply)] if reply is not None else []
 
     def find_violation(self) -> str:
         """Returns the invariant that this state violates, or an empty string."""
@@ -159,17 +169,17 @@
         """
         delayed, self.in_flight = self.in_flight, []
         for _ in range(5):
-            self.act(("wait", 0))
+            self.perform_action(("wait", 0))
         for limiter in self.limiters:
             limiter.running.clear()
-        for i in range(LIMITERS):
-            self.act(("renew", i))
-            self.act(("fill", i))
-        for sender, to, message in delayed:
-            for answer in self._receive(sender, to, message):
+        for number in range(LIMITERS):
+            self.perform_action(("renew", number))
+            self.perform_action(("fill", number))
+        for sender, receiver, message in delayed:
+            for answer in self._receive(sender, receiver, message):
                 self._receive(*answer)
-        for i in range(LIMITERS):
-            self.act(("fill", i))
+        for number in range(LIMITERS):
+            self.perform_action(("fill", number))
         if sum(len(limiter.running) for limiter in self.limiters) < NODE_LIMIT - 1:
             return (f"{[len(limiter.running) for limiter in self.limiters]} attempts are out, "
                     f"and {NODE_LIMIT} are wanted")
@@ -183,13 +193,14 @@
         def age(at: float) -> int:
             return round((self.now - at) / STEP_MS) if at > 0 else -99
 
-        numbers = {m.number for _, _, m in self.in_flight}
+        numbers = {message.number for _, _, message in self.in_flight}
         for limiter in self.limiters:
             for held in limiter.limits.held.values():
                 numbers |= {held.adopted}
             for grants in limiter.limits.lender.grants.values():
-                numbers |= {n for g in grants.values() for n in (g.number, *(n for n, _ in g.offers))}
-        rank = {n: r for r, n in enumerate(sorted(numbers))}
+                numbers |= {number for grant in grants.values()
+                            for number in (grant.number, *(number for number, _ in grant.offers))}
+        rank = {number: position for position, number in enumerate(sorted(numbers))}
         limiters = []
         for limiter in self.limiters:
             lease = limiter.limits.held.get(SUBJECT)
@@ -203,20 +214,25 @@
                     tuple(
                         sorted(
                             (
-                                h,
-                                rank[g.number],
-                                age(g.expires_at),
-                                g.used,
-                                g.wanted,
-                                tuple((rank[n], s) for n, s in g.offers),
+                                holder,
+                                rank[grant.number],
+                                age(grant.expires_at),
+                                grant.used,
+                                grant.wanted,
+                                tuple((rank[number], slots) for number, slots in grant.offers),
                             )
-                            for h, g in grants.items()
+                            for holder, grant in grants.items()
                         )
                     ),
                 )
             )
         in_flight = tuple(
-            (s, t, rank[m.number], m[2:] if isinstance(m, LeaseReply) else (rank.get(m.adopted), m[3:]))
-            for s, t, m in self.in_flight
+            (
+                sender,
+                receiver,
+                rank[message.number],
+                message[2:] if isinstance(message, LeaseReply) else (rank.get(message.adopted), message[3:]),
+            )
+            for sender, receiver, message in self.in_flight
         )
         return tuple(limiters), in_flight
--- a/larklb/lab/check_verdicts.py
+++ b/larklb/lab/check_verdicts.py
@@ -37,61 +37,70 @@
     def __init__(self, make: Callable[[int], Verdicts] = make_verdicts) -> None:
         self.make = make
         self.now = STEP_MS
-        self.verdicts = [make(i) for i in range(LIMITERS)]
+        self.verdicts = [make(number) for number in range(LIMITERS)]
         self.starts = [1] * LIMITERS
         # Limiters that have ever found the subject bad.
         self.observers: set[int] = set()
+        # Sender, receiver and finding.
         self.in_flight: list[tuple[int, int, Finding]] = []
+        # The limiter whose links are cut.
         self.cut: int | None = None
 
-    def actions(self) -> list[Action]:
-        found: list[Action] = []
-        for i, v in enumerate(self.verdicts):
-            found += [("bad", i), ("good", i)]
-            if self.starts[i] < 2:
-                found.append(("restart", i))
-            if len(self.in_flight) < MAX_MESSAGES and v.unsent:
-                found += [("tell", i * LIMITERS + j) for j in range(LIMITERS) if j != i]
-        for n in range(len(self.in_flight)):
-            found += [("deliver", n), ("repeat", n), ("lose", n)]
-        return found + ([("cut", 0)] if self.cut is None else [("heal", 0)])
-
-    def act(self, action: Action) -> None:
-        name, n = action
+    def enabled_actions(self) -> list[Action]:
+        """Returns the actions that are possible in this state."""
+        enabled: list[Action] = []
+        for number, verdicts in enumerate(self.verdicts):
+            enabled += [("bad", number), ("good", number)]
+            if self.starts[number] < 2:
+                enabled.append(("restart", number))
+            if len(self.in_flight) < MAX_MESSAGES and verdicts.unsent:
+                enabled += [("tell", number * LIMITERS + receiver)
+                            for receiver in range(LIMITERS) if receiver != number]
+        for index in range(len(self.in_flight)):
+            enabled += [("deliver", index), ("repeat", index), ("lose", index)]
+        return enabled + ([("cut", 0)] if self.cut is None else [("heal", 0)])
+
+    def perform_action(self, action: Action) -> None:
+        """Performs an action, which changes this state."""
+        name, argument = action
         match name:
             case "bad" | "good":
                 self.now += STEP_MS
-                self.verdicts[n].record_evidence(self.now, SUBJECT, TOPIC, 8.0 if name == "bad" else 1.0)
-                self.observers |= {n} if name == "bad" else set()
+                self.verdicts[argument].record_evidence(
+                    self.now, SUBJECT, TOPIC, 8.0 if name == "bad" else 1.0)
+                self.observers |= {argument} if name == "bad" else set()
             case "restart":
-                self.starts[n] += 1
-                self.verdicts[n] = self.make(n)
+                self.starts[argument] += 1
+                self.verdicts[argument] = self.make(argument)
             case "tell":
-                self._send(*divmod(n, LIMITERS))
+                self._send(*divmod(argument, LIMITERS))
             case "cut" | "heal":
                 self.cut = 0 if name == "cut" else None
             case "lose":
-                self.in_flight.pop(n)
+                self.in_flight.pop(argument)
             case _:
-                sender, to, finding = self.in_flight[n] if name == "repeat" else self.in_flight.pop(n)
-                self.verdicts[to].receive(self.now, sender, finding)
+                sender, receiver, finding = (
+                    self.in_flight[argument] if name == "repeat" else self.in_flight.pop(argument))
+                self.verdicts[receiver].receive(self.now, sender, finding)
 
-    def _send(self, sender: int, to: int) -> None:
-        for finding in self.verdicts[sender].findings_for(self.now, to, 1):
-            if self.cut is None or self.cut not in (sender, to):
-                self.in_flight.append((sender, to, finding))
+    def _send(self, sender: int, receiver: int) -> None:
+        for finding in self.verdicts[sender].findings_for(self.now, receiver, 1):
+            if self.cut is None or self.cut not in (sender, receiver):
+                self.in_flight.append((sender, receiver, finding))
 
     def find_violation(self) -> str:
         """Returns the invariant that this state violates, or an empty string."""
-        for i, v in enumerate(self.verdicts):
-            bad = {o for o, k in v.findings.get(NAME, {}).items() if k.slowness >= BAD_SLOWNESS and o != i}
-            if v.verdict(self.now, *NAME) >= BAD_SLOWNESS and len(bad) < QUORUM:
-                return f"limiter {i} condemns on the word of {sorted(bad)}"
-            if bad - self.observers:
-                return (f"limiter {i} believes that {sorted(bad - self.observers)} found it bad, "
-                        "and they did not")
-            if i in {o for o, k in v.findings.get(NAME, {}).items() if k.source != i}:
-                return f"limiter {i} took its own former word for news"
+        for number, verdicts in enumerate(self.verdicts):
+            bad_observers = {observer for observer, finding in verdicts.findings.get(NAME, {}).items()
+                             if finding.slowness >= BAD_SLOWNESS and observer != number}
+            if verdicts.verdict(self.now, *NAME) >= BAD_SLOWNESS and len(bad_observers) < QUORUM:
+                return f"limiter {number} condemns on the word of {sorted(bad_observers)}"
+            if bad_observers - self.observers:
+                return (f"limiter {number} believes that {sorted(bad_observers - self.observers)} found it "
+                        "bad, and they did not")
+            if number in {observer for observer, finding in verdicts.findings.get(NAME, {}).items()
+                          if finding.source != number}:
+                return f"limiter {number} took its own former word for news"
         return ""
 
     def find_divergence(self) -> str:
@@ -102,20 +111,23 @@
         delayed, self.cut = list(self.in_flight), None
         for _ in range(3):
             for sender in range(LIMITERS):
-                for to in range(LIMITERS):
-                    for name, by_observer in self.verdicts[sender].findings.items() if sender != to else ():
-                        for o, k in by_observer.items():
-                            finding = Finding(*name, k.slowness, self.now - k.at, o, k.stamp)
-                            self.verdicts[to].receive(self.now, sender, finding)
-            for sender, to, finding in delayed:
-                self.verdicts[to].receive(self.now, sender, finding)
-        for i in range(LIMITERS):
-            for j in range(i):
+                for receiver in range(LIMITERS):
+                    for name, by_observer in (
+                            self.verdicts[sender].findings.items() if sender != receiver else ()):
+                        for observer, stored in by_observer.items():
+                            finding = Finding(
+                                *name, stored.slowness, self.now - stored.at, observer, stored.stamp)
+                            self.verdicts[receiver].receive(self.now, sender, finding)
+            for sender, receiver, finding in delayed:
+                self.verdicts[receiver].receive(self.now, sender, finding)
+        for limiter in range(LIMITERS):
+            for other in range(limiter):
                 # A restart loses a limiter's own findings; only those of the third limiter must be equal.
-                third = LIMITERS - i - j
-                first, second = (self._finding_of(n, third) for n in (i, j))
+                third = LIMITERS - limiter - other
+                first, second = (self._finding_of(number, third) for number in (limiter, other))
                 if first != second:
-                    return f"limiters {j} and {i} differ on what {third} found: {second} and {first}"
+                    return (f"limiters {other} and {limiter} differ on what {third} found: "
+                            f"{second} and {first}")
         return self.find_violation()
 
     def _finding_of(self, limiter: int, observer: int) -> tuple[float, int] | None:
@@ -124,21 +136,30 @@
 
     def fingerprint(self) -> object:
         """Returns a value that is equal for equivalent states; only the order of stamps matters."""
-        stamps = sorted({k.stamp for v in self.verdicts for k in v.findings.get(NAME, {}).values()}
-                        | {f.stamp for _, _, f in self.in_flight})
-        rank = {stamp: n for n, stamp in enumerate(stamps)}
+        stamps = sorted({finding.stamp for verdicts in self.verdicts
+                         for finding in verdicts.findings.get(NAME, {}).values()}
+                        | {finding.stamp for _, _, finding in self.in_flight})
+        rank = {stamp: position for position, stamp in enumerate(stamps)}
         findings = tuple(
             (
                 tuple(
                     sorted(
-                        (o, k.slowness, rank[k.stamp], k.remaining_sends, k.source, tuple(sorted(k.sent_to)))
-                        for o, k in v.findings.get(NAME, {}).items()
+                        (
+                            observer,
+                            finding.slowness,
+                            rank[finding.stamp],
+                            finding.remaining_sends,
+                            finding.source,
+                            tuple(sorted(finding.sent_to)),
+                        )
+                        for observer, finding in verdicts.findings.get(NAME, {}).items()
                     )
                 ),
-                tuple(v.unsent),
-                v.own_evidence.get(NAME, (0.0, 0.0))[0] >= BAD_SLOWNESS,
+                tuple(verdicts.unsent),
+                verdicts.own_evidence.get(NAME, (0.0, 0.0))[0] >= BAD_SLOWNESS,
             )
-            for v in self.verdicts
+            for verdicts in self.verdicts
         )
-        in_flight = tuple((s, t, f.observer, f.slowness, rank[f.stamp]) for s, t, f in self.in_flight)
+        in_flight = tuple((sender, receiver, finding.observer, finding.slowness, rank[finding.stamp])
+                          for sender, receiver, finding in self.in_flight)
         return findings, tuple(self.starts), in_flight, self.cut, tuple(self.observers)
--- a/tests/test_settling.py
+++ b/tests/test_settling.py
@@ -153,10 +153,11 @@
     for make, expected in ((Settlement, 1.0), (IgnoresConfirmedPart, 3.0)):
         world = World(1, make)
         for action in (("let", 1), ("let", 1), ("tell", 1), ("deliver", 0), ("deliver", 0),
-                       ("owner restarts", 0), ("let", 1) if world.limiters[1].left >= 3 else ("grant", 0)):
-            world.act(action)
-        world.limiters[1].settling.record_admitted(0.0, 7, 0, 0, 1.0)
-        count = world.limiters[1].settling.unconfirmed_count(7)
+                       ("owner restarts", 0),
+                       ("let", 1) if world.limiters[1].units_left >= 3 else ("grant", 0)):
+            world.perform_action(action)
+        world.limiters[1].settlement.record_admitted(0.0, 7, 0, 0, 1.0)
+        count = world.limiters[1].settlement.unconfirmed_count(7)
         assert count is not None and world.owner.on_count(0.0, 1, count) == expected
 
 
