--- a/larklb/lab/fleet.py
+++ b/larklb/lab/fleet.py
@@ -104,10 +104,11 @@
         self.relay = Relay(self.cluster.peers, seed)
         self.relay.loss = script.loss
         self.routes = NodeRoutes(script.limiters, {name: m.port for name, m in self.machines.items()})
-        # Custody uses TCP links between limiters, at the numbers of their peer ports.
+        # Custody uses TCP links between limiters, on ports of the same numbers as those for datagrams.
         uses_links = "[custody]" in self.cluster.more
-        self.peer_links = {pair: Route(self.cluster.peers[pair[1]], port)
-                      for pair, port in self.relay.relay_ports.items()} if uses_links else {}
+        self.peer_links = {
+            pair: Route(self.cluster.peers[pair[1]], port)
+            for pair, port in self.relay.relay_ports.items()} if uses_links else {}
         self.discoveries = [Discovery() for _ in range(script.limiters)]
         self.generation = 1                    # of the node list
         self.listed_nodes = set(self.machines)
@@ -117,7 +118,7 @@
         # Senders, receivers and lost fraction of the datagrams between them.
         self.partitions: list[tuple[set[int], set[int], float]] = []
         self.relay.cut = self._is_dropped
-        self.tasks: set[asyncio.Task[None]] = set()
+        self.tasks: set[asyncio.Task[None]] = set()            # clients with a job in progress
         self.audit = Audit()
         self.started_at = 0.0                  # by the monotonic clock
         self.lag = 0.0                         # s, the largest lag of this process's event loop
@@ -133,11 +134,13 @@
         return self.machines[name].entry(lifecycle) | {"hostPort": address}
 
     def _publish_nodes(self, names: list[str], lifecycle: str) -> None:
+        """Sends the entries of these nodes in a new generation to all limiters."""
         self.generation += 1
         for number, discovery in enumerate(self.discoveries):
             discovery.publish(self.generation, *(self._entry(number, name, lifecycle) for name in names))
 
     def _is_dropped(self, sender: int, receiver: int) -> bool:
+        """Decides whether a partition drops a datagram; at random, if it drops a fraction."""
         return any(sender in senders and receiver in receivers and self.random.random() < fraction
                    for senders, receivers, fraction in self.partitions)
 
