--- a/larklb/cli/lab.py
+++ b/larklb/cli/lab.py
@@ -49,7 +49,7 @@
     from larklb.lab import net
     from larklb.quota.entitlements import Entitlements
     if scenario == "list":
-        print_rows([{"name": s.name, "what": s.words} for s in net.SCENARIOS.values()],
+        print_rows([{"name": s.name, "what": s.description} for s in net.SCENARIOS.values()],
                    ("name", "what"), as_json)
         return
     if scenario not in net.SCENARIOS:
@@ -77,13 +77,13 @@
 
     from larklb.lab import fleet, script
     if scenario == "list":
-        print_rows(script.names(), ("name", "what"), as_json)
+        print_rows(script.builtin_scenarios(), ("name", "what"), as_json)
         return
     try:
         day = script.load(scenario)
         if limiters:
             day = msgspec.structs.replace(day, limiters=limiters)
-        if why := day.checked():
+        if why := day.find_inconsistency():
             raise script.ScriptError(f"{scenario}: {why}")
     except script.ScriptError as error:
         raise exit_error(error) from error
--- a/tests/test_lab_fleet.py
+++ b/tests/test_lab_fleet.py
@@ -37,7 +37,7 @@
 
 
 def outcomes_of(audit: Audit, numbers: set[int], since: float, until: float) -> list[str]:
-    return [Rig._end(t) for t in audit.tries if t.limiter in numbers and since <= t.submitted_at < until]
+    return [Rig._outcome(t) for t in audit.tries if t.limiter in numbers and since <= t.submitted_at < until]
 
 
 @pytest.mark.parametrize("name", ["calm", "one-class", "all-slow", "new-list", "hot-limiter"])
@@ -123,7 +123,7 @@
         with pytest.raises(script.ScriptError, match=message) as raised:
             script.load(str(path))
         assert "\n" not in str(raised.value)
-    assert {n["name"] for n in script.names()} >= {"calm", "split", "bad-link", "stopped"}
+    assert {n["name"] for n in script.builtin_scenarios()} >= {"calm", "split", "bad-link", "stopped"}
 
 
 # State of running instances ---------------------------------------------------------------
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -562,7 +562,7 @@
     assert not limiters_away(seen, 3.0, 7.0) & {1, 4}, (
         "limiters inside the partitioned zone are served by its nodes"
     )
-    inside = [Rig._end(t) for t in audit.tries if t.limiter in (1, 4) and 3.5 <= t.submitted_at < 6.5]
+    inside = [Rig._outcome(t) for t in audit.tries if t.limiter in (1, 4) and 3.5 <= t.submitted_at < 6.5]
     assert len(inside) > 40 and inside.count("in time") >= 0.85 * len(inside)
     assert limiters_back(seen) == set(range(6))
 
